--- a/io/proxy/answer.go
+++ b/io/proxy/answer.go
@@ -14,23 +14,24 @@
 	"radishwell/core/rtable"
 )
 
-// outcome is how one attempt went.
+// outcome is the result of one attempt.
 type outcome struct {
-	// done tells that the caller has its answer.
+	// done is set if the caller has its answer.
 	done bool
-	// sent tells that the host may have got the request, rejected that it said it
-	// did not run it.
+	// sent is set if the host may have received the request, rejected if the host
+	// states that it did not run the request.
 	sent, rejected bool
 	cause          error
 }
 
-// SpoiltError reports an upstream's answer that cannot be the request's.
+// SpoiltError reports an upstream's answer that cannot belong to the request or cannot
+// be passed on.
 type SpoiltError struct{ Reason string }
 
 // Error implements error.
 func (e *SpoiltError) Error() string { return "the upstream's answer is spoilt: " + e.Reason }
 
-// RejectedError reports an upstream that did not run the request.
+// RejectedError reports an upstream that states that it did not run the request.
 type RejectedError struct{ Status int }
 
 // Error implements error.
@@ -38,15 +39,15 @@
 	return "the upstream did not run the request: status " + strconv.Itoa(e.Status)
 }
 
-// attempt sends the request to one host and passes its answer on.
+// attempt sends the request to one host and forwards its answer.
 func (c *call) attempt(ctx context.Context, t *target) outcome {
-	ctx, stop := context.WithDeadline(ctx, c.leaveBy())
+	ctx, stop := context.WithDeadline(ctx, c.attemptDeadline())
 	defer stop()
 	ctx, done := c.proxy.watch(ctx, c, t)
 	defer done()
-	c.host = t.id
-	sentAt := c.noteSend(t)
-	resp, sent, err := c.proxy.upstreams.send(ctx, c, t, c.event)
+	c.lastHost = t.id
+	sentAt := c.recordSend(t)
+	resp, sent, err := c.proxy.upstreams.send(ctx, c, t, c.lastEventID)
 	if sent {
 		c.sends++
 	}
@@ -56,51 +57,52 @@
 		} else {
 			c.release(t)
 		}
-		c.ended(t, func(h *fleet.Host, now time.Time) { c.blame(ctx, h, now, sent) })
+		c.recordEnd(t, func(h *fleet.Host, now time.Time) { c.recordFailure(ctx, h, now, sent) })
 		return outcome{sent: sent, cause: causeOf(ctx, err)}
 	}
 	defer resp.Body.Close()
 	head := c.proxy.Protocol.Answer(resp.Header, resp.StatusCode, c.proxy.Clock.Now())
-	c.noteSignals(t, head, sentAt)
+	c.applySignals(t, head, sentAt)
 	if head.ID == c.ask.ID && (head.NotRun || resp.StatusCode == http.StatusMisdirectedRequest) {
-		c.ended(t, func(h *fleet.Host, now time.Time) { c.turnedAway(h, now, resp.StatusCode) })
+		c.recordEnd(t, func(h *fleet.Host, now time.Time) { c.recordRejection(h, now, resp.StatusCode) })
 		return outcome{sent: true, rejected: true, cause: &RejectedError{Status: resp.StatusCode}}
 	}
 	c.ran++
 	if err := c.check(resp, head); err != nil {
-		c.ended(t, (*fleet.Host).Failed)
+		c.recordEnd(t, (*fleet.Host).Failed)
 		return outcome{sent: true, cause: err}
 	}
-	if c.failedLookup(resp) {
-		c.ended(t, (*fleet.Host).Failed)
+	if c.keepFailure(resp) {
+		c.recordEnd(t, (*fleet.Host).Failed)
 		return outcome{sent: true, cause: &FailedError{Status: resp.StatusCode}}
 	}
-	resumed := c.begun
+	resumed := c.started
 	isStream := c.route.Kind == rtable.Stream && resp.StatusCode == http.StatusOK
 	switch {
 	case isStream:
-		err = c.stream(t, resp)
-	case c.begun:
+		err = c.forwardStream(t, resp)
+	case c.started:
 		err = &SpoiltError{Reason: "a stream goes on with status " + strconv.Itoa(resp.StatusCode)}
 	default:
-		err = c.whole(resp)
+		err = c.forwardWhole(resp)
 	}
 	if err != nil {
-		c.ended(t, func(h *fleet.Host, now time.Time) { c.blame(ctx, h, now, true) })
+		c.recordEnd(t, func(h *fleet.Host, now time.Time) { c.recordFailure(ctx, h, now, true) })
 		return outcome{sent: true, cause: causeOf(ctx, err)}
 	}
-	c.ended(t, func(h *fleet.Host, now time.Time) {
+	c.recordEnd(t, func(h *fleet.Host, now time.Time) {
 		if resp.StatusCode >= http.StatusInternalServerError {
 			h.Failed(now)
 		}
 		if isStream && c.query.Model != "" && !resumed {
-			c.proxy.demand.Made(c.query.Model, c.ask.Answer, c.latest.Sub(c.first))
+			c.proxy.demand.Made(c.query.Model, c.ask.Answer, c.lastEvent.Sub(c.firstEvent))
 		}
 	})
 	return outcome{done: true}
 }
 
-// causeOf returns why an attempt was left, where that is behind its error.
+// causeOf returns the reason for which an attempt was cancelled, or err if it was not
+// cancelled by this package.
 func causeOf(ctx context.Context, err error) error {
 	var silent *SilentError
 	if errors.As(context.Cause(ctx), &silent) {
@@ -109,11 +111,11 @@
 	return err
 }
 
-// leaveBy returns when an attempt is given up. One at a request that may run again
-// leaves as much time for another host as it has itself: a host that was cut off
-// takes requests and says nothing. One after a failure that is kept ends in time for
-// the caller to get that.
-func (c *call) leaveBy() time.Time {
+// attemptDeadline returns when an attempt is given up. A host that was cut off accepts
+// requests and never answers, so an attempt at a request that may run again uses only
+// half of the remaining time and leaves the rest for another host. If a failure is kept
+// as the answer, the attempt ends early enough for the caller to receive it.
+func (c *call) attemptDeadline() time.Time {
 	switch {
 	case c.failure != nil:
 		return c.deadline.Add(-failureMargin)
@@ -124,7 +126,8 @@
 	return c.deadline
 }
 
-// FailedError reports an upstream that ran a request to a failure of its own.
+// FailedError reports an upstream that ran a request and answered with a failure of its
+// own.
 type FailedError struct{ Status int }
 
 // Error implements error.
@@ -132,41 +135,41 @@
 	return "the upstream failed the request: status " + strconv.Itoa(e.Status)
 }
 
-// failure is an upstream's own failure of a request that may run again; it is the
-// caller's answer if no other host does better.
+// failure is the failed answer of an upstream to a request that may run again. The
+// caller receives it if no other host answers better.
 type failure struct {
 	status int
 	header map[string][]string
 	body   []byte
 }
 
-// failedLookup tells whether an answer is a failure that another host may not
-// have. The failure is kept.
-func (c *call) failedLookup(resp *http.Response) bool {
+// keepFailure reports whether an answer is a failure after which another host is tried.
+// It keeps the failure if it could be read.
+func (c *call) keepFailure(resp *http.Response) bool {
 	if c.route.Kind != rtable.Repeatable || resp.StatusCode < http.StatusInternalServerError || c.ran >= c.route.MostHosts {
 		return false
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostWhole+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
 	switch {
 	case err != nil:
-		return true // it broke off, and is no answer to keep
-	case len(body) > mostWhole:
-		// Too large to keep; it is passed on from its beginning.
-		resp.Body = &joined{Reader: io.MultiReader(bytes.NewReader(body), resp.Body), Closer: resp.Body}
+		return true // the answer broke off and cannot be kept
+	case len(body) > maxBufferedAnswer:
+		// The answer is too large to keep, so it is forwarded from its beginning.
+		resp.Body = &replayedBody{Reader: io.MultiReader(bytes.NewReader(body), resp.Body), Closer: resp.Body}
 		return false
 	}
 	c.failure = &failure{status: resp.StatusCode, header: c.proxy.Protocol.Reply(resp.Header), body: body}
 	return true
 }
 
-// joined reads a body from its beginning again.
-type joined struct {
+// replayedBody reads the buffered beginning of a body again, then the rest.
+type replayedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// passFailure writes the failure that was kept.
-func (c *call) passFailure() {
+// writeFailure writes the failure that was kept.
+func (c *call) writeFailure() {
 	c.status = c.failure.status
 	head := c.writer.Header()
 	for name, values := range c.failure.header {
@@ -174,13 +177,13 @@
 	}
 	head.Set("Content-Length", strconv.Itoa(len(c.failure.body)))
 	c.writer.WriteHeader(c.failure.status)
-	// An error here is the caller's going away.
+	// An error means that the caller has left.
 	_, _ = c.writer.Write(c.failure.body)
 }
 
-// blame notes a failure of the host, unless the caller or the request's time
-// ended the attempt.
-func (c *call) blame(ctx context.Context, h *fleet.Host, now time.Time, sent bool) {
+// recordFailure records a failure of the host, unless the caller left. sent is set if
+// the host may have received the request.
+func (c *call) recordFailure(ctx context.Context, h *fleet.Host, now time.Time, sent bool) {
 	switch {
 	case ctx.Err() != nil && c.request.Context().Err() != nil:
 	case !sent:
@@ -190,8 +193,8 @@
 	}
 }
 
-// turnedAway notes that a host did not take the request.
-func (c *call) turnedAway(h *fleet.Host, now time.Time, status int) {
+// recordRejection records that a host rejected the request.
+func (c *call) recordRejection(h *fleet.Host, now time.Time, status int) {
 	if status == http.StatusMisdirectedRequest && c.query.Model != "" {
 		h.Lacks(now, c.query.Model)
 		return
@@ -199,10 +202,10 @@
 	h.Failed(now)
 }
 
-// ended notes that an attempt is over.
-func (c *call) ended(t *target, note func(*fleet.Host, time.Time)) {
+// recordEnd records that an attempt has ended, and calls note for its result.
+func (c *call) recordEnd(t *target, note func(*fleet.Host, time.Time)) {
 	c.proxy.Update(func(_ *fleet.View, now time.Time) {
-		if !t.begun {
+		if !t.started {
 			t.host.Begun(t.unread)
 		}
 		t.host.Ended(c.query.Model)
@@ -210,13 +213,14 @@
 	})
 }
 
-// promises are the statuses that tell callers a request has not run.
-var promises = map[int]bool{
+// notRunStatuses are the statuses by which callers understand that a request has not
+// run.
+var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// check tells whether an answer can be passed on as the request's.
+// check reports why an answer cannot be passed on as the request's.
 func (c *call) check(resp *http.Response, head core.AnswerHead) error {
 	switch {
 	case head.ID != c.ask.ID:
@@ -225,32 +229,32 @@
 		return &SpoiltError{Reason: "it is not signed, status " + strconv.Itoa(resp.StatusCode)}
 	case resp.Header.Get("Content-Encoding") != "":
 		return &SpoiltError{Reason: "it has a content encoding that was not asked for"}
-	case promises[resp.StatusCode]:
-		// The upstream does not say that it did not run the request, so callers
-		// must not read it out of the status.
+	case notRunStatuses[resp.StatusCode]:
+		// The upstream does not state that it did not run the request, so callers must
+		// not infer that from the status.
 		return &SpoiltError{Reason: "status " + strconv.Itoa(resp.StatusCode) + " without a word on whether it ran"}
 	}
 	return nil
 }
 
-// whole reads an answer to its end and passes it on. One that breaks off is not
-// passed on at all.
-func (c *call) whole(resp *http.Response) error {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostWhole+1))
+// forwardWhole reads an answer to its end and then forwards it. An answer that breaks
+// off is not forwarded at all, unless it is larger than maxBufferedAnswer.
+func (c *call) forwardWhole(resp *http.Response) error {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
 	if err != nil {
 		return err
 	}
 	c.copyHead(resp)
-	if len(body) <= mostWhole {
+	if len(body) <= maxBufferedAnswer {
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	c.begun = true
-	c.passed()
+	c.started = true
+	c.recordEvent()
 	c.writer.WriteHeader(resp.StatusCode)
 	if _, err := c.writer.Write(body); err != nil {
 		return err
 	}
-	if len(body) <= mostWhole {
+	if len(body) <= maxBufferedAnswer {
 		return nil
 	}
 	_, err = io.Copy(c.writer, resp.Body)
--- a/io/proxy/backoff_test.go
+++ b/io/proxy/backoff_test.go
@@ -12,10 +12,10 @@
 	"radishwell/platform/stand"
 )
 
-// Guards against requests that reach an upstream which has turned one away and said for
-// how long it wants no other.
+// Guards against requests sent to an upstream that has rejected one and stated for how
+// long it wants no others.
 func TestUpstreamInBackoffGetsNoMore(t *testing.T) {
-	// shed has p-1 turn a first request away for a time.
+	// shed makes p-1 reject a first request and ask for no others for a time.
 	shed := func(t *testing.T, backoff time.Duration) (*rig, *stand.Worker) {
 		t.Helper()
 		r := newRig(t)
--- a/io/proxy/call.go
+++ b/io/proxy/call.go
@@ -15,27 +15,26 @@
 )
 
 const (
-	// defaultTime is the time of a request whose caller and route name none.
-	defaultTime = 30 * time.Second
-	// defaultBody bounds a request's body where the table does not, in bytes.
-	defaultBody = 4 << 20
-	// answerSlack is how long before its deadline a request that still waits is
-	// refused, so that the refusal arrives in time.
-	answerSlack = 20 * time.Millisecond
-	// failureMargin is how long before a request's deadline a failure that was kept
-	// is passed on.
+	// defaultTimeout applies if neither the caller nor the route sets a time limit.
+	defaultTimeout = 30 * time.Second
+	// defaultMaxBody bounds a request's body, in bytes, if the table sets no bound.
+	defaultMaxBody = 4 << 20
+	// refusalMargin is how long before its deadline a waiting request is refused, so
+	// that the refusal arrives in time.
+	refusalMargin = 20 * time.Millisecond
+	// failureMargin is how long before a request's deadline a kept failure is written.
 	failureMargin = 40 * time.Millisecond
-	// lookAgain is how often a request that waits looks again without a change:
-	// hosts set aside for a time come back without one.
-	lookAgain = 200 * time.Millisecond
-	// restPause is how long a request rests after all hosts have turned it away.
-	restPause = 100 * time.Millisecond
-	// mostSends bounds the hosts that one request is sent to, whatever they say:
-	// past that its caller is better served by an answer.
-	mostSends = 5
+	// recheckInterval is how often a waiting request looks for a host without a change:
+	// hosts that were set aside for a time become available without one.
+	recheckInterval = 200 * time.Millisecond
+	// retryPause is how long a request waits after all hosts have rejected it.
+	retryPause = 100 * time.Millisecond
+	// maxSends bounds the hosts that one request is sent to, whatever they answer:
+	// after so many, an error now serves the caller better than another attempt.
+	maxSends = 5
 )
 
-// call is one request on its way.
+// call is one request in progress.
 type call struct {
 	proxy   *Proxy
 	writer  http.ResponseWriter
@@ -51,45 +50,52 @@
 	deadline time.Time
 	query    fleet.Query
 
-	// units are what the request counts against its customer's allowance, and charged is
-	// when they were taken; zero while they are not.
-	units   float64
-	charged time.Time
+	// units is what the request costs of its customer's allowance, and chargedAt when
+	// it was charged, zero if it is not charged.
+	units     float64
+	chargedAt time.Time
 
-	// sends counts the hosts that got any of the request, ran those that may have
-	// run it.
+	// sends counts the hosts that received any part of the request, ran those that may
+	// have run it.
 	sends, ran int
-	// What follows is for the log: the failure behind the last attempt and its
-	// host; the host chosen last, with the age of its report, the cost and wait
-	// foreseen there and what it had said of itself by then; the table that was in
-	// force, and the time spent waiting.
-	last      error
-	host      core.HostName
-	best      core.HostName
-	reportAge time.Duration
-	cost      float64
-	foreseen  time.Duration
-	known     signals
-	version   int64
-	waited    time.Duration
-	// paced is the time spent on reservations at hosts that name a rate limit.
-	paced time.Duration
-	// fetched is the time in which an adapter was on its way, and status that of the
-	// upstream's answer, zero before it has one.
-	fetched time.Duration
-	status  int
-	// The times of a stream's first and last events, and the longest pause between
-	// two.
-	first, latest time.Time
-	longest       time.Duration
-	// watched is the attempt in progress, if it is left when its host falls silent.
-	watched *watched
-	// begun tells that part of an answer has gone to the caller.
-	begun bool
-	// failure is an upstream's own, which another host may not have.
+	// The fields from here to longestPause are for the log line. lastErr and lastHost
+	// are the error and the host of the last attempt.
+	lastErr  error
+	lastHost core.HostName
+	// chosen is the host chosen last; reportAge the age of its report, cost and
+	// expectedWait the estimates for the request there, and signals what the host had
+	// stated about itself when the request was sent.
+	chosen       core.HostName
+	reportAge    time.Duration
+	cost         float64
+	expectedWait time.Duration
+	signals      signals
+	// tableVersion is the version of the routing table in force, and waitTime the time
+	// spent waiting for a host.
+	tableVersion int64
+	waitTime     time.Duration
+	// pacingTime is the time spent waiting for reservations at hosts that name a rate
+	// limit.
+	pacingTime time.Duration
+	// fetchTime is the time spent loading adapters. status is that of the upstream's
+	// answer, zero before there is one.
+	fetchTime time.Duration
+	status    int
+	// firstEvent and lastEvent are when the first and the latest event of a stream, or
+	// a whole answer, were forwarded. longestPause is the longest pause between two
+	// events.
+	firstEvent, lastEvent time.Time
+	longestPause          time.Duration
+	// watched is the attempt in progress, if it is moved to another host when its own
+	// falls silent.
+	watched *watchedStream
+	// started is set once part of an answer has been sent to the caller.
+	started bool
+	// failure is an upstream's failed answer, kept in case no other host answers
+	// better.
 	failure *failure
-	// event is the id of the last event that the caller has.
-	event string
+	// lastEventID is the id of the last event that the caller has received.
+	lastEventID string
 }
 
 // ServeHTTP implements http.Handler.
@@ -106,31 +112,31 @@
 	if refusal == nil {
 		return
 	}
-	if c.begun || refusal.Code == core.CodeCancelled {
-		// An answer that broke off must not look complete, nor one that was never
-		// written: net/http would end the one and send status 200 for the other. The
-		// connection is closed instead.
+	if c.started || refusal.Code == core.CodeCancelled {
+		// A partial answer must not look complete, and a missing one must not look
+		// successful: net/http would terminate the former properly and send status 200
+		// for the latter. Aborting closes the connection instead.
 		panic(http.ErrAbortHandler)
 	}
 	if c.failure != nil {
-		c.passFailure()
+		c.writeFailure()
 		return
 	}
-	c.refuse(refusal)
+	c.writeRefusal(refusal)
 }
 
-// prepare reads the request and finds its route.
+// prepare reads the request and finds its customer, route, service and deadline.
 func (c *call) prepare() *core.Refusal {
 	p := c.proxy
 	table := p.Table()
 	if table == nil {
-		return core.RefuseUntil(core.CodeNotReady, "the routing table has not arrived yet", c.arrived.Add(restPause))
+		return core.RefuseUntil(core.CodeNotReady, "the routing table has not arrived yet", c.arrived.Add(retryPause))
 	}
 	var refusal *core.Refusal
 	if c.ask, refusal = p.Protocol.Ask(c.request.Header, c.arrived); refusal != nil {
 		return refusal
 	}
-	c.version = table.Version
+	c.tableVersion = table.Version
 	c.route = table.Match(c.request.Host, c.request.URL.EscapedPath())
 	if c.route == nil {
 		return core.Refuse(core.CodeUnknownPath, "no route has this host name and path")
@@ -140,10 +146,10 @@
 	}
 	c.rank = table.Rank(c.customer, c.route, core.Ranks)
 	c.service = table.Services[c.route.Service(rand.Float64())]
-	if refusal := c.read(table.Limits.Body); refusal != nil {
+	if refusal := c.readBody(table.Limits.Body); refusal != nil {
 		return refusal
 	}
-	c.deadline = c.arrived.Add(defaultTime)
+	c.deadline = c.arrived.Add(defaultTimeout)
 	if c.route.Timeout > 0 {
 		c.deadline = c.arrived.Add(c.route.Timeout)
 	}
@@ -155,20 +161,20 @@
 		c.query.Model, c.query.Adapter = c.ask.Model, c.ask.Adapter
 		c.query.Parts, c.query.Tokens = c.ask.Parts, c.ask.Prompt
 	}
-	c.event = c.ask.After
+	c.lastEventID = c.ask.After
 	return nil
 }
 
-// read takes the body in whole, so that it can be sent to a second host.
-func (c *call) read(most core.Bytes) *core.Refusal {
-	if most <= 0 {
-		most = defaultBody
+// readBody reads the whole body, so that it can be sent to a second host.
+func (c *call) readBody(limit core.Bytes) *core.Refusal {
+	if limit <= 0 {
+		limit = defaultMaxBody
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, int64(most)))
+	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, int64(limit)))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		return core.Refuse(core.CodeTooLarge, "the body is larger than "+most.String())
+		return core.Refuse(core.CodeTooLarge, "the body is larger than "+limit.String())
 	case err != nil:
 		return core.Refuse(core.CodeBadRequest, "the body could not be read: "+err.Error())
 	}
@@ -176,12 +182,13 @@
 	return nil
 }
 
-// serve has the request run. It returns nil once the caller has its answer.
+// serve sends the request to hosts until one answers. It returns nil once the caller
+// has its answer.
 func (c *call) serve(ctx context.Context) *core.Refusal {
 	if refusal := c.charge(ctx); refusal != nil {
 		return refusal
 	}
-	c.begin()
+	c.recordArrival()
 	for {
 		t, refusal := c.acquire(ctx)
 		if refusal != nil {
@@ -191,15 +198,15 @@
 		if o.done {
 			return nil
 		}
-		c.last = o.cause
-		if refusal := c.after(ctx, t, o); refusal != nil {
+		c.lastErr = o.cause
+		if refusal := c.afterAttempt(ctx, t, o); refusal != nil {
 			return refusal
 		}
 	}
 }
 
-// begin notes the request's arrival.
-func (c *call) begin() {
+// recordArrival records the request for the retry budget and the demand.
+func (c *call) recordArrival() {
 	p := c.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,60 +217,61 @@
 	}
 }
 
-// after decides what follows an attempt that brought no answer; nil to go on.
-func (c *call) after(ctx context.Context, t *target, o outcome) *core.Refusal {
-	// An attempt's own deadline may fire just before the request's.
+// afterAttempt decides what follows an attempt without an answer. It returns nil to try
+// again.
+func (c *call) afterAttempt(ctx context.Context, t *target, o outcome) *core.Refusal {
+	// The deadline of an attempt may pass just before the request's own.
 	if ctx.Err() != nil || !c.proxy.Clock.Now().Before(c.deadline) {
-		return c.over(ctx)
+		return c.expired(ctx)
 	}
 	var gone *GoneError
 	if errors.As(o.cause, &gone) {
 		return &core.Refusal{Code: core.CodeCancelled, Outcome: core.MayHaveRun, Reason: gone.Error()}
 	}
-	if c.begun && c.route.Kind != rtable.Stream {
+	if c.started && c.route.Kind != rtable.Stream {
 		return c.lost()
 	}
 	if !o.rejected && o.sent && !c.mayRepeat() {
 		return c.lost()
 	}
-	if c.sends >= mostSends {
+	if c.sends >= maxSends {
 		return c.giveUp()
 	}
 	c.query.Tried = append(c.query.Tried, t.id)
 	return nil
 }
 
-// mayRepeat tells whether a request that may have run may be sent to one host
-// more.
+// mayRepeat reports whether a request that may have run may be sent to one more host.
 func (c *call) mayRepeat() bool { return c.route.Repeats() && c.ran < c.route.MostHosts }
 
-// over returns the answer to a request whose time is over, or whose caller left.
-func (c *call) over(ctx context.Context) *core.Refusal {
+// expired returns the refusal of a request whose deadline has passed or whose caller
+// has left.
+func (c *call) expired(ctx context.Context) *core.Refusal {
 	cause := context.Cause(ctx)
 	switch {
 	case cause != nil && !errors.Is(cause, context.DeadlineExceeded):
 		return &core.Refusal{Code: core.CodeCancelled, Outcome: c.outcome(), Reason: "the caller went away"}
 	case c.ran > 0:
 		return &core.Refusal{
-			Code: core.CodeUpstreamLate, Outcome: core.MayHaveRun, Host: c.host, Reason: "the upstream had not answered in time",
+			Code: core.CodeUpstreamLate, Outcome: core.MayHaveRun, Host: c.lastHost, Reason: "the upstream had not answered in time",
 		}
 	}
 	return core.Refuse(core.CodeWaitTooLong, "no upstream host could run the request in its time")
 }
 
-// lost returns the answer to a request that may have run and may not run again.
+// lost returns the refusal of a request that may have run and must not run again.
 func (c *call) lost() *core.Refusal {
 	return &core.Refusal{
-		Code: core.CodeUpstreamLost, Outcome: core.MayHaveRun, Host: c.host, Reason: "contact with the upstream was lost",
+		Code: core.CodeUpstreamLost, Outcome: core.MayHaveRun, Host: c.lastHost, Reason: "contact with the upstream was lost",
 	}
 }
 
-// giveUp returns the answer to a request that gets no further attempt.
+// giveUp returns the refusal of a request that gets no further attempt.
 func (c *call) giveUp() *core.Refusal {
 	if c.ran > 0 {
 		return c.lost()
 	}
-	return core.RefuseUntil(core.CodeOverload, "the upstream hosts turn requests away", c.back(restPause))
+	return core.RefuseUntil(core.CodeOverload, "the upstream hosts turn requests away", c.retryAt(retryPause))
 }
 
 func (c *call) outcome() core.Outcome {
@@ -273,15 +281,15 @@
 	return core.NotRun
 }
 
-// back returns when a caller may come back: after a pause, but within the third
-// of its time that callers wait at the most.
-func (c *call) back(pause time.Duration) time.Time {
+// retryAt returns when the caller should retry: after a pause, but within a third of
+// the request's remaining time, since callers wait no longer.
+func (c *call) retryAt(pause time.Duration) time.Time {
 	now := c.proxy.Clock.Now()
 	return now.Add(min(pause, c.deadline.Sub(now)/3))
 }
 
-// refuse writes the answer to a request that is not served.
-func (c *call) refuse(r *core.Refusal) {
+// writeRefusal writes the answer to a request that is not served.
+func (c *call) writeRefusal(r *core.Refusal) {
 	head := c.writer.Header()
 	for name, values := range c.proxy.Protocol.Refuse(c.ask.ID, r, c.proxy.Clock.Now()) {
 		head[name] = values
@@ -290,6 +298,6 @@
 	head.Set("Content-Type", "application/json")
 	head.Set("Content-Length", strconv.Itoa(len(text)))
 	c.writer.WriteHeader(r.Code.Info().Status)
-	// An error here is the caller's going away.
+	// An error means that the caller has left.
 	_, _ = io.WriteString(c.writer, text)
 }
--- a/io/proxy/customer.go
+++ b/io/proxy/customer.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// tableBack is after how long callers come back whose keys an entry cannot judge.
-	tableBack = 500 * time.Millisecond
-	// chargeAge is how long before a request is sent its units may have been taken.
-	chargeAge = 300 * time.Millisecond
+	// staleTableRetry is after how long callers retry if the entry's table is too old
+	// to judge their key.
+	staleTableRetry = 500 * time.Millisecond
+	// maxChargeAge is how long before a request is sent its units may have been taken.
+	maxChargeAge = 300 * time.Millisecond
 )
 
-// identify finds the customer that holds the caller's key. It is decided once, as the
-// request arrives: one that was let in goes on when its key is taken away, since cutting it
-// would waste what was done and tell its caller nothing that the next request does not.
+// identify finds the customer that holds the caller's key. It decides once, on arrival:
+// a request that was accepted continues if its key is removed, since aborting it would
+// waste the work done and tell its caller nothing that the next request does not.
 func (c *call) identify(t *rtable.Table) *core.Refusal {
 	if !t.Keyed() {
 		return nil
@@ -31,12 +32,12 @@
 	case c.ask.KeyFault != nil:
 		return c.ask.KeyFault
 	}
-	return c.proxy.unknownKey(c.ask.Key, c.arrived)
+	return c.proxy.refuseKey(c.ask.Key, c.arrived)
 }
 
-// unknownKey refuses a request whose key the table in force lacks. An entry that may be
-// behind does not call a key unknown that a newer table may have.
-func (p *Proxy) unknownKey(key core.KeyDigest, now time.Time) *core.Refusal {
+// refuseKey refuses a request whose key is not in the table in force. An entry whose
+// table may be outdated does not call a key unknown, since a newer table may have it.
+func (p *Proxy) refuseKey(key core.KeyDigest, now time.Time) *core.Refusal {
 	p.mu.Lock()
 	removed := p.keeper.Removed(key)
 	p.mu.Unlock()
@@ -44,12 +45,12 @@
 	case removed:
 		return core.Refuse(core.CodeBadKey, "the key was taken away")
 	case p.Behind != nil && p.Behind():
-		return core.RefuseUntil(core.CodeNotReady, "this entry may lack the newest keys", now.Add(tableBack))
+		return core.RefuseUntil(core.CodeNotReady, "this entry may lack the newest keys", now.Add(staleTableRetry))
 	}
 	return core.Refuse(core.CodeBadKey, "the key is unknown")
 }
 
-// charge takes what the request counts against its customer's allowance.
+// charge takes the request's units from its customer's allowance.
 func (c *call) charge(ctx context.Context) *core.Refusal {
 	p := c.proxy
 	if c.customer == nil || p.Quotas == nil || !c.customer.Allowance.Limited() {
@@ -58,18 +59,19 @@
 	c.units = c.customer.Allowance.Cost(&c.ask)
 	refusal := p.Quotas.Take(ctx, c.customer.Name, c.units)
 	if refusal == nil {
-		c.charged = p.Clock.Now()
+		c.chargedAt = p.Clock.Now()
 		return nil
 	}
-	refusal.RetryAt = c.back(refusal.RetryAt.Sub(p.Clock.Now()))
+	refusal.RetryAt = c.retryAt(refusal.RetryAt.Sub(p.Clock.Now()))
 	return refusal
 }
 
-// chargeAgain takes the units of a request that has waited just before it is sent. What
-// counts is when upstreams get requests: taken on arrival, the units of many that wait
-// for one model would all be used in the moment in which it is there.
-func (c *call) chargeAgain(ctx context.Context, t *target) *core.Refusal {
-	if c.units == 0 || c.ran > 0 || !c.charged.IsZero() && c.proxy.Clock.Now().Sub(c.charged) < chargeAge {
+// recharge charges a request that has waited just before it is sent, instead of on
+// arrival. The time at which upstreams receive requests is what counts: otherwise the
+// units of many requests that wait for one model would all be used at the moment at
+// which the model is loaded.
+func (c *call) recharge(ctx context.Context, t *target) *core.Refusal {
+	if c.units == 0 || c.ran > 0 || !c.chargedAt.IsZero() && c.proxy.Clock.Now().Sub(c.chargedAt) < maxChargeAge {
 		return nil
 	}
 	c.refund()
@@ -80,11 +82,11 @@
 	return refusal
 }
 
-// refund gives the units of a request back unless it may have run.
+// refund returns the units of a request unless it may have run.
 func (c *call) refund() {
-	if c.charged.IsZero() || c.ran > 0 {
+	if c.chargedAt.IsZero() || c.ran > 0 {
 		return
 	}
-	c.charged = time.Time{}
+	c.chargedAt = time.Time{}
 	c.proxy.Quotas.Put(c.customer.Name, c.units)
 }
--- a/io/proxy/customer_test.go
+++ b/io/proxy/customer_test.go
@@ -16,13 +16,13 @@
 	"radishwell/platform/stand"
 )
 
-// counted is an allowance of a few units.
-type counted struct {
+// fakeQuotas holds a few units for all customers.
+type fakeQuotas struct {
 	mu   sync.Mutex
 	left float64
 }
 
-func (c *counted) Take(_ context.Context, _ core.OwnerName, units float64) *core.Refusal {
+func (c *fakeQuotas) Take(_ context.Context, _ core.OwnerName, units float64) *core.Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.left < units {
@@ -32,24 +32,24 @@
 	return nil
 }
 
-func (c *counted) Put(_ core.OwnerName, units float64) {
+func (c *fakeQuotas) Put(_ core.OwnerName, units float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.left += units
 }
 
-func (c *counted) now() float64 {
+func (c *fakeQuotas) remaining() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.left
 }
 
-// keyed returns a table with customers and a route that is open to all.
-func keyed(t *testing.T, version int64, customers ...*rtable.Customer) *rtable.Table {
+// keyedTable returns a table with customers and a route that is open to all.
+func keyedTable(t *testing.T, version int64, customers ...*rtable.Customer) *rtable.Table {
 	t.Helper()
 	route := func(path string, open bool) *rtable.Route {
 		return &rtable.Route{
-			Name: path, Host: "a.example", Prefix: path, Kind: rtable.Once, MostHosts: 1, Timeout: longTime, Target: time.Second,
+			Name: path, Host: "a.example", Prefix: path, Kind: rtable.Once, MostHosts: 1, Timeout: longTimeout, Target: time.Second,
 			Shares: []rtable.Share{{Service: "plain", Weight: 1}}, Rank: 2, Open: open,
 		}
 	}
@@ -72,13 +72,13 @@
 	customerField = "X-Radishwell-Tenant"
 )
 
-// keyedRig is a rig with two customers and one upstream.
-func keyedRig(t *testing.T) (*rig, *stand.Worker, *counted) {
+// keyedRig returns a rig with two customers and one upstream.
+func keyedRig(t *testing.T) (*rig, *stand.Worker, *fakeQuotas) {
 	t.Helper()
 	r := newRig(t)
-	quota := &counted{left: 1000}
+	quota := &fakeQuotas{left: 1000}
 	r.Quotas = quota
-	r.Offer(keyed(t, 2, customer("c-1", 0, "k-1", "k-2"), customer("c-2", 3, "k-3")))
+	r.Offer(keyedTable(t, 2, customer("c-1", 0, "k-1", "k-2"), customer("c-2", 3, "k-3")))
 	return r, plain(t, r, "p-1")[0], quota
 }
 
@@ -89,8 +89,8 @@
 	return seen[len(seen)-1]
 }
 
-// Guards against requests that run for another customer than their key's, and against
-// keys that reach an upstream.
+// Guards against requests that run for another customer than that of their key, and
+// against keys that reach an upstream.
 func TestUpstreamLearnsTheCustomerAndNoKey(t *testing.T) {
 	r, w, _ := keyedRig(t)
 	for _, c := range []struct{ path, key, want, rank string }{
@@ -111,11 +111,11 @@
 	}
 }
 
-// Guards against callers without a valid key whose requests run.
+// Guards against requests that run without a valid key.
 func TestKeysThatAreRefused(t *testing.T) {
 	r, w, _ := keyedRig(t)
-	r.Offer(keyed(t, 3, customer("c-1", 0, "k-1"), customer("c-2", 3, "k-3")))
-	r.Offer(keyed(t, 2, customer("c-1", 0, "k-1", "k-2")))
+	r.Offer(keyedTable(t, 3, customer("c-1", 0, "k-1"), customer("c-2", 3, "k-3")))
+	r.Offer(keyedTable(t, 2, customer("c-1", 0, "k-1", "k-2")))
 	refused := func(t *testing.T, status int, values ...string) answer {
 		t.Helper()
 		req := r.ask(t, http.MethodGet, "/once/x", "q")
@@ -141,12 +141,12 @@
 		defer func() { r.Behind = nil }()
 		a := refused(t, http.StatusServiceUnavailable, "Bearer k-9")
 		assert.Assert(t, a.header.Get("Retry-After") != "")
-		refused(t, http.StatusUnauthorized, "Bearer k-2") // was taken away for all
+		refused(t, http.StatusUnauthorized, "Bearer k-2") // was removed for all entries
 	})
 }
 
-// Guards against use that is not counted, and against requests over an allowance that
-// wait or run.
+// Guards against use that is not counted, and against requests that wait or run
+// although the allowance is used up.
 func TestAllowanceIsCounted(t *testing.T) {
 	send := func(t *testing.T, r *rig, id, tokens string) answer {
 		t.Helper()
@@ -155,9 +155,9 @@
 	t.Run("by its tokens, and as a plain request where it names none", func(t *testing.T) {
 		r, _, quota := keyedRig(t)
 		wantStatus(t, send(t, r, "q-1", "300,50"), http.StatusOK)
-		assert.Equal(t, quota.now(), 650.0)
+		assert.Equal(t, quota.remaining(), 650.0)
 		wantStatus(t, do(t, r.ask(t, http.MethodGet, "/once/x", "q-2", keyField, "Bearer k-1")), http.StatusOK)
-		assert.Equal(t, quota.now(), 640.0)
+		assert.Equal(t, quota.remaining(), 640.0)
 	})
 	t.Run("one that is over it is told when to come back and does not run", func(t *testing.T) {
 		r, w, quota := keyedRig(t)
@@ -165,18 +165,18 @@
 		wantStatus(t, a, http.StatusTooManyRequests)
 		assert.Assert(t, a.header.Get("Retry-After") != "")
 		assert.Equal(t, len(w.Requests()), 0)
-		assert.Equal(t, quota.now(), 1000.0)
+		assert.Equal(t, quota.remaining(), 1000.0)
 	})
 	t.Run("and not where the upstream says that it did not run", func(t *testing.T) {
 		r, w, quota := keyedRig(t)
 		w.Set(stand.Shed)
 		wantStatus(t, send(t, r, "q", "300,50"), http.StatusServiceUnavailable)
-		assert.Equal(t, quota.now(), 1000.0)
+		assert.Equal(t, quota.remaining(), 1000.0)
 	})
 	t.Run("but where it may have run", func(t *testing.T) {
 		r, w, quota := keyedRig(t)
 		w.Set(stand.Lost)
 		wantStatus(t, send(t, r, "q", "300,50"), http.StatusBadGateway)
-		assert.Equal(t, quota.now(), 650.0)
+		assert.Equal(t, quota.remaining(), 650.0)
 	})
 }
--- a/io/proxy/leave_test.go
+++ b/io/proxy/leave_test.go
@@ -11,11 +11,11 @@
 	"radishwell/platform/stand"
 )
 
-// Guards against requests that reach an upstream after it has said in an answer that it
-// leaves, whatever became of that answer.
+// Guards against requests sent to an upstream after it has stated in an answer that it
+// is leaving, even if that answer could not be used.
 func TestLeavingUpstreamGetsNoMore(t *testing.T) {
-	// settled has p-1 say that it leaves in the answer to a first request, which meets a
-	// trick, and returns the rig with another upstream.
+	// settled makes p-1 state that it is leaving in the answer to a first request, to
+	// which the trick applies, and returns a rig that has another upstream.
 	settled := func(t *testing.T, trick stand.Trick, path string) (*rig, *stand.Worker) {
 		t.Helper()
 		r := newRig(t)
--- a/io/proxy/log.go
+++ b/io/proxy/log.go
@@ -8,12 +8,12 @@
 	"radishwell/io/events"
 )
 
-// log writes the line that tells what became of the request, and why.
+// log writes the log line with the result of the request and its reasons.
 func (c *call) log(r *core.Refusal) {
 	now := c.proxy.Clock.Now()
-	c.proxy.Meter.Request(core.Interactive, r, c.arrived, c.first, now, c.waited > 0)
+	c.proxy.Meter.Request(core.Interactive, r, c.arrived, c.firstEvent, now, c.waitTime > 0)
 	pairs := []any{
-		"request", c.ask.ID, "took", now.Sub(c.arrived).Round(time.Millisecond), "table", c.version, "sends", c.sends, "ran", c.ran,
+		"request", c.ask.ID, "took", now.Sub(c.arrived).Round(time.Millisecond), "table", c.tableVersion, "sends", c.sends, "ran", c.ran,
 	}
 	if c.route != nil {
 		pairs = append(pairs, "route", c.route.Name, "target", c.route.Target)
@@ -30,39 +30,39 @@
 	if c.query.Model != "" {
 		pairs = append(pairs, "model", c.query.Model, "adapter", c.query.Adapter)
 	}
-	if c.waited > 0 {
-		pairs = append(pairs, "waited", c.waited.Round(time.Millisecond))
+	if c.waitTime > 0 {
+		pairs = append(pairs, "waited", c.waitTime.Round(time.Millisecond))
 	}
-	if c.paced > 0 {
-		pairs = append(pairs, "paced", c.paced.Round(time.Millisecond))
+	if c.pacingTime > 0 {
+		pairs = append(pairs, "paced", c.pacingTime.Round(time.Millisecond))
 	}
-	if c.fetched > 0 {
-		pairs = append(pairs, "fetched", c.fetched.Round(time.Millisecond))
+	if c.fetchTime > 0 {
+		pairs = append(pairs, "fetched", c.fetchTime.Round(time.Millisecond))
 	}
 	if c.status != 0 {
 		pairs = append(pairs, "status", c.status)
 	}
-	if c.route != nil && c.route.Kind == rtable.Stream && !c.first.IsZero() {
+	if c.route != nil && c.route.Kind == rtable.Stream && !c.firstEvent.IsZero() {
 		pairs = append(
-			pairs, "first", c.first.Sub(c.arrived).Round(time.Millisecond), "longest-pause", c.longest.Round(time.Millisecond),
+			pairs, "first", c.firstEvent.Sub(c.arrived).Round(time.Millisecond), "longest-pause", c.longestPause.Round(time.Millisecond),
 			"pause-target", c.route.Pause,
 		)
 	}
-	if c.best != "" {
-		pairs = append(pairs, "host", c.best, "report-age", c.reportAge.Round(time.Millisecond), "cost", int(c.cost),
-			"foreseen", c.foreseen.Round(time.Millisecond), "event-id", c.event)
+	if c.chosen != "" {
+		pairs = append(pairs, "host", c.chosen, "report-age", c.reportAge.Round(time.Millisecond), "cost", int(c.cost),
+			"foreseen", c.expectedWait.Round(time.Millisecond), "event-id", c.lastEventID)
 	}
-	if c.known.limit.Named {
-		pairs = append(pairs, "limit", c.known.limit.Rate)
+	if c.signals.limit.Named {
+		pairs = append(pairs, "limit", c.signals.limit.Rate)
 	}
-	if c.known.leaving {
-		pairs = append(pairs, "leaving-for", c.known.leavingFor.Round(time.Millisecond))
+	if c.signals.leaving {
+		pairs = append(pairs, "leaving-for", c.signals.leavingFor.Round(time.Millisecond))
 	}
-	if c.known.backoff {
+	if c.signals.backoff {
 		pairs = append(pairs, "backoff", true)
 	}
-	if c.last != nil {
-		pairs = append(pairs, "cause", c.last.Error())
+	if c.lastErr != nil {
+		pairs = append(pairs, "cause", c.lastErr.Error())
 	}
 	switch {
 	case r == nil:
--- a/io/proxy/proxy.go
+++ b/io/proxy/proxy.go
@@ -16,8 +16,8 @@
 	"radishwell/io/meter"
 )
 
-// Proxy takes callers' requests. Set the exported fields before use; its methods
-// may be called from several goroutines.
+// Proxy serves callers' requests. Set the exported fields before use; its methods may
+// be called from several goroutines.
 type Proxy struct {
 	Self       core.HostName
 	DataCentre core.DataCentre
@@ -25,74 +25,77 @@
 	Protocol   core.Protocol
 	Adapters   core.AdapterLoader
 	Meter      *meter.Meter
-	// Quotas counts customers' use; nil where nothing is counted.
+	// Quotas counts customers' use of their allowances; nil if nothing is counted.
 	Quotas core.Quotas
-	// Pacer spaces requests to upstreams that name a rate limit; nil where nothing is
-	// counted.
+	// Pacer spaces requests to upstreams that name a rate limit; nil if they are not
+	// spaced.
 	Pacer core.Pacer
-	// HeardLimit, if set, is told of the rate limit that an upstream names in an answer,
-	// and once it names none any more.
+	// HeardLimit, if set, is called for each answer in which an upstream names a rate
+	// limit, and once when the upstream no longer names one.
 	HeardLimit func(life fleet.Life, limit core.RateLimit)
-	// HeardLeaving, if set, is told once an upstream says in an answer that it leaves.
+	// HeardLeaving, if set, is called once an upstream states in an answer that it is
+	// leaving.
 	HeardLeaving func(life fleet.Life)
-	// Behind, if set, tells that the routing table in force may not be the newest.
+	// Behind, if set, reports whether the routing table in force may be outdated.
 	Behind func() bool
-	// RetryRatio, RetrySpare and RetrySpan are this process's part of the
-	// platform's retry budget, by service.
+	// RetryRatio, RetrySpare and RetrySpan are this process's share of the platform's
+	// retry budget for each service.
 	RetryRatio, RetrySpare float64
 	RetrySpan              time.Duration
 
 	upstreams upstreams
 
-	mu      sync.Mutex
-	view    fleet.View
-	keeper  rtable.Keeper
-	retries map[core.ServiceName]*retry.Window
-	demand  demand.Book
-	ready   map[core.ModelName]time.Time
-	// changed is closed and replaced at each change that may matter to requests
-	// that wait.
-	changed chan struct{}
-	seen    uint64
-	// ordered is when somebody was last known who can have models loaded.
-	ordered time.Time
-	// leave is until when requests may wait once the process stops; zero while it
-	// does not.
-	leave time.Time
-	// streams are those in progress that may go on at another host.
-	streams map[*watched]bool
-	// unknown are the fields of upstreams' answers that are not known, by name.
-	unknown map[string]bool
-	// waiting is told when a request begins to wait for a model.
+	mu        sync.Mutex
+	view      fleet.View
+	keeper    rtable.Keeper
+	retries   map[core.ServiceName]*retry.Window
+	demand    demand.Book
+	forecasts map[core.ModelName]time.Time
+	// changed is closed and replaced at each change that may matter to waiting
+	// requests.
+	changed     chan struct{}
+	seenChanges uint64
+	// loaderSeen is when an agent or entry that can order loads of models was last
+	// known.
+	loaderSeen time.Time
+	// drainAt is the time until which requests may wait before the process stops; zero
+	// unless it is stopping.
+	drainAt time.Time
+	// streams are the streams in progress that may move to another host.
+	streams map[*watchedStream]bool
+	// unknownFields are the names of unknown fields of upstreams' answers that have
+	// been logged.
+	unknownFields map[string]bool
+	// waiting receives a value when a request begins to wait for a model.
 	waiting chan struct{}
 }
 
-// Start makes the proxy ready for use.
+// Start initialises the proxy. It is called once, before any other method.
 func (p *Proxy) Start() {
 	p.changed = make(chan struct{})
 	p.waiting = make(chan struct{}, 1)
-	p.streams = map[*watched]bool{}
-	p.unknown = map[string]bool{}
-	p.ordered = p.Clock.Now()
+	p.streams = map[*watchedStream]bool{}
+	p.unknownFields = map[string]bool{}
+	p.loaderSeen = p.Clock.Now()
 	p.retries = map[core.ServiceName]*retry.Window{}
 	p.upstreams.start()
 }
 
-// Ready tells whether requests can be served: there are a table and hosts.
+// Ready reports whether requests can be served, which needs a routing table and hosts.
 func (p *Proxy) Ready() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.keeper.Table() != nil && len(p.view.Hosts("")) > 0
 }
 
-// Table returns the routing table in force, nil before there is one.
+// Table returns the routing table in force, or nil before there is one.
 func (p *Proxy) Table() *rtable.Table {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.keeper.Table()
 }
 
-// Offer takes in a routing table if it is newer than the one in force.
+// Offer replaces the routing table in force if t is newer.
 func (p *Proxy) Offer(t *rtable.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,15 +106,15 @@
 	p.wake()
 }
 
-// Update changes what is known of the hosts.
+// Update applies a change to the view of the hosts.
 func (p *Proxy) Update(change func(v *fleet.View, now time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
 	change(&p.view, now)
 	p.view.Tick(now)
-	if p.view.Changes() != p.seen {
-		p.seen = p.view.Changes()
+	if p.view.Changes() != p.seenChanges {
+		p.seenChanges = p.view.Changes()
 		p.wake()
 	}
 }
@@ -123,94 +126,97 @@
 	return p.view.Limited(p.Clock.Now())
 }
 
-// wake has the requests that wait look again. The caller holds mu.
+// wake makes waiting requests look for a host again. The caller holds mu.
 func (p *Proxy) wake() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Foresee takes in when models that are waited for should be loaded.
+// Foresee replaces the forecasts: the times at which models that requests wait for
+// should be loaded.
 func (p *Proxy) Foresee(ready map[core.ModelName]time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ready = ready
+	p.forecasts = ready
 	p.wake()
 }
 
-// Ordered notes that somebody can have models loaded.
+// Ordered records that an agent or entry that can order loads of models is available.
 func (p *Proxy) Ordered() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ordered = p.Clock.Now()
+	p.loaderSeen = p.Clock.Now()
 }
 
-// Demands returns what this entry's models are asked for.
+// Demands returns this entry's demand for each model.
 func (p *Proxy) Demands() map[core.ModelName]copies.Demand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.demand.All(p.Clock.Now())
 }
 
-// ForeseeSome takes in when some of the models that are waited for should be loaded;
-// those of asked that ready lacks are not on their way.
+// ForeseeSome updates the forecasts of the models in asked. Those that ready lacks are
+// not being loaded.
 func (p *Proxy) ForeseeSome(asked []core.ModelName, ready map[core.ModelName]time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ready == nil {
-		p.ready = map[core.ModelName]time.Time{}
+	if p.forecasts == nil {
+		p.forecasts = map[core.ModelName]time.Time{}
 	}
 	for _, name := range asked {
 		if at, ok := ready[name]; ok {
-			p.ready[name] = at
+			p.forecasts[name] = at
 		} else {
-			delete(p.ready, name)
+			delete(p.forecasts, name)
 		}
 	}
 	p.wake()
 }
 
-// TakeArrivals returns the requests for models since it was last called.
+// TakeArrivals returns the requests for each model since the previous call.
 func (p *Proxy) TakeArrivals() map[core.ModelName]demand.Arrivals {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.demand.Take()
 }
 
-// WaitingFor returns how many requests wait for each model.
+// WaitingFor returns the number of requests that wait for each model.
 func (p *Proxy) WaitingFor() map[core.ModelName]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.demand.Waiting()
 }
 
-// Waiting is sent on when a request begins to wait for a model.
+// Waiting returns a channel that receives a value when a request begins to wait for a
+// model.
 func (p *Proxy) Waiting() <-chan struct{} { return p.waiting }
 
-// Leave has requests that wait be refused by a time, since the process stops
+// Leave refuses requests that still wait at the given time, since the process stops
 // soon after it.
 func (p *Proxy) Leave(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.leave = at
+	p.drainAt = at
 	p.wake()
 }
 
-// waitUntil returns until when a request with a deadline may wait.
-func (p *Proxy) waitUntil(deadline time.Time) (at time.Time, leaving bool) {
+// waitUntil returns until when a request with a deadline may wait. stopping is set if
+// the process stops before that deadline.
+func (p *Proxy) waitUntil(deadline time.Time) (at time.Time, stopping bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at = deadline.Add(-answerSlack)
-	if !p.leave.IsZero() && p.leave.Before(at) {
-		return p.leave, true
+	at = deadline.Add(-refusalMargin)
+	if !p.drainAt.IsZero() && p.drainAt.Before(at) {
+		return p.drainAt, true
 	}
 	return at, false
 }
 
-// Kick has whoever follows Waiting look at once.
+// Kick wakes the receiver of Waiting.
 func (p *Proxy) Kick() { loop.Poke(p.waiting) }
 
-// ShareRetries sets this process's part of the spare retries anew, as the number
-// of entries changes.
+// ShareRetries sets this process's share of the spare retries, which changes with the
+// number of entries.
 func (p *Proxy) ShareRetries(spare float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -230,17 +236,18 @@
 	return w
 }
 
-// target is the host that an attempt goes to.
+// target is the host that an attempt is sent to.
 type target struct {
 	id      core.HostName
 	born    int64
 	address netip.AddrPort
 	host    *fleet.Host
-	// unread is the prompt tokens that the host has to read for the request.
-	unread int
-	begun  bool
-	// limit is what the host named when it was chosen, and reserved tells that a
-	// reservation was made under it.
+	// unread is the number of prompt tokens that the host has to process for the
+	// request.
+	unread  int
+	started bool
+	// limit is the rate limit that the host named when it was chosen. reserved is set
+	// if a reservation was made under it.
 	limit    core.RateLimit
 	reserved bool
 }
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -35,30 +35,30 @@
 
 func (realClock) Now() time.Time { return time.Now() }
 
-// fetched counts the adapters that were asked for.
-type fetched struct {
+// adapterLoader counts the adapters that are fetched.
+type adapterLoader struct {
 	count atomic.Int64
 	err   error
 }
 
-func (f *fetched) Fetch(context.Context, core.HostName, core.ModelName, string) error {
+func (f *adapterLoader) Fetch(context.Context, core.HostName, core.ModelName, string) error {
 	f.count.Add(1)
 	return f.err
 }
 
-func (f *fetched) Used(core.HostName, core.ModelName, string) {}
+func (f *adapterLoader) Used(core.HostName, core.ModelName, string) {}
 
-// rig is an entry before upstream stand-ins.
+// rig is a proxy in front of fake upstreams.
 type rig struct {
 	*proxy.Proxy
 	url      string
-	adapters *fetched
+	adapters *adapterLoader
 }
 
-const longTime = 20 * time.Second
+const longTimeout = 20 * time.Second
 
-// routes are what the rig serves: each kind, to a service of models and a plain
-// one.
+// routes returns a table with a route of each kind: two to a plain service, two to a
+// service of models.
 func routes(timeout time.Duration) *rtable.Table {
 	share := func(s core.ServiceName) []rtable.Share { return []rtable.Share{{Service: s, Weight: 1}} }
 	route := func(path string, kind rtable.Kind, s core.ServiceName, hosts int) *rtable.Route {
@@ -82,7 +82,7 @@
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	r := &rig{adapters: &fetched{}}
+	r := &rig{adapters: &adapterLoader{}}
 	r.Proxy = &proxy.Proxy{
 		Self: "edge-1", DataCentre: "dc-1", Clock: realClock{}, Protocol: plat.Headers{}, Adapters: r.adapters,
 		RetryRatio: 0.2, RetrySpare: 10, RetrySpan: 10 * time.Second,
@@ -91,11 +91,11 @@
 	srv := httptest.NewServer(r.Proxy)
 	t.Cleanup(srv.Close)
 	r.url = srv.URL
-	r.Offer(routes(longTime))
+	r.Offer(routes(longTimeout))
 	return r
 }
 
-// add puts an upstream stand-in into the rig's registry.
+// add starts a fake upstream and registers it.
 func (r *rig) add(t *testing.T, service core.ServiceName, w *stand.Worker) *stand.Worker {
 	t.Helper()
 	srv := httptest.NewServer(w)
@@ -120,7 +120,7 @@
 	return out
 }
 
-// ask is a caller's request.
+// ask returns a caller's request. more are names and values of further header fields.
 func (r *rig) ask(t *testing.T, method, path, id string, more ...string) *http.Request {
 	t.Helper()
 	var body io.Reader
@@ -141,7 +141,7 @@
 	status int
 	header http.Header
 	body   string
-	// cut tells that the answer did not end as one that is complete.
+	// cut is set if the answer did not end as a complete one does.
 	cut bool
 }
 
@@ -208,9 +208,8 @@
 	assert.Equal(t, len(w[0].Requests()), 0)
 }
 
-// A posting reaches its upstream, which runs it; the answer is lost. The caller
-// must not hear that it did not run, and it must not run again, however often
-// the entry could send it.
+// Guards against a request that runs twice, or is reported as not run, because the
+// answer to its first run was lost.
 func TestLostAnswers(t *testing.T) {
 	t.Run("a request that may run once", func(t *testing.T) {
 		for _, trick := range []stand.Trick{stand.Lost, stand.Foreign, stand.Unsigned, stand.Vague, stand.Short} {
@@ -278,8 +277,8 @@
 	})
 }
 
-// An upstream fails everything. Each caller's request would be sent several
-// times; the budget bounds that over all requests.
+// Guards against retries that multiply the load while all upstreams fail. The retry
+// budget bounds them over all requests.
 func TestRetriesAreBounded(t *testing.T) {
 	r := newRig(t)
 	ws := plain(t, r, "p-1", "p-2")
@@ -295,7 +294,8 @@
 	assert.Assert(t, arrivals > requests, arrivals)
 }
 
-// A failure of the service itself is the caller's answer, as the service gave it.
+// Guards against replacing a failure of the service itself, which is the caller's
+// answer.
 func TestOwnFailureIsPassedOn(t *testing.T) {
 	r := newRig(t)
 	w := plain(t, r, "p-1")[0]
@@ -305,8 +305,8 @@
 	assert.Equal(t, a.header.Get("X-Radishwell-Server-Signature"), "signed-by-p-1")
 }
 
-// A service fails one lookup in seven, each for itself. A lookup may run again, and
-// its caller is better served by another host's answer.
+// A service fails some requests at one host only. Guards against passing such a failure
+// on although the request may run again at another host.
 func TestFailedLookupRunsAgain(t *testing.T) {
 	r := newRig(t)
 	ws := plain(t, r, "p-1", "p-2")
@@ -324,8 +324,8 @@
 		assert.Equal(t, totalRuns(ws, "q"), 2)
 	})
 	t.Run("also before the caller leaves, where the second host is silent", func(t *testing.T) {
-		// One host fails a lookup, the next takes it and says nothing. The failure that
-		// lay ready never reached the caller.
+		// One host fails the request and the next never answers. Guards against a kept
+		// failure that is not written before the caller leaves.
 		r := newRig(t)
 		ws := plain(t, r, "p-1", "p-2")
 		ws[0].Set(stand.Failing)
@@ -348,8 +348,9 @@
 	})
 }
 
-// A host takes a lookup and says nothing, as one that was cut off does. Its caller
-// would hear nothing for as long as it waits, beside hosts that do well.
+// A host accepts a request and never answers, as one that was cut off does. Guards
+// against callers who wait for it until their deadline although other hosts would
+// answer.
 func TestSilentHostIsLeft(t *testing.T) {
 	r := newRig(t)
 	ws := plain(t, r, "p-1", "p-2")
@@ -363,8 +364,8 @@
 	}
 }
 
-// An upstream sends a second answer after the first. On a connection used again
-// the next caller would get it.
+// An upstream sends a second answer after the first. Guards against passing it to the
+// next caller, which happens on a reused connection.
 func TestSecondAnswerIsNobodys(t *testing.T) {
 	r := newRig(t)
 	w := plain(t, r, "p-1")[0]
@@ -379,8 +380,8 @@
 	}
 }
 
-// The upstream hangs. The caller gets a final answer when the route's time is
-// over, one that does not claim the request did not run.
+// The upstream hangs. Guards against callers who get no final answer once the route's
+// timeout has passed, or one that claims that the request has not run.
 func TestTimeout(t *testing.T) {
 	r := newRig(t)
 	r.Offer(func() *rtable.Table { t := routes(150 * time.Millisecond); t.Version = 2; return t }())
@@ -391,7 +392,7 @@
 	<-left
 }
 
-// A caller leaves. The upstream must not go on working for nobody.
+// Guards against upstreams that continue to work after the caller has left.
 func TestCallerLeaves(t *testing.T) {
 	r := newRig(t)
 	w := plain(t, r, "p-1")[0]
@@ -430,8 +431,8 @@
 		assert.Equal(t, a.header.Get("Content-Type"), "text/event-stream")
 	})
 	t.Run("one that cannot go on is cut, not ended", func(t *testing.T) {
-		// The upstream is lost in the middle of an event. An answer that ended with
-		// what there is would look complete to the caller.
+		// The upstream is lost in the middle of an event. An answer that ended properly
+		// after it would look complete to the caller.
 		r := newRig(t)
 		w := r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8})
 		r.add(t, "llm", &stand.Worker{ID: "i-2", Events: 8}).Set(stand.Short)
@@ -441,8 +442,8 @@
 		assert.Equal(t, a.body, eventsOf(4), "no part of an event is passed on")
 	})
 	t.Run("one that breaks off before its first event is no success", func(t *testing.T) {
-		// The upstream answers with 200 and crashes before the first event. The caller
-		// got a whole, empty answer with status 200 that nobody had signed.
+		// The upstream answers with 200 and crashes before the first event. Guards
+		// against an empty, unsigned answer with status 200 that looks complete.
 		r := newRig(t)
 		r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8}).Set(stand.Crash)
 		a := do(t, r.ask(t, http.MethodPost, "/stream/x", "q", "X-Radishwell-Model", "m"))
@@ -456,7 +457,7 @@
 		ws[0].Set(stand.Short)
 		ws[1].Set(stand.Short)
 		for i := range 2 {
-			// Both break off at the same event; the second run begins after it.
+			// Both runs break off at the same event; the second starts after it.
 			a := do(t, r.ask(t, http.MethodPost, "/resumed/x", fmt.Sprint("q-", i), "X-Radishwell-Model", "m"))
 			assert.Assert(t, a.cut)
 			assert.Equal(t, a.body, eventsOf(4))
@@ -467,8 +468,8 @@
 		assert.Equal(t, a.body, eventsOf(8))
 	})
 	t.Run("one that may be resumed waits for another copy of its model", func(t *testing.T) {
-		// The only host that holds the model crashes in the middle of an answer. Cut
-		// at once, the caller loses what it has, though the model is loaded elsewhere
+		// The only host that holds the model crashes in the middle of an answer. Guards
+		// against aborting the answer at once, although the model is loaded elsewhere
 		// within a second.
 		r := newRig(t)
 		r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8}).Set(stand.Short)
@@ -526,8 +527,8 @@
 		assert.Equal(t, r.Demands()["m"].Waiting, 0)
 	})
 	t.Run("and is measured as a cold start", func(t *testing.T) {
-		// On-call engineers look for slow cold starts. Entries of a managed platform
-		// counted none, and their time to the first byte was not told either.
+		// Guards against entries of a managed platform that count no cold starts and
+		// record no time to the first byte.
 		r := newRig(t)
 		r.Meter = meter.New()
 		empty(t, r)
@@ -547,10 +548,10 @@
 	})
 	t.Run("not for a model that comes after the caller has left", func(t *testing.T) {
 		// A caller leaves a stream that stays silent for four times its target, long
-		// before the request's deadline. Kept waiting for a model that comes later, it
-		// was never told to come back, when the model would have been there.
+		// before the request's deadline. Guards against making it wait for a model that
+		// is loaded later, instead of telling it to retry when the model is there.
 		r := newRig(t)
-		table := routes(longTime)
+		table := routes(longTimeout)
 		table.Version = 2
 		table.Match("a.example", "/stream/x").Silence = 4 * time.Second
 		r.Offer(table)
@@ -573,8 +574,9 @@
 		assert.Equal(t, w.Ran("q"), 0)
 	})
 	t.Run("not past a planned stop", func(t *testing.T) {
-		// An entry is told to stop while a request waits for a load. Cut off at the
-		// end of the stop, its caller could not tell that it did not run.
+		// An entry is told to stop while a request waits for a load. If the connection
+		// were closed at the end of the stop, the caller could not know that the request
+		// has not run.
 		r := newRig(t)
 		empty(t, r)
 		got := make(chan answer, 1)
--- a/io/proxy/reserve.go
+++ b/io/proxy/reserve.go
@@ -9,22 +9,24 @@
 	"radishwell/io/loop"
 )
 
-// awaits tells whether a request stays without a host for now, since the next reservation
-// at the best one is far off: it has been sent already and may not be turned away, its
-// caller bears the wait, or the model will be at another host before.
-func (c *call) awaits(choice fleet.Choice) bool {
+// keepsWaiting reports whether a request waits although a host was chosen, since the
+// next reservation there is too far ahead. It waits if it has been sent already and
+// must not be refused, if the wait is within the route's target, or if another host
+// will have the model sooner.
+func (c *call) keepsWaiting(choice fleet.Choice) bool {
 	switch {
 	case choice.Paced <= admit.MostAhead:
 		return false
-	case c.begun || c.ran > 0 || !choice.Overloaded(c.route.Target):
+	case c.started || c.ran > 0 || !choice.Overloaded(c.route.Target):
 		return true
 	}
-	at, ok := c.proxy.ready[c.query.Model]
-	return ok && at.Before(c.leavesAt().Add(-answerSlack))
+	at, ok := c.proxy.forecasts[c.query.Model]
+	return ok && at.Before(c.callerLeavesAt().Add(-refusalMargin))
 }
 
-// reserve makes a reservation at a host that names a rate limit, and waits for its time.
-// It is false where that is too far off or the caller has left; the host is abandoned then.
+// reserve makes a reservation at a host that names a rate limit, and waits until its
+// time. It returns false if that time is too far ahead or the caller has left; the
+// choice of the host is undone then.
 func (c *call) reserve(ctx context.Context, t *target) bool {
 	p := c.proxy
 	if !t.limit.Named || p.Pacer == nil {
@@ -37,14 +39,14 @@
 		t.reserved = true
 		ok = loop.Sleep(ctx, max(0, at.Sub(p.Clock.Now())))
 	}
-	c.paced += p.Clock.Now().Sub(began)
+	c.pacingTime += p.Clock.Now().Sub(began)
 	if !ok {
 		c.abandon(t)
 	}
 	return ok
 }
 
-// release gives back the reservation of a request that was not sent.
+// release returns the reservation of a request that was not sent.
 func (c *call) release(t *target) {
 	if t.reserved {
 		c.proxy.Pacer.Release(t.id, t.limit.Rate)
--- a/io/proxy/reserve_test.go
+++ b/io/proxy/reserve_test.go
@@ -16,14 +16,14 @@
 	"radishwell/platform/stand"
 )
 
-// pacer lets a number of requests through at each upstream; the others are told of a
-// reservation that is next away.
+// pacer grants a number of reservations at each upstream. Others are refused, with the
+// next reservation after a fixed time.
 type pacer struct {
 	mu       sync.Mutex
 	left     map[core.HostName]int
 	next     time.Duration
 	released int
-	// refused counts the requests that were told of a later one.
+	// refused counts the refused reservations.
 	refused int
 }
 
@@ -44,7 +44,7 @@
 	p.released++
 }
 
-func (p *pacer) told() int {
+func (p *pacer) refusals() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.refused
@@ -56,7 +56,7 @@
 	p.left[upstream]++
 }
 
-// limitedRig is a rig whose upstream p-1 has named a rate to it.
+// limitedRig returns a rig whose upstream p-1 has named a rate limit.
 func limitedRig(t *testing.T, left int) (*rig, *pacer, *stand.Worker) {
 	t.Helper()
 	r := newRig(t)
@@ -69,8 +69,8 @@
 	return r, p, w
 }
 
-// Guards against callers who are refused, or kept waiting, since one of their upstreams
-// takes no more requests for now.
+// Guards against refusing callers, or keeping them waiting, because one of several
+// upstreams accepts no more requests for now.
 func TestLimitedUpstreamIsLeftForAnother(t *testing.T) {
 	r, _, w := limitedRig(t, 0)
 	other := plain(t, r, "p-2")[0]
@@ -81,8 +81,8 @@
 	assert.Equal(t, len(other.Requests()), 5)
 }
 
-// Guards against callers who wait for a reservation that comes too late for them, and against a
-// refusal of what then runs.
+// Guards against callers who wait for a reservation that comes too late for them, and
+// against refusing a request that runs later.
 func TestLimitedUpstreamWithoutAnother(t *testing.T) {
 	t.Run("refuses at once and says when", func(t *testing.T) {
 		r, p, w := limitedRig(t, 1)
@@ -100,7 +100,7 @@
 		p.next = 50 * time.Millisecond
 		got := make(chan answer, 1)
 		go func() { got <- do(t, r.ask(t, http.MethodPost, "/once/x", "q")) }()
-		for p.told() == 0 {
+		for p.refusals() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		p.allow("p-1")
@@ -114,11 +114,11 @@
 		for i := range 5 {
 			wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "free-"+strconv.Itoa(i))), http.StatusOK)
 		}
-		assert.Equal(t, p.told(), 0)
+		assert.Equal(t, p.refusals(), 0)
 	})
 }
 
-// Guards against reservations that are lost to all callers when their request is not sent.
+// Guards against losing reservations whose requests were not sent.
 func TestUnsentReservationIsReleased(t *testing.T) {
 	r, p, _ := limitedRig(t, 1)
 	r.Update(func(v *fleet.View, _ time.Time) { v.Host("p-1").Address = netip.MustParseAddrPort("127.0.0.1:1") })
@@ -128,13 +128,13 @@
 	assert.Equal(t, p.released, 1)
 }
 
-// Guards against a lookup that is sent to the upstream which has failed it once more, since
-// the other one takes no request for long.
+// Guards against sending a request again to the upstream that has failed it, because
+// the other upstream accepts no requests for long.
 func TestFailureIsNotHeldForLimitedUpstream(t *testing.T) {
 	r, p, _ := limitedRig(t, 0)
 	w := plain(t, r, "p-2")[0]
 	w.Set(stand.Failing)
 	wantStatus(t, do(t, r.ask(t, http.MethodGet, "/again/x", "q", "X-Radishwell-Deadline-Ms", "3000")), http.StatusInternalServerError)
-	assert.Equal(t, p.told(), 1)
+	assert.Equal(t, p.refusals(), 1)
 	assert.Equal(t, len(w.Requests()), 1)
 }
--- a/io/proxy/send.go
+++ b/io/proxy/send.go
@@ -15,51 +15,52 @@
 )
 
 const (
-	// dialTime is how long a host may take to accept a connection. Hosts are a few
-	// milliseconds away; one that drops the first packet is better left for
-	// another than waited for until it is sent again, a second later.
-	dialTime = 500 * time.Millisecond
-	// keepAliveIdle, keepAliveEvery and keepAliveCount find a host that went
-	// silent in the middle of an answer within three seconds. The kernel counts
-	// in whole seconds.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = time.Second
-	keepAliveCount = 2
-	// mostHeader bounds the head of an upstream's answer, in bytes.
-	mostHeader = 64 << 10
-	// mostWhole is the largest answer that is read whole before it is passed on,
-	// in bytes. An answer read whole can still be replaced when it breaks off.
-	mostWhole = 1 << 20
+	// dialTimeout bounds connecting to a host. Hosts are a few milliseconds away; if
+	// one drops the first packet, another host is faster than TCP's retransmission
+	// after a second.
+	dialTimeout = 500 * time.Millisecond
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect a host that falls
+	// silent in the middle of an answer within three seconds. The kernel counts in
+	// whole seconds.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// maxHeader bounds the header of an upstream's answer, in bytes.
+	maxHeader = 64 << 10
+	// maxBufferedAnswer is the size up to which an answer is read to its end before it
+	// is forwarded, in bytes. A buffered answer can still be replaced by another host's
+	// if it breaks off.
+	maxBufferedAnswer = 1 << 20
 )
 
-// upstreams makes the connections to upstream hosts: one for each request. A
-// connection used again can bring the late second answer to the request before,
-// or be silent or closed by then, and what was sent on it may have run; a fresh
-// one costs a millisecond and makes neither possible.
+// upstreams connects to upstream hosts, with one connection for each request. A reused
+// connection could carry a late second answer to the previous request, or be silent or
+// closed already, and a request sent on it may have run. A fresh connection costs a
+// millisecond and avoids both.
 type upstreams struct {
 	transport *http.Transport
 }
 
 func (u *upstreams) start() {
 	dialer := &net.Dialer{
-		Timeout: dialTime,
+		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: objapi.LimitUnacked,
 	}
 	u.transport = &http.Transport{
 		DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true,
-		MaxResponseHeaderBytes: mostHeader,
+		MaxResponseHeaderBytes: maxHeader,
 	}
 }
 
-// send hands the request to a host and returns the head of its answer. Sent
-// tells whether the host may have got any of it.
-func (u *upstreams) send(ctx context.Context, c *call, t *target, after string) (resp *http.Response, sent bool, err error) {
+// send sends the request to a host and returns the header of its answer. sent reports
+// whether the host may have received any of the request.
+func (u *upstreams) send(ctx context.Context, c *call, t *target, lastEventID string) (resp *http.Response, sent bool, err error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
-	hop := core.Hop{Instance: t.id, Left: c.deadline.Sub(c.proxy.Clock.Now()), Rank: c.rank, After: after}
+	hop := core.Hop{Instance: t.id, Left: c.deadline.Sub(c.proxy.Clock.Now()), Rank: c.rank, After: lastEventID}
 	if c.customer != nil {
 		hop.Customer = c.customer.Name
 	}
@@ -71,7 +72,7 @@
 		Header: c.proxy.Protocol.Forward(c.request.Header, hop),
 	}).WithContext(ctx)
 	if req.Header.Get("User-Agent") == "" {
-		req.Header.Set("User-Agent", "") // keeps net/http from adding its own
+		req.Header.Set("User-Agent", "") // keeps net/http from adding its own User-Agent
 	}
 	if len(c.body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(c.body))
--- a/io/proxy/signal.go
+++ b/io/proxy/signal.go
@@ -9,19 +9,21 @@
 	"radishwell/io/meter"
 )
 
-// signals are what is known of a host, by its own answers, as a request is sent there.
+// signals are what a host's own answers are known to state about it when a request is
+// sent there.
 type signals struct {
 	limit core.RateLimit
-	// leaving tells that the host has said it leaves, for leavingFor by then.
+	// leaving is set if the host states that it is leaving, and leavingFor is the time
+	// since it first did.
 	leaving    bool
 	leavingFor time.Duration
-	// backoff tells that the host wants no requests of this process.
+	// backoff is set if the host has asked this process to send no requests for now.
 	backoff bool
 }
 
-// noteSend keeps, for the log, what is known of a host as a request is sent there, and
-// returns when that is.
-func (c *call) noteSend(t *target) time.Time {
+// recordSend records, for the log, what is known of a host when a request is sent
+// there. It returns the time.
+func (c *call) recordSend(t *target) time.Time {
 	p := c.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,7 +31,7 @@
 	s := signals{limit: t.host.Limit(now)}
 	s.leavingFor, s.leaving = t.host.LeavingFor(now)
 	_, s.backoff = t.host.BackingOff(now)
-	c.known = s
+	c.signals = s
 	if s.limit.Named {
 		p.Meter.SentDespite(meter.SignalLimited)
 	}
@@ -42,33 +44,33 @@
 	return now
 }
 
-// mostUnknown bounds the names of unknown fields that are remembered.
-const mostUnknown = 64
+// maxUnknownFields bounds the names of unknown fields that are remembered.
+const maxUnknownFields = 64
 
-// firstSeen returns those of the names of unknown fields that were not seen before.
-func (p *Proxy) firstSeen(names []string) (out []string) {
+// newFields returns the names of unknown fields that were not seen before.
+func (p *Proxy) newFields(names []string) (out []string) {
 	if len(names) == 0 {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, name := range names {
-		if !p.unknown[name] && len(p.unknown) < mostUnknown {
-			p.unknown[name] = true
+		if !p.unknownFields[name] && len(p.unknownFields) < maxUnknownFields {
+			p.unknownFields[name] = true
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// noteSignals takes in what a host says of itself in the head of an answer to a request
-// that was sent at a time. It counts whatever becomes of the answer.
-func (c *call) noteSignals(t *target, head core.AnswerHead, sent time.Time) {
+// applySignals applies what a host states about itself in the header of an answer to a
+// request sent at the given time. It does so whether the answer can be used or not.
+func (c *call) applySignals(t *target, head core.AnswerHead, sent time.Time) {
 	if head.ID != c.ask.ID {
-		return // it belongs to no request of this connection
+		return // the answer belongs to another request
 	}
 	p, life := c.proxy, fleet.Life{ID: t.id, Born: t.born}
-	for _, name := range p.firstSeen(head.Unknown) {
+	for _, name := range p.newFields(head.Unknown) {
 		events.Log(events.UpstreamFieldUnknown, "field", name, "host", t.id, "address", t.address, "request", c.ask.ID)
 	}
 	var limited, leaving, backoff bool
--- a/io/proxy/silent.go
+++ b/io/proxy/silent.go
@@ -13,19 +13,18 @@
 )
 
 const (
-	// silentTime is how long a stream may bring nothing before it is taken to another
-	// host, if its host's agent is silent too: half of the two seconds after which the
-	// least patient callers leave.
-	silentTime = time.Second
-	// silentPauses is how many of the pauses that callers take well it may bring
-	// nothing at the least.
-	silentPauses = 2
-	// watchEvery is how often the streams in progress are looked at.
-	watchEvery = 200 * time.Millisecond
+	// silenceTimeout is how long a stream may be silent before it is moved to another
+	// host, if its host's agent is silent too. It is half of the two seconds after
+	// which the least patient callers leave.
+	silenceTimeout = time.Second
+	// silencePauses bounds that time from below, as a multiple of the longest pause
+	// that a route's callers accept.
+	silencePauses = 2
+	// watchInterval is how often the streams in progress are checked.
+	watchInterval = 200 * time.Millisecond
 )
 
-// SilentError reports a stream that brought nothing while its host's agent was
-// silent too.
+// SilentError reports a stream that was silent while its host's agent was silent too.
 type SilentError struct{ Host core.HostName }
 
 // Error implements error.
@@ -33,42 +32,43 @@
 	return "the host " + string(e.Host) + " and its agent are silent"
 }
 
-// watched is a stream in progress that may go on at another host.
-type watched struct {
+// watchedStream is a stream in progress that may move to another host.
+type watchedStream struct {
 	host  *fleet.Host
 	query fleet.Query
-	// allowed is how long it may bring nothing.
-	allowed time.Duration
-	target  time.Duration
-	// leaves is when its caller leaves if no first event comes.
-	leaves time.Time
-	// begun tells that an event has come.
-	begun atomic.Bool
-	// heard is when it last brought something, in nanoseconds of the Unix epoch.
-	heard atomic.Int64
-	leave context.CancelCauseFunc
+	// timeout is how long the stream may be silent.
+	timeout       time.Duration
+	latencyTarget time.Duration
+	// callerLeaves is when the caller leaves if no first event arrives.
+	callerLeaves time.Time
+	// started is set once an event has arrived.
+	started atomic.Bool
+	// lastEvent is when the latest event arrived, or the attempt began, in nanoseconds
+	// since the Unix epoch.
+	lastEvent atomic.Int64
+	cancel    context.CancelCauseFunc
 }
 
-// watch has an attempt at a stream that may run again left when its host falls
-// silent. The caller ends it with the function returned.
+// watch cancels an attempt at a stream that may run again when its host falls silent.
+// The caller ends the watch with the function returned.
 //
-// It guards against a host that stands still or loses power together with its agent:
-// connections stay open and bring nothing, the registry lists the host for seconds
-// more, and callers leave after two; the host then goes on with requests that nobody
-// waits for. An agent that is silent alone is no sign, since streams go on; nor is a
-// stream alone, which may wait in the engine's queue.
+// A host may freeze or lose power together with its agent. Its connections stay open
+// but carry nothing, the registry lists the host for seconds more, and callers leave
+// after two; once the host resumes, it continues requests that nobody waits for.
+// Silence of the agent alone does not count, since its host's streams continue; nor
+// does that of a stream alone, which may wait in the engine's queue.
 func (p *Proxy) watch(ctx context.Context, c *call, t *target) (context.Context, func()) {
-	if c.route.Kind != rtable.Stream || !c.mayGoOn() {
+	if c.route.Kind != rtable.Stream || !c.mayMove() {
 		return ctx, func() {}
 	}
-	ctx, leave := context.WithCancelCause(ctx)
-	w := &watched{
-		host: t.host, query: c.query, target: c.route.Target, leave: leave,
-		allowed: max(silentTime, silentPauses*c.route.Pause), leaves: c.leavesAt(),
+	ctx, cancel := context.WithCancelCause(ctx)
+	w := &watchedStream{
+		host: t.host, query: c.query, latencyTarget: c.route.Target, cancel: cancel,
+		timeout: max(silenceTimeout, silencePauses*c.route.Pause), callerLeaves: c.callerLeavesAt(),
 	}
-	w.begun.Store(c.begun)
+	w.started.Store(c.started)
 	w.query.Tried = append(slices.Clone(c.query.Tried), t.id)
-	w.heard.Store(p.Clock.Now().UnixNano())
+	w.lastEvent.Store(p.Clock.Now().UnixNano())
 	p.mu.Lock()
 	p.streams[w] = true
 	p.mu.Unlock()
@@ -78,48 +78,49 @@
 		delete(p.streams, w)
 		p.mu.Unlock()
 		c.watched = nil
-		leave(nil)
+		cancel(nil)
 	}
 }
 
-// mayGoOn tells whether the request may be sent to one host more after the attempt
+// mayMove reports whether the request may be sent to another host after the attempt
 // that begins now.
-func (c *call) mayGoOn() bool { return c.route.Repeats() && c.ran+1 < c.route.MostHosts }
+func (c *call) mayMove() bool { return c.route.Repeats() && c.ran+1 < c.route.MostHosts }
 
-// Run looks after the streams in progress until the context ends.
+// Run moves streams away from silent hosts until the context ends.
 func (p *Proxy) Run(ctx context.Context) error {
-	for loop.Sleep(ctx, watchEvery) {
-		p.leaveSilent()
+	for loop.Sleep(ctx, watchInterval) {
+		p.moveSilent()
 	}
 	return nil
 }
 
-// takes tells whether another host can take the stream. One without an event is better
-// late than not answered at all; one whose caller has events may go on where it is.
-func (w *watched) takes(now time.Time, next fleet.Choice) bool {
+// canMove reports whether a stream may move to another host. Without any event yet, a
+// late answer is better than none; if the caller has events, the stream may still
+// continue where it is, so it moves only to a host that is not overloaded.
+func (w *watchedStream) canMove(now time.Time, next fleet.Choice) bool {
 	switch {
 	case next.Host == nil:
 		return false
-	case !w.begun.Load() && now.Add(next.Wait).Before(w.leaves):
+	case !w.started.Load() && now.Add(next.Wait).Before(w.callerLeaves):
 		return true
 	}
-	return !next.Overloaded(w.target)
+	return !next.Overloaded(w.latencyTarget)
 }
 
-// leaveSilent has streams of silent hosts go on elsewhere. Those that no other host
-// can take now stay where they are.
-func (p *Proxy) leaveSilent() {
+// moveSilent cancels the attempts at streams of silent hosts so that they continue
+// elsewhere. Those that no other host can take now stay.
+func (p *Proxy) moveSilent() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
 	for w := range p.streams {
-		silent := now.Sub(time.Unix(0, w.heard.Load())) >= w.allowed
+		silent := now.Sub(time.Unix(0, w.lastEvent.Load())) >= w.timeout
 		if !silent || !w.host.Silent(p.view.Known(now)) {
 			continue
 		}
-		if !w.takes(now, p.view.Pick(now, &w.query)) {
+		if !w.canMove(now, p.view.Pick(now, &w.query)) {
 			continue
 		}
-		w.leave(&SilentError{Host: w.host.ID})
+		w.cancel(&SilentError{Host: w.host.ID})
 	}
 }
--- a/io/proxy/silent_test.go
+++ b/io/proxy/silent_test.go
@@ -13,14 +13,15 @@
 	"radishwell/core/rtable"
 )
 
-// stepClock stands still but for its steps.
+// stepClock is a clock that advances only when told to.
 type stepClock struct{ now time.Time }
 
 func (c *stepClock) Now() time.Time { return c.now }
 
-// A host and its agent stand still in the middle of a stream. The connection stays
-// open and the registry lists the host; the caller hears nothing, leaves after two
-// seconds, and the host goes on with the stream when it wakes.
+// A host and its agent freeze in the middle of a stream. The connection stays open and
+// the registry still lists the host; the caller receives nothing and leaves after two
+// seconds, and the host continues the stream when it resumes. Guards against streams
+// that stay at such a host, and against moving others.
 func TestSilentStreams(t *testing.T) {
 	type rig struct {
 		*Proxy
@@ -49,7 +50,7 @@
 		return r
 	}
 	left := func(r *rig) bool {
-		r.leaveSilent()
+		r.moveSilent()
 		var silent *SilentError
 		return errors.As(context.Cause(r.ctx), &silent)
 	}
@@ -61,8 +62,8 @@
 		r.clock.now = r.clock.now.Add(200 * time.Millisecond)
 		assert.Assert(t, left(r))
 	})
-	// overload has a host that should answer after its target, within the time in which
-	// callers stay.
+	// overload makes i-2 a host that should answer after the route's target, but before
+	// callers leave.
 	overload := func(r *rig) {
 		r.view.Report(fleet.Report{
 			ID: "i-2", Taken: r.clock.now, Reachable: true, Models: []core.HeldModel{{Model: "m"}}, Reading: 20_000,
@@ -84,12 +85,12 @@
 		overload(r)
 		assert.Assert(t, !left(r))
 		r = begin(t, patient, "i-1", "i-2")
-		r.call.passed()
+		r.call.recordEvent()
 		r.clock.now = r.clock.now.Add(1100 * time.Millisecond)
 		overload(r)
 		assert.Assert(t, !left(r))
 	})
-	t.Run("stay while the agent is heard", func(t *testing.T) {
+	t.Run("stay while the agent reports", func(t *testing.T) {
 		r := begin(t, resumable, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
 		r.view.Report(fleet.Report{ID: "i-1", Taken: r.clock.now, Reachable: true})
@@ -98,10 +99,10 @@
 	t.Run("stay while events come", func(t *testing.T) {
 		r := begin(t, resumable, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
-		r.call.passed()
+		r.call.recordEvent()
 		assert.Assert(t, !left(r))
 	})
-	t.Run("stay for twice the pause that callers take well", func(t *testing.T) {
+	t.Run("stay for twice the pause that callers accept", func(t *testing.T) {
 		slow := resumable
 		slow.Pause = time.Second
 		r := begin(t, slow, "i-1", "i-2")
--- a/io/proxy/stream.go
+++ b/io/proxy/stream.go
@@ -12,32 +12,32 @@
 	"radishwell/core/fleet"
 )
 
-// mostEvent bounds one event of a stream, in bytes.
-const mostEvent = 1 << 20
+// maxEvent bounds one event of a stream, in bytes.
+const maxEvent = 1 << 20
 
-// OrderError reports an event that does not follow the one before.
+// OrderError reports an event that does not follow the previous one.
 type OrderError struct{ After, Got string }
 
 // Error implements error.
 func (e *OrderError) Error() string { return "event " + e.Got + " follows event " + e.After }
 
-// stream passes a series of events on as they come. Only whole events are passed
-// on: an upstream may break off in the middle of one, and what another upstream
-// goes on with has to follow a whole one.
-func (c *call) stream(t *target, resp *http.Response) error {
+// forwardStream forwards events as they arrive. It forwards whole events only: an
+// upstream may break off in the middle of an event, and what another upstream continues
+// with has to follow a whole one.
+func (c *call) forwardStream(t *target, resp *http.Response) error {
 	in := bufio.NewReaderSize(resp.Body, 4<<10)
 	out := http.NewResponseController(c.writer)
 	defer c.flush(out)
 	var pending []byte
 	id := ""
-	resumed := c.begun
+	resumed := c.started
 	for {
 		line, err := in.ReadSlice('\n')
 		pending = append(pending, line...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			if len(pending) > mostEvent {
-				return &SpoiltError{Reason: "an event is larger than " + strconv.Itoa(mostEvent) + " bytes"}
+			if len(pending) > maxEvent {
+				return &SpoiltError{Reason: "an event is larger than " + strconv.Itoa(maxEvent) + " bytes"}
 			}
 			continue
 		case errors.Is(err, io.EOF):
@@ -52,20 +52,20 @@
 		if len(bytes.TrimRight(line, "\r\n")) > 0 {
 			continue
 		}
-		if resumed && id != "" && !follows(c.event, id) {
-			return &OrderError{After: c.event, Got: id}
+		if resumed && id != "" && !follows(c.lastEventID, id) {
+			return &OrderError{After: c.lastEventID, Got: id}
 		}
 		c.openStream(t, resp)
 		if err := c.write(pending); err != nil {
 			return err
 		}
-		c.passed()
+		c.recordEvent()
 		if id != "" {
-			c.event = id
+			c.lastEventID = id
 		}
 		pending, id = pending[:0], ""
 		if hasEvent(in) {
-			continue // it is flushed with the next one, which is here already
+			continue // the event is flushed with the next one, which is buffered
 		}
 		if err := out.Flush(); err != nil {
 			return &GoneError{Cause: err}
@@ -73,45 +73,44 @@
 	}
 }
 
-// passed notes that an event was passed on.
-func (c *call) passed() {
+// recordEvent records that an event, or a whole answer, was forwarded.
+func (c *call) recordEvent() {
 	now := c.proxy.Clock.Now()
-	if c.first.IsZero() {
-		c.first = now
+	if c.firstEvent.IsZero() {
+		c.firstEvent = now
 	} else {
-		c.longest = max(c.longest, now.Sub(c.latest))
+		c.longestPause = max(c.longestPause, now.Sub(c.lastEvent))
 	}
-	c.latest = now
+	c.lastEvent = now
 	if c.watched != nil {
-		c.watched.heard.Store(now.UnixNano())
-		c.watched.begun.Store(true)
+		c.watched.lastEvent.Store(now.UnixNano())
+		c.watched.started.Store(true)
 	}
 }
 
-// flush sends what was passed on before the upstream broke off: an aborted answer
-// loses what was not flushed. Without a head written it does nothing, since
-// net/http would send one that calls the answer a success.
+// flush sends what was forwarded before the upstream broke off, since an aborted answer
+// loses what was not flushed. It does nothing before the header is written, since
+// net/http would then send status 200.
 func (c *call) flush(out *http.ResponseController) {
-	if c.begun {
-		// A failure is the caller's going away, which the next write shows.
+	if c.started {
+		// An error means that the caller has left; the next write reports it.
 		_ = out.Flush()
 	}
 }
 
-// hasEvent tells whether another whole event has been read ahead. Part of one is
-// no reason to hold back what is there.
+// hasEvent reports whether another whole event is buffered. A partial event must not
+// delay those before it.
 func hasEvent(in *bufio.Reader) bool {
 	ahead, err := in.Peek(in.Buffered())
 	return err == nil && bytes.Contains(ahead, []byte("\n\n"))
 }
 
-// GoneError reports a caller that takes no more of its answer.
+// GoneError reports that the caller no longer reads its answer.
 type GoneError struct{ Cause error }
 
 // Error implements error.
 func (e *GoneError) Error() string { return "the caller takes no more: " + e.Cause.Error() }
 
-// Unwrap returns the cause.
 func (e *GoneError) Unwrap() error { return e.Cause }
 
 func (c *call) write(data []byte) error {
@@ -124,23 +123,23 @@
 	return nil
 }
 
-// openStream writes the head of the answer with its first event. A stream that
-// goes on at another host keeps the head of the first.
+// openStream writes the header of the answer before its first event. A stream that
+// continues at another host keeps the header of the first.
 func (c *call) openStream(t *target, resp *http.Response) {
-	if !t.begun {
-		t.begun = true
+	if !t.started {
+		t.started = true
 		c.proxy.Update(func(_ *fleet.View, _ time.Time) { t.host.Begun(t.unread) })
 	}
-	if c.begun {
+	if c.started {
 		return
 	}
-	c.begun = true
+	c.started = true
 	c.copyHead(resp)
 	c.writer.WriteHeader(resp.StatusCode)
 }
 
-// follows tells whether an event comes right after another, by their ids. Ids
-// that are no numbers cannot be told.
+// follows reports whether one event directly follows another, by their ids. It accepts
+// any id after one that is not a number.
 func follows(after, id string) bool {
 	if after == "" {
 		return true
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// unorderedTime is how long nobody who can have models loaded may be unknown before
-	// requests for models that no host holds are refused: agents that restart are back
-	// within it.
-	unorderedTime = 3 * time.Second
-	// unorderedBack is after how long their callers are told to come back.
-	unorderedBack = 2 * time.Second
-	// replacedBack is after how long callers are told to come back whose service has only
-	// hosts that leave: others are listed by then if they have started.
-	replacedBack = time.Second
+	// noLoaderTimeout is how long no agent or entry that can order loads may be known
+	// before requests for models that no host holds are refused. Agents that restart
+	// are back within it.
+	noLoaderTimeout = 3 * time.Second
+	// noLoaderRetry is after how long callers of such requests are told to retry.
+	noLoaderRetry = 2 * time.Second
+	// allLeavingRetry is after how long callers are told to retry if all hosts of their
+	// service are leaving. Replacements that have started are listed by then.
+	allLeavingRetry = time.Second
 )
 
-// acquire returns the host that the request goes to next. It waits while no host
-// holds the model, and refuses as soon as none will in time.
+// acquire returns the host that the request is sent to next. It waits while no host
+// holds the model, and refuses as soon as it is known that none will in time.
 func (c *call) acquire(ctx context.Context) (*target, *core.Refusal) {
-	waits := false
-	began, fetched := c.proxy.Clock.Now(), c.fetched
+	waiting := false
+	began, fetched := c.proxy.Clock.Now(), c.fetchTime
 	defer func() {
-		if waits {
-			c.setWaiting(-1)
-			c.waited += c.proxy.Clock.Now().Sub(began) - (c.fetched - fetched)
+		if waiting {
+			c.addWaiting(-1)
+			c.waitTime += c.proxy.Clock.Now().Sub(began) - (c.fetchTime - fetched)
 		}
 	}()
 	for {
@@ -38,28 +38,28 @@
 			return nil, refusal
 		}
 		if t != nil {
-			if c.reserve(ctx, t) && c.hasAdapter(ctx, t, fetch) && c.stillTakes(t) {
-				return t, c.chargeAgain(ctx, t)
+			if c.reserve(ctx, t) && c.ensureAdapter(ctx, t, fetch) && c.stillAvailable(t) {
+				return t, c.recharge(ctx, t)
 			}
 			if ctx.Err() != nil {
-				return nil, c.over(ctx)
+				return nil, c.expired(ctx)
 			}
 			continue
 		}
-		if !waits {
-			waits = true
+		if !waiting {
+			waiting = true
 			c.refund()
-			c.setWaiting(1)
+			c.addWaiting(1)
 		}
-		if refusal := c.rest(ctx, changed); refusal != nil {
+		if refusal := c.waitForChange(ctx, changed); refusal != nil {
 			return nil, refusal
 		}
 	}
 }
 
-// hasAdapter has the adapter loaded where the host lacks it. A host where that
-// fails is not tried again before the others.
-func (c *call) hasAdapter(ctx context.Context, t *target, fetch bool) bool {
+// ensureAdapter loads the adapter if the host lacks it. A host at which that fails is
+// not tried again before the others.
+func (c *call) ensureAdapter(ctx context.Context, t *target, fetch bool) bool {
 	if !fetch {
 		if c.query.Adapter != "" {
 			c.proxy.Adapters.Used(t.id, c.query.Model, c.query.Adapter)
@@ -68,19 +68,19 @@
 	}
 	began := c.proxy.Clock.Now()
 	err := c.proxy.Adapters.Fetch(ctx, t.id, c.query.Model, c.query.Adapter)
-	c.fetched += c.proxy.Clock.Now().Sub(began)
+	c.fetchTime += c.proxy.Clock.Now().Sub(began)
 	if err == nil {
 		return true
 	}
-	c.last = err
+	c.lastErr = err
 	c.abandon(t)
 	c.query.Tried = append(c.query.Tried, t.id)
 	return false
 }
 
-// stillTakes tells whether the host that was chosen takes work after the time that was
-// spent on the request since. Where it does not, it is abandoned.
-func (c *call) stillTakes(t *target) bool {
+// stillAvailable reports whether the chosen host still accepts requests after the time
+// spent on reservations and adapters. If it does not, the choice is undone.
+func (c *call) stillAvailable(t *target) bool {
 	p := c.proxy
 	p.mu.Lock()
 	now := p.Clock.Now()
@@ -93,7 +93,8 @@
 	return ok
 }
 
-// choose picks a host and notes the request there; nil where none can take it.
+// choose picks a host and records the request there. t is nil if no host can take the
+// request.
 func (c *call) choose() (t *target, fetch bool, changed chan struct{}, refusal *core.Refusal) {
 	p := c.proxy
 	p.mu.Lock()
@@ -101,16 +102,16 @@
 	now := p.Clock.Now()
 	choice := p.view.Pick(now, &c.query)
 	if c.failure != nil && (choice.Host == nil || choice.Paced > admit.MostAhead) {
-		return nil, false, nil, c.lost() // the failure is the answer
+		return nil, false, nil, c.lost() // the kept failure is written instead
 	}
 	if choice.Host == nil {
-		return nil, false, p.changed, c.hopeless(now, choice)
+		return nil, false, p.changed, c.refuseLate(now, choice)
 	}
-	c.foresee(now, choice)
-	if c.awaits(choice) {
+	c.recordChoice(now, choice)
+	if c.keepsWaiting(choice) {
 		return nil, false, p.changed, nil
 	}
-	if refusal := c.overloaded(choice); refusal != nil {
+	if refusal := c.refuseOverload(choice); refusal != nil {
 		return nil, false, nil, refusal
 	}
 	if c.sends > 0 && !p.window(c.service.Name).Draw(now) {
@@ -126,90 +127,92 @@
 	return t, choice.Fetch, nil, nil
 }
 
-// foresee keeps, for the log, what a choice rested on.
-func (c *call) foresee(now time.Time, choice fleet.Choice) {
+// recordChoice records, for the log, the figures behind a choice.
+func (c *call) recordChoice(now time.Time, choice fleet.Choice) {
 	h := choice.Host
-	c.best, c.cost, c.foreseen, c.reportAge = h.ID, choice.Cost, choice.Wait, now.Sub(h.Report.Taken)
+	c.chosen, c.cost, c.expectedWait, c.reportAge = h.ID, choice.Cost, choice.Wait, now.Sub(h.Report.Taken)
 	if h.Report.Taken.IsZero() {
-		c.reportAge = -1 // its agent was never heard of, or it has none
+		c.reportAge = -1 // the host has no agent, or the agent has never reported
 	}
 }
 
-// overloaded refuses a request that comes upon more work than its hosts can do in
-// time. One of which a host may have run a part already is not turned away.
-func (c *call) overloaded(choice fleet.Choice) *core.Refusal {
-	if c.query.Model == "" && choice.Paced == 0 || c.begun || c.ran > 0 || !choice.Overloaded(c.route.Target) {
+// refuseOverload refuses a request if its hosts have more work than they can do in
+// time. It never refuses a request that a host may have run in part.
+func (c *call) refuseOverload(choice fleet.Choice) *core.Refusal {
+	if c.query.Model == "" && choice.Paced == 0 || c.started || c.ran > 0 || !choice.Overloaded(c.route.Target) {
 		return nil
 	}
 	if choice.Paced > 0 {
-		return core.RefuseUntil(core.CodeOverload, "the hosts take no more requests a second", c.back(choice.Wait))
+		return core.RefuseUntil(core.CodeOverload, "the hosts take no more requests a second", c.retryAt(choice.Wait))
 	}
-	return core.RefuseUntil(core.CodeOverload, "the model's hosts have more work than they can do in time", c.back(choice.Wait))
+	return core.RefuseUntil(core.CodeOverload, "the model's hosts have more work than they can do in time", c.retryAt(choice.Wait))
 }
 
-// hopeless refuses a request whose model will not be there before its caller
-// leaves, which callers of silent streams do long before their deadline. Told at
-// once when to come back, they find the model there. The caller holds the proxy's
-// mu.
-func (c *call) hopeless(now time.Time, choice fleet.Choice) *core.Refusal {
+// refuseLate refuses a request whose model will not be loaded before its caller leaves,
+// which callers of silent streams do long before their deadline. A caller that is told
+// at once when to retry finds the model loaded then. The caller of refuseLate holds the
+// proxy's mu.
+func (c *call) refuseLate(now time.Time, choice fleet.Choice) *core.Refusal {
 	if c.query.Model == "" && choice.Leaving && !choice.Listed && c.ran == 0 {
-		return core.RefuseUntil(core.CodeNoHost, "all hosts of the service leave", c.back(replacedBack))
+		return core.RefuseUntil(core.CodeNoHost, "all hosts of the service leave", c.retryAt(allLeavingRetry))
 	}
-	at, ok := c.proxy.ready[c.query.Model]
+	at, ok := c.proxy.forecasts[c.query.Model]
 	if retry := choice.RetryAt; !retry.IsZero() && (!ok || retry.Before(at)) {
 		at, ok = retry, true
 		if c.ran == 0 && choice.BacksOff(now, c.route.Target) {
-			return core.RefuseUntil(core.CodeOverload, "the hosts want no requests for now", c.back(at.Sub(now)))
+			return core.RefuseUntil(core.CodeOverload, "the hosts want no requests for now", c.retryAt(at.Sub(now)))
 		}
 	}
-	if !ok && c.unordered(now) {
-		return core.RefuseUntil(core.CodeWaitTooLong, "no host holds the model and none can be ordered to load it", c.back(unorderedBack))
+	if !ok && c.noLoader(now) {
+		return core.RefuseUntil(core.CodeWaitTooLong, "no host holds the model and none can be ordered to load it", c.retryAt(noLoaderRetry))
 	}
-	if !ok || at.Before(c.leavesAt().Add(-answerSlack)) {
+	if !ok || at.Before(c.callerLeavesAt().Add(-refusalMargin)) {
 		return nil
 	}
 	if c.ran > 0 {
 		return c.lost()
 	}
-	return core.RefuseUntil(core.CodeWaitTooLong, "no host takes the request before its deadline", c.back(at.Sub(now)))
+	return core.RefuseUntil(core.CodeWaitTooLong, "no host takes the request before its deadline", c.retryAt(at.Sub(now)))
 }
 
-// unordered tells whether nobody can have the model loaded: no agent, and no entry in the
-// place of one, was heard of for a while. Its callers would wait until they leave.
-func (c *call) unordered(now time.Time) bool {
-	return c.query.Model != "" && c.ran == 0 && len(c.query.Tried) == 0 && now.Sub(c.proxy.ordered) >= unorderedTime
+// noLoader reports whether no agent, nor an entry that acts for one, that could have
+// the model loaded was known for noLoaderTimeout. Callers would otherwise wait until
+// they leave.
+func (c *call) noLoader(now time.Time) bool {
+	return c.query.Model != "" && c.ran == 0 && len(c.query.Tried) == 0 && now.Sub(c.proxy.loaderSeen) >= noLoaderTimeout
 }
 
-// leavesAt returns when the caller leaves if it hears nothing more.
-func (c *call) leavesAt() time.Time {
-	heard := c.latest
-	if heard.IsZero() {
-		heard = c.arrived
+// callerLeavesAt returns when the caller leaves if it receives nothing more.
+func (c *call) callerLeavesAt() time.Time {
+	last := c.lastEvent
+	if last.IsZero() {
+		last = c.arrived
 	}
-	by := heard.Add(c.route.Silence)
+	by := last.Add(c.route.Silence)
 	if c.route.Silence == 0 || c.deadline.Before(by) {
 		return c.deadline
 	}
 	return by
 }
 
-// rest waits for a change that may let the request go on.
-func (c *call) rest(ctx context.Context, changed chan struct{}) *core.Refusal {
-	pause := lookAgain
+// waitForChange waits for a change that may let the request continue.
+func (c *call) waitForChange(ctx context.Context, changed chan struct{}) *core.Refusal {
+	pause := recheckInterval
 	if len(c.query.Tried) > 0 {
-		// All hosts that hold the model were tried: after a pause they may be again.
-		pause = restPause
+		// All hosts that hold the model were tried. They may be tried again after a
+		// pause.
+		pause = retryPause
 	}
-	until, leaving := c.proxy.waitUntil(c.leavesAt())
+	until, stopping := c.proxy.waitUntil(c.callerLeavesAt())
 	left := until.Sub(c.proxy.Clock.Now())
 	if left <= 0 {
-		return c.giveUpWaiting(leaving)
+		return c.giveUpWaiting(stopping)
 	}
 	timer := time.NewTimer(min(pause, left))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-		return c.over(ctx)
+		return c.expired(ctx)
 	case <-changed:
 	case <-timer.C:
 		c.query.Tried = nil
@@ -217,20 +220,20 @@
 	return nil
 }
 
-// giveUpWaiting returns the answer to a request that may wait no longer. An entry
-// that stops has it come back at once, to another.
-func (c *call) giveUpWaiting(leaving bool) *core.Refusal {
+// giveUpWaiting returns the refusal of a request that may wait no longer. An entry that
+// is stopping tells the caller to retry at once, at another entry.
+func (c *call) giveUpWaiting(stopping bool) *core.Refusal {
 	switch {
 	case c.ran > 0:
 		return c.lost()
-	case leaving:
+	case stopping:
 		return core.RefuseUntil(core.CodeLeaving, "this entry stops", c.proxy.Clock.Now())
 	}
 	return core.Refuse(core.CodeWaitTooLong, "no upstream host could run the request in its time")
 }
 
-// setWaiting counts the requests that wait for the model.
-func (c *call) setWaiting(change int) {
+// addWaiting changes the number of requests that wait for the model.
+func (c *call) addWaiting(change int) {
 	p := c.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -243,7 +246,7 @@
 	}
 }
 
-// abandon takes back what choose noted.
+// abandon undoes what choose recorded.
 func (c *call) abandon(t *target) {
 	c.release(t)
 	c.proxy.Update(func(*fleet.View, time.Time) {
