--- a/io/quota/doc.go
+++ b/io/quota/doc.go
@@ -1,7 +1,9 @@
-// Package quota has the use of customers' allowances counted over all entries.
+// Package quota counts the use of customers' allowances, and of the rate limits that
+// upstreams name, over all entries.
 //
-// core/admit decides: each entry leaves its parts of the allowances with one entry, the
-// keeper, which all choose alike, and asks it for what its callers want to use. An entry
-// that reaches no keeper has its own parts only. docs/design/allowances.md has the ways
-// that were weighed.
+// core/admit has the rules. Each entry owns an equal part of every allowance and
+// delegates its parts to one entry, the keeper, for a short time that it renews. All
+// entries choose the keeper alike and ask it before they let a request use an
+// allowance. An entry that reaches no keeper counts by its own parts only.
+// docs/design/allowances.md compares the alternatives.
 package quota
--- a/io/quota/quota.go
+++ b/io/quota/quota.go
@@ -15,51 +15,54 @@
 )
 
 const (
-	// renewEvery is how often an entry renews what it has left with its keeper, and
-	// leaveFor until when it leaves it each time: two renewals may be lost.
-	renewEvery = 250 * time.Millisecond
-	leaveFor   = 650 * time.Millisecond
-	// findEvery is how often an entry that has just started looks for its keeper.
-	findEvery = 20 * time.Millisecond
-	// askTime bounds a call of a keeper. Entries are a few milliseconds apart.
-	askTime = 150 * time.Millisecond
-	// unknownLeft is when to come back where a keeper does not know the customer yet.
-	unknownLeft = 200 * time.Millisecond
-	// mostTries is how many keepers one request asks.
-	mostTries = 3
+	// renewInterval is how often an entry renews the delegation of its parts to its
+	// keeper, and delegateTime how long each renewal is valid. Two renewals may be
+	// lost.
+	renewInterval = 250 * time.Millisecond
+	delegateTime  = 650 * time.Millisecond
+	// findInterval is how often an entry that has just started looks for its keeper.
+	findInterval = 20 * time.Millisecond
+	// callTimeout bounds a call of a keeper. Entries are a few milliseconds apart.
+	callTimeout = 150 * time.Millisecond
+	// unknownRetry is after how long callers retry if the keeper does not know the
+	// customer yet.
+	unknownRetry = 200 * time.Millisecond
+	// maxTries bounds the keepers that are asked for one request.
+	maxTries = 3
 )
 
-// Quota is one entry's use of customers' allowances. Set the exported fields before
-// Start; its methods may be called from several goroutines.
+// Quota is one entry's access to the counts of all entries. Set the exported fields
+// before Start; its methods may be called from several goroutines.
 type Quota struct {
 	Self      follow.Member
 	Clock     core.Clock
 	Tolerance admit.Tolerance
-	// Seed seeds draws.
+	// Seed seeds the random draws of the keeper.
 	Seed uint64
 	// Ask calls another entry.
 	Ask func(ctx context.Context, to peer.Target, in *wire.AllowanceCall) (*wire.AllowanceReply, error)
-	// Before returns the entries that are asked before this one, in the order that all
-	// entries share; false while the entries are not known.
+	// Before returns the entries that precede this one in the order in which all
+	// entries look for the keeper; false while the entries are not known.
 	Before func() ([]follow.Member, bool)
 	// Entries returns the number of entries.
 	Entries func() int
-	// Allowance returns a customer's allowance, false where it is not known. Limited
-	// tells whether any customer has a limit.
+	// Allowance returns a customer's allowance, false if the customer is not known.
+	// Limited reports whether any customer has a limit.
 	Allowance func(core.OwnerName) (admit.Allowance, bool)
 	Limited   func() bool
 
 	mu      sync.Mutex
 	keeper  admit.Keeper
 	chooser admit.Chooser
-	// current is the entry that this one's parts are left with.
+	// current is the keeper, to which this entry's parts are delegated.
 	current follow.Member
-	// found tells that a keeper has been found since the start.
+	// found is set once a keeper has been found since the start.
 	found bool
-	// held are units that were given back and are told with the next renewal.
-	held map[core.OwnerName]float64
-	// unsent are reservations at upstreams that were released, to be told likewise.
-	unsent map[core.HostName]*wire.AllowanceUse
+	// returned are units that were given back here. They may be used here, or are
+	// reported to the keeper with the next renewal.
+	returned map[core.OwnerName]float64
+	// released are reservations at upstreams that were given back, reported likewise.
+	released map[core.HostName]*wire.AllowanceUse
 }
 
 var (
@@ -67,32 +70,33 @@
 	_ core.Pacer  = (*Quota)(nil)
 )
 
-// Start makes the quota ready for calls.
+// Start initialises the quota. It is called before all other methods.
 func (q *Quota) Start() {
 	q.current = q.Self
 	q.keeper = admit.Keeper{Tolerance: q.Tolerance, Seed: q.Seed, Since: q.Clock.Now()}
-	q.held = map[core.OwnerName]float64{}
-	q.unsent = map[core.HostName]*wire.AllowanceUse{}
+	q.returned = map[core.OwnerName]float64{}
+	q.released = map[core.HostName]*wire.AllowanceUse{}
 }
 
-// Run renews again and again until the context ends.
+// Run renews the delegation periodically until the context ends.
 func (q *Quota) Run(ctx context.Context) error {
-	pause := findEvery
+	pause := findInterval
 	for loop.Sleep(ctx, pause) {
-		pause = renewEvery
+		pause = renewInterval
 		if !q.Limited() {
 			continue
 		}
 		q.Renew(ctx)
-		if !q.hasFound() {
-			// An entry has its own parts only, and its callers are refused for it.
-			pause = findEvery
+		if !q.hasKeeper() {
+			// Until a keeper is found, the entry has its own parts only and refuses
+			// callers for lack of more.
+			pause = findInterval
 		}
 	}
 	return nil
 }
 
-func (q *Quota) hasFound() bool {
+func (q *Quota) hasKeeper() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.found
@@ -100,34 +104,35 @@
 
 // Take implements core.Quotas.
 func (q *Quota) Take(ctx context.Context, customer core.OwnerName, units float64) *core.Refusal {
-	if q.takeHeld(customer, units) {
+	if q.useReturned(customer, units) {
 		return nil
 	}
-	return q.refusal(customer, q.ask(ctx, &wire.AllowanceUse{Customer: string(customer), Take: units}))
+	return q.refusal(customer, q.askKeeper(ctx, &wire.AllowanceUse{Customer: string(customer), Take: units}))
 }
 
-// ask has the keeper decide on one use, or this entry by its own part where none answers.
-func (q *Quota) ask(ctx context.Context, use *wire.AllowanceUse) *wire.AllowanceReply {
-	if !q.hasFound() {
+// askKeeper has the keeper decide on one use, or decides by this entry's own parts if
+// no keeper answers.
+func (q *Quota) askKeeper(ctx context.Context, use *wire.AllowanceUse) *wire.AllowanceReply {
+	if !q.hasKeeper() {
 		q.Renew(ctx)
 	}
 	uses := []*wire.AllowanceUse{use}
-	for range mostTries {
-		if reply, err := q.call(ctx, q.keeperNow(), uses); err == nil {
+	for range maxTries {
+		if reply, err := q.call(ctx, q.currentKeeper(), uses); err == nil {
 			return reply
 		}
 		q.Renew(ctx)
 	}
-	return q.serve(uses)
+	return q.decide(uses)
 }
 
 // Reserve implements core.Pacer.
 func (q *Quota) Reserve(ctx context.Context, upstream core.HostName, rate float64, by time.Time) (at time.Time, ok bool) {
 	use := &wire.AllowanceUse{Upstream: string(upstream), Rate: rate, Take: 1, Ahead: int64(by.Sub(q.Clock.Now()))}
-	answers := q.ask(ctx, use).GetAnswers()
+	answers := q.askKeeper(ctx, use).GetAnswers()
 	now := q.Clock.Now()
 	if len(answers) == 0 {
-		return now.Add(unknownLeft), false
+		return now.Add(unknownRetry), false
 	}
 	return now.Add(time.Duration(answers[0].GetLeft())), answers[0].GetTaken()
 }
@@ -136,34 +141,36 @@
 func (q *Quota) Release(upstream core.HostName, rate float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	u := q.unsent[upstream]
+	u := q.released[upstream]
 	if u == nil {
 		u = &wire.AllowanceUse{Upstream: string(upstream)}
-		q.unsent[upstream] = u
+		q.released[upstream] = u
 	}
 	u.Rate, u.Back = rate, u.GetBack()+1
 }
 
-// refusal returns why the one use that was asked for may not be made; nil where it may.
+// refusal returns why the keeper's reply to a single use forbids it; nil if the use is
+// allowed.
 func (q *Quota) refusal(customer core.OwnerName, reply *wire.AllowanceReply) *core.Refusal {
-	left := unknownLeft
+	wait := unknownRetry
 	if answers := reply.GetAnswers(); len(answers) > 0 {
 		if answers[0].GetTaken() {
 			return nil
 		}
-		left = time.Duration(answers[0].GetLeft())
+		wait = time.Duration(answers[0].GetLeft())
 	}
-	at := q.Clock.Now().Add(left)
+	at := q.Clock.Now().Add(wait)
 	return core.RefuseUntil(core.CodeRateLimit, "the customer "+string(customer)+" has used up its allowance", at)
 }
 
-func (q *Quota) takeHeld(customer core.OwnerName, units float64) bool {
+// useReturned takes units from those that were given back here, if they suffice.
+func (q *Quota) useReturned(customer core.OwnerName, units float64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.held[customer] < units {
+	if q.returned[customer] < units {
 		return false
 	}
-	q.held[customer] -= units
+	q.returned[customer] -= units
 	return true
 }
 
@@ -171,27 +178,28 @@
 func (q *Quota) Put(customer core.OwnerName, units float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.held[customer] += units
+	q.returned[customer] += units
 }
 
-func (q *Quota) keeperNow() follow.Member {
+func (q *Quota) currentKeeper() follow.Member {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.current
 }
 
-// Renew leaves this entry's parts with the first keeper that answers, and gives it the
-// units back that were not used. Units are lost where the call fails: it may have arrived.
+// Renew delegates this entry's parts to the first keeper that answers, and reports the
+// units that were given back. Those units are lost if the call fails, since it may have
+// arrived.
 func (q *Quota) Renew(ctx context.Context) {
 	for {
 		before, known := q.Before()
 		if !known {
 			return
 		}
-		to := q.choose(before)
-		_, err := q.call(ctx, to, q.takeBack())
+		to := q.chooseKeeper(before)
+		_, err := q.call(ctx, to, q.collectReturns())
 		if err == nil {
-			q.follow(ctx, to)
+			q.setKeeper(ctx, to)
 			return
 		}
 		if ctx.Err() != nil {
@@ -200,8 +208,8 @@
 	}
 }
 
-// choose returns the keeper to try next.
-func (q *Quota) choose(before []follow.Member) follow.Member {
+// chooseKeeper returns the keeper to try next.
+func (q *Quota) chooseKeeper(before []follow.Member) follow.Member {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	order := make([]core.HostName, 0, len(before)+1)
@@ -217,26 +225,28 @@
 	return q.Self
 }
 
-// takeBack returns the units that were given back.
-func (q *Quota) takeBack() []*wire.AllowanceUse {
+// collectReturns returns and clears the units and reservations to be reported as given
+// back.
+func (q *Quota) collectReturns() []*wire.AllowanceUse {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var out []*wire.AllowanceUse
-	for customer, units := range q.held {
+	for customer, units := range q.returned {
 		if units > 0 {
 			out = append(out, &wire.AllowanceUse{Customer: string(customer), Back: units})
 		}
 	}
-	clear(q.held)
-	for _, u := range q.unsent {
+	clear(q.returned)
+	for _, u := range q.released {
 		out = append(out, u)
 	}
-	clear(q.unsent)
+	clear(q.released)
 	return out
 }
 
-// follow notes the keeper that answered, and takes the parts back from the one before.
-func (q *Quota) follow(ctx context.Context, to follow.Member) {
+// setKeeper records the keeper that answered, and ends the delegation to the previous
+// one.
+func (q *Quota) setKeeper(ctx context.Context, to follow.Member) {
 	q.mu.Lock()
 	old := q.current
 	q.current, q.found = to, true
@@ -248,32 +258,32 @@
 	if old.Name == q.Self.Name {
 		return
 	}
-	call, stop := context.WithTimeout(ctx, askTime)
+	callCtx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	in := &wire.AllowanceCall{Entry: string(q.Self.Name)}
-	if _, err := q.Ask(call, target(old), in); err != nil {
-		// The parts come back by their deadline.
+	if _, err := q.Ask(callCtx, targetOf(old), in); err != nil {
+		// The delegation ends when it expires.
 		events.Fail(events.PeerUnreachable, err, "address", old.Control)
 	}
 }
 
-func target(m follow.Member) peer.Target { return peer.Target{Host: m.Name, Address: m.Control} }
+func targetOf(m follow.Member) peer.Target { return peer.Target{Host: m.Name, Address: m.Control} }
 
-// call asks a keeper, this entry itself where it is the keeper.
+// call sends uses to a keeper, or decides on them here if this entry is the keeper.
 func (q *Quota) call(ctx context.Context, to follow.Member, uses []*wire.AllowanceUse) (*wire.AllowanceReply, error) {
 	if to.Name == q.Self.Name {
-		return q.serve(uses), nil
+		return q.decide(uses), nil
 	}
-	ask, stop := context.WithTimeout(ctx, askTime)
+	callCtx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	in := &wire.AllowanceCall{Entry: string(q.Self.Name), Leave: int64(leaveFor), Uses: uses}
-	reply, err := q.Ask(ask, target(to), in)
+	in := &wire.AllowanceCall{Entry: string(q.Self.Name), Leave: int64(delegateTime), Uses: uses}
+	reply, err := q.Ask(callCtx, targetOf(to), in)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.Clock.Now()
 	if ctx.Err() == nil || err == nil {
-		// A call that failed may have arrived all the same.
-		q.keeper.Elsewhere(now, now.Add(leaveFor))
+		// The delegation holds even if the call failed, since it may have arrived.
+		q.keeper.Elsewhere(now, now.Add(delegateTime))
 	}
 	switch {
 	case err != nil && ctx.Err() == nil:
@@ -285,34 +295,34 @@
 	return reply, err
 }
 
-// Serve answers another entry that takes this one for the keeper.
+// Serve answers another entry that considers this one the keeper.
 func (q *Quota) Serve(c *wire.AllowanceCall) (*wire.AllowanceReply, error) {
 	q.mu.Lock()
 	now, from := q.Clock.Now(), core.HostName(c.GetEntry())
 	if c.GetLeave() > 0 {
-		q.keeper.Renew(now, from, now.Add(min(leaveFor, time.Duration(c.GetLeave()))))
+		q.keeper.Renew(now, from, now.Add(min(delegateTime, time.Duration(c.GetLeave()))))
 	} else {
 		q.keeper.Leave(from)
 	}
 	q.mu.Unlock()
-	return q.serve(c.GetUses()), nil
+	return q.decide(c.GetUses()), nil
 }
 
-func (q *Quota) serve(uses []*wire.AllowanceUse) *wire.AllowanceReply {
+func (q *Quota) decide(uses []*wire.AllowanceUse) *wire.AllowanceReply {
 	entries := q.Entries()
 	out := &wire.AllowanceReply{}
 	for _, u := range uses {
 		if u.GetUpstream() != "" {
-			out.Answers = append(out.Answers, q.reserve(u, entries))
+			out.Answers = append(out.Answers, q.decideReservation(u, entries))
 			continue
 		}
-		out.Answers = append(out.Answers, q.use(u, entries))
+		out.Answers = append(out.Answers, q.decideUse(u, entries))
 	}
 	return out
 }
 
-// reserve answers the use of an upstream that names a rate limit.
-func (q *Quota) reserve(u *wire.AllowanceUse, entries int) *wire.AllowanceAnswer {
+// decideReservation decides on a request to an upstream that names a rate limit.
+func (q *Quota) decideReservation(u *wire.AllowanceUse, entries int) *wire.AllowanceAnswer {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now, upstream := q.Clock.Now(), core.HostName(u.GetUpstream())
@@ -326,12 +336,13 @@
 	return &wire.AllowanceAnswer{Taken: taken, Left: int64(at.Sub(now))}
 }
 
-func (q *Quota) use(u *wire.AllowanceUse, entries int) *wire.AllowanceAnswer {
+// decideUse decides on the use of a customer's allowance.
+func (q *Quota) decideUse(u *wire.AllowanceUse, entries int) *wire.AllowanceAnswer {
 	customer := core.OwnerName(u.GetCustomer())
 	allowance, ok := q.Allowance(customer)
 	switch {
 	case !ok:
-		return &wire.AllowanceAnswer{Left: int64(unknownLeft)}
+		return &wire.AllowanceAnswer{Left: int64(unknownRetry)}
 	case !allowance.Limited():
 		return &wire.AllowanceAnswer{Taken: true}
 	}
--- a/io/quota/quota_test.go
+++ b/io/quota/quota_test.go
@@ -22,12 +22,12 @@
 	m.Run()
 }
 
-// stepClock stands still but for its steps.
+// stepClock is a clock that advances only when told to.
 type stepClock struct{ now time.Time }
 
 func (c *stepClock) Now() time.Time { return c.now }
 
-// fleet is entries that call each other directly.
+// fleet is a set of entries that call each other directly.
 type fleet struct {
 	clock   stepClock
 	members []follow.Member
@@ -36,7 +36,7 @@
 	down map[core.HostName]bool
 }
 
-// newFleet makes entries that count one customer with a hundred units a second.
+// newFleet starts entries that count one customer with a hundred units a second.
 func newFleet(t *testing.T, names ...core.HostName) *fleet {
 	t.Helper()
 	f := &fleet{clock: stepClock{now: time.Unix(1000, 0)}, quotas: map[core.HostName]*quota.Quota{}, down: map[core.HostName]bool{}}
@@ -69,14 +69,15 @@
 	return f.quotas[to.Host].Serve(in)
 }
 
-// settle has all entries find their keeper and the allowance fill up.
+// settle runs for long enough that all entries find their keeper and the allowance
+// refills.
 func (f *fleet) settle(ctx context.Context) {
 	for range 30 {
 		f.step(ctx)
 	}
 }
 
-// step lets time pass and has all entries renew their standing.
+// step advances the clock and has all entries that are up renew.
 func (f *fleet) step(ctx context.Context) {
 	f.clock.now = f.clock.now.Add(100 * time.Millisecond)
 	for _, m := range f.members {
@@ -86,7 +87,7 @@
 	}
 }
 
-// take returns how many units, one by one, an entry lets in at once.
+// take returns how many units an entry can take at once, one by one.
 func (f *fleet) take(ctx context.Context, name core.HostName) int {
 	n := 0
 	for n < 1000 && f.quotas[name].Take(ctx, "c", 1) == nil {
@@ -105,20 +106,21 @@
 	assert.Assert(t, r.RetryAt.Sub(f.clock.now).Round(10*time.Millisecond) == 100*time.Millisecond, r.RetryAt.Sub(f.clock.now))
 }
 
-// Guards against customers that are let in nowhere, or twice, after the keeper has died.
+// Guards against refusing customers everywhere, or letting in their use twice, after
+// the keeper has died.
 func TestKeeperDies(t *testing.T) {
 	f := newFleet(t, "e-1", "e-2", "e-3")
 	f.settle(t.Context())
 	f.down["e-1"] = true
 	f.settle(t.Context())
-	assert.Equal(t, f.take(t.Context(), "e-3"), 66, "two thirds: the third of the entry that is gone may be in use there")
+	assert.Equal(t, f.take(t.Context(), "e-3"), 66, "two thirds: the keeper that is gone may still use its own third")
 	assert.Equal(t, f.take(t.Context(), "e-2"), 0)
 	f.down["e-1"] = false
 	f.settle(t.Context())
 	assert.Equal(t, f.take(t.Context(), "e-3"), 100)
 }
 
-// Guards against an entry that reaches no other and lets in more than its own part.
+// Guards against an entry that reaches no other but lets in more than its own part.
 func TestCutEntryHasItsOwnPart(t *testing.T) {
 	f := newFleet(t, "e-1", "e-2", "e-3", "e-4")
 	f.settle(t.Context())
@@ -132,7 +134,7 @@
 	assert.Equal(t, f.take(t.Context(), "e-4"), 25)
 }
 
-// Guards against units that are lost to their customer when a request does not run.
+// Guards against losing the units of requests that do not run.
 func TestUnitsComeBack(t *testing.T) {
 	f := newFleet(t, "e-1", "e-2")
 	f.settle(t.Context())
@@ -142,8 +144,8 @@
 	assert.Equal(t, f.take(t.Context(), "e-1"), 40)
 }
 
-// reservations returns how many requests entries may send to an upstream within a second, all
-// asking again and again.
+// reservations returns how many reservations the entries get at an upstream within a
+// second if all ask repeatedly.
 func (f *fleet) reservations(ctx context.Context, rate float64, names ...core.HostName) int {
 	n := 0
 	for range 10 {
@@ -157,7 +159,7 @@
 	return n
 }
 
-// Guards against each entry applying the whole of the rate that an upstream names.
+// Guards against entries that each apply the whole rate that an upstream names.
 func TestRateIsSharedByEntries(t *testing.T) {
 	f := newFleet(t, "e-1", "e-2", "e-3")
 	f.settle(t.Context())
