--- a/io/entry/bench_test.go
+++ b/io/entry/bench_test.go
@@ -12,8 +12,8 @@
 	"radishwell/io/fakes/llmsrv"
 )
 
-// BenchmarkWarm is a warm request through entry and agent beside one straight to
-// the engine; their ratio is what to compare.
+// BenchmarkWarm compares a warm request through entry and agent with one sent directly
+// to the engine.
 func BenchmarkWarm(b *testing.B) {
 	f := newFleet(b)
 	f.worth = warm.DefaultWorth.Times(1e6)
@@ -33,11 +33,11 @@
 		assert.Equal(b, resp.StatusCode, http.StatusOK)
 	}
 	call(b, url)
-	for _, way := range []struct{ name, to string }{{"through", url}, {"direct", h.upstream}} {
-		b.Run(way.name, func(b *testing.B) {
+	for _, path := range []struct{ name, to string }{{"through", url}, {"direct", h.upstream}} {
+		b.Run(path.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				call(b, way.to)
+				call(b, path.to)
 			}
 		})
 	}
--- a/io/entry/client.go
+++ b/io/entry/client.go
@@ -9,7 +9,7 @@
 	"radishwell/core"
 )
 
-// client is the connections to one address of a host.
+// client holds the connections to one address of a host.
 type client struct {
 	base      string
 	transport *http.Transport
@@ -20,7 +20,7 @@
 	work netip.AddrPort
 }
 
-// clientSet holds a client for each host in use.
+// clientSet holds a client for each address of a host in use.
 type clientSet struct {
 	mu   sync.Mutex
 	list map[clientKey]*client
@@ -49,7 +49,8 @@
 	return c
 }
 
-// keep closes the clients of hosts that are no longer listed.
+// keep closes the idle connections of hosts that are no longer listed and drops their
+// clients.
 func (s *clientSet) keep(listed func(core.HostName) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/entry/doc.go
+++ b/io/entry/doc.go
@@ -1,8 +1,8 @@
-// Package entry is the entry role: it admits callers' requests, holds them to
-// the limits, routes each to a host that may serve it, relays the answer, and
-// says honestly what became of it.
+// Package entry is the entry role. It admits callers' requests, enforces limits, routes
+// each request to a host that may serve it, relays the answer, and reports truthfully
+// what became of the request.
 //
-// Decisions are those of core/admit, core/queue, core/route, core/retry,
-// core/claims and core/strike; this package holds one lock around them and
-// turns their answers into calls.
+// The decisions are made by core/admit, core/queue, core/route, core/retry, core/claims
+// and core/strike. This package holds one lock around them and carries out what they
+// decide.
 package entry
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -23,20 +23,20 @@
 )
 
 const (
-	// maxStrikes bounds the strikes known.
+	// maxStrikes bounds the strikes that are kept.
 	maxStrikes = 10_000
-	// maxProven bounds the requests remembered as ending well.
+	// maxProven bounds the requests that are remembered as having ended well.
 	maxProven = 50_000
-	// leastWindow is the least number of requests that an entry has in progress
-	// for one target: what waits behind it is ordered here, by all of the
-	// entry's classes and owners, and not at a single host.
-	leastWindow = 64
-	// windowFactor is how many requests an entry hands to a target's hosts for
-	// each that may run there, so that hosts are never idle for want of work.
+	// minWindow is the least number of requests that an entry may have in progress for
+	// one target. The requests beyond it are ordered here, among all of the entry's
+	// classes and owners, and not at a single host.
+	minWindow = 64
+	// windowFactor is how many requests an entry sends to a target's hosts for each
+	// that may run there, so that hosts are never idle while requests wait.
 	windowFactor = 2
 )
 
-// Host is an upstream host as an entry sees it.
+// Host is an upstream host as known to an entry.
 type Host struct {
 	Name        core.HostName
 	DataCentre  core.DataCentre
@@ -57,14 +57,16 @@
 	Rand *rand.Rand
 	// Snapshot returns the catalogue in force.
 	Snapshot func() *catlog.Snapshot
-	// Hosts lists the hosts that may serve a target at present, Find one host.
+	// Hosts lists the hosts that may serve a target at present, Find returns one host.
 	Hosts func(core.Target) []Host
 	Find  func(core.HostName) (Host, bool)
-	// Share is this entry's part of the limits.
+	// Share returns this entry's part of the limits.
 	Share func() admit.Share
-	// Noted tells membership how contact with a host went.
+	// Noted records in membership how contact with a host went.
 	Noted func(member.Contact)
-	// Probe asks a host for its load, Seal what became of an attempt.
+	// Probe asks a host for its load. Seal asks a host what became of an attempt and,
+	// unless the call only peeks, seals an attempt that has not arrived, so that it
+	// never runs.
 	Probe func(ctx context.Context, h Host, names []core.ModelName) (*wire.HostLoad, error)
 	Seal  func(ctx context.Context, h Host, c *wire.SealCall) (*wire.SealReply, error)
 	// Claim records a keyed request's claim in its journal.
@@ -72,7 +74,7 @@
 	// KeyAge is how long an idempotency key is remembered after the deadline.
 	KeyAge time.Duration
 	Relay  *Relay
-	// Spread sends strikes to peers at once.
+	// Spread sends strikes to all peers at once.
 	Spread func([]strike.Record)
 	// Tell sends strikes to one host.
 	Tell func(core.HostName, []strike.Record)
@@ -85,13 +87,13 @@
 	book    strike.Book
 	copies  strike.Copies
 	hosts   map[core.HostName]*hostState
-	turns   map[core.RequestID]*turn
+	waiters map[core.RequestID]*waiter
 	lanes   map[string]*lane
-	// running counts the requests handed on and not answered yet.
+	// running counts the requests that have started and have not ended.
 	running   [core.ClassCount]int
 	costs     map[core.ModelName]*[3]time.Duration
-	trails    trails
-	trailLock sync.Mutex
+	histories histories
+	historyMu sync.Mutex
 	alarm     chan struct{}
 	calls     sync.WaitGroup
 }
@@ -102,23 +104,23 @@
 	running int
 }
 
-// turn is a request that waits for its turn.
-type turn struct {
+// waiter is a request in the queue.
+type waiter struct {
 	request core.Request
-	// given is closed when the request may go on; refusal is set before that
-	// where it may not.
-	given   chan struct{}
+	// decided is closed when the request starts or is refused; refusal is set before in
+	// the latter case.
+	decided chan struct{}
 	refusal *core.Refusal
 }
 
-// Init prepares the entry for requests.
+// Init initialises the entry. It is called before Run and Serve.
 func (e *Entry) Init() {
 	e.router = route.Router{Seed: e.Rand.Uint64()}
 	e.book = strike.Book{Self: e.Name, MaxRecords: maxStrikes}
-	e.queue = queue.Queue{May: e.may}
+	e.queue = queue.Queue{May: e.mayStart}
 	e.copies = strike.Copies{MaxProven: maxProven}
 	e.hosts = map[core.HostName]*hostState{}
-	e.turns = map[core.RequestID]*turn{}
+	e.waiters = map[core.RequestID]*waiter{}
 	e.lanes = map[string]*lane{}
 	e.costs = map[core.ModelName]*[3]time.Duration{}
 	e.alarm = make(chan struct{}, 1)
@@ -136,9 +138,9 @@
 	}
 }
 
-// Run ends waiting requests at their time until the context ends.
+// Run refuses waiting requests when they expire, until the context ends.
 func (e *Entry) Run(ctx context.Context) error {
-	return loop.Run(ctx, e.Clock, e.alarm, tick, func(now time.Time) time.Time {
+	return loop.Run(ctx, e.Clock, e.alarm, checkInterval, func(now time.Time) time.Time {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.schedule(now)
@@ -146,8 +148,8 @@
 	})
 }
 
-// tick is the longest time between two looks at the queue.
-const tick = time.Second
+// checkInterval is the longest time between two checks of the queue.
+const checkInterval = time.Second
 
 // Idle reports whether no request is in progress.
 func (e *Entry) Idle() bool {
--- a/io/entry/explain.go
+++ b/io/entry/explain.go
@@ -9,8 +9,8 @@
 	"radishwell/wire"
 )
 
-// Demand lists the requests in progress and waiting of each model, for the
-// decider. Idle models are left out.
+// Demand lists the number of requests in progress and waiting for each model, for the
+// decider. Models without any are omitted.
 func (e *Entry) Demand() []*wire.Demand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -26,7 +26,7 @@
 	return out
 }
 
-// ExplainTarget tells how a model or service stands at this entry.
+// ExplainTarget describes the state of a model or service at this entry, for operators.
 func (e *Entry) ExplainTarget(name core.ModelName) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -52,7 +52,7 @@
 	return lines
 }
 
-// ExplainHost tells what this entry knows of an upstream host.
+// ExplainHost describes what this entry knows of an upstream host, for operators.
 func (e *Entry) ExplainHost(name core.HostName) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/io/entry/fault_test.go
+++ b/io/entry/fault_test.go
@@ -33,11 +33,10 @@
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 }
 
-// A fitter reads a compliance review as it is written, and in the middle of it
-// the text stands still for ever. Something between agent and engine has lost
-// track of the connection: it is open at both ends and carries nothing. The
-// engine has gone on writing, which its report shows; the agent reads the rest
-// on a new connection, and not a word is missing or doubled.
+// A device between agent and engine loses track of their connection in the middle of a
+// streamed answer: it stays open at both ends but carries nothing. The engine
+// continues, as its reports show. Guards against an agent that does not read the rest
+// on a new connection, or that drops or repeats a part.
 func TestSilentEngineConnection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -53,10 +52,10 @@
 	assert.Equal(t, text(t, a), strings.Repeat("a b c ", 10))
 }
 
-// An engine is told to stop and ends its connections in good order, midway
-// through a stream and before the first byte of a whole answer. Seven callers of
-// a ten-minute run had half an answer marked done. The format's own end is
-// missing, so the agent reads the rest on a new connection.
+// An engine that is told to stop closes its connections properly, in the middle of a
+// stream or before the first byte of a whole answer. Guards against partial answers
+// marked done, as seven callers of a ten-minute run got. The end marker of the format
+// is missing, so the agent reads the rest on a new connection.
 func TestEngineEndsAnswerEarly(t *testing.T) {
 	t.Parallel()
 	for _, stream := range []bool{true, false} {
@@ -78,10 +77,10 @@
 	}
 }
 
-// A fitter reads a review as it is written and the text stands still. Something
-// between entry and agent has lost track of their connection; it is open at both
-// ends and carries nothing. Pings on it go unanswered, it is closed, and the
-// answer is read on over a new one without a word missing or doubled.
+// A device between entry and agent loses track of their connection in the middle of a
+// streamed answer: it stays open at both ends but carries nothing. Its pings fail and
+// it is closed. Guards against an answer that is not read on over a new connection, or
+// that loses or repeats a part.
 func TestSilentAgentConnection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -98,9 +97,9 @@
 	assert.Equal(t, text(t, a), strings.Repeat("a b c ", 20))
 }
 
-// The connections between an entry and an agent are cut while answers stream
-// over them, as when a switch restarts. The agent still has the answers; the
-// entry reads each on at its offset, and callers notice nothing.
+// The connections between an entry and an agent are closed while answers stream over
+// them, as when a switch restarts. The agent still has the answers. Guards against an
+// entry that does not read each one on from its offset.
 func TestCutBetweenEntryAndAgent(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -121,9 +120,9 @@
 	all.Wait()
 }
 
-// Two treasurers get each other's lines when answers are mixed up on their way.
-// Here hundreds of marked requests share a few connections, some slow and some
-// quick, and each caller must get its own mark only.
+// Guards against answers that reach another caller. Hundreds of marked requests share a
+// few connections, some slow and some fast, and each caller must receive its own mark
+// only.
 func TestAnswersNeverCross(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -143,8 +142,8 @@
 	all.Wait()
 }
 
-// A caller closes its laptop in the middle of an answer. Nobody reads it any
-// more, and an engine that goes on writing burns an accelerator for nobody.
+// A caller disconnects in the middle of an answer. Guards against an engine that keeps
+// its accelerator busy with an answer that nobody reads.
 func TestCancelReachesEngine(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -174,9 +173,9 @@
 	}, poll.WithTimeout(10*time.Second))
 }
 
-// The same request takes down every engine that runs it, and its caller sends it
-// again through other entries. Engines are lost to it until it is recognised,
-// and a fleet of sixteen must not lose more than three.
+// The same request crashes every engine that runs it, and its caller repeats it through
+// other entries. Guards against losing more than three of sixteen engines before the
+// request is quarantined.
 func TestCrashingRequest(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -210,8 +209,8 @@
 	assertDone(t, chat(t, urls[0], "alpha", "innocent", false, 3))
 }
 
-// A pallet order is sent twice under one key, through two entries at once. It
-// must be run once, and both callers get the same whole answer.
+// A call is sent several times under one key, through two entries at once. Guards
+// against running it twice and against callers that get different answers.
 func TestKeyThroughTwoEntries(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -233,9 +232,9 @@
 	assert.Equal(t, h.plain.Runs()["4 pallets"], 1)
 }
 
-// The upstream carries a call out and dies before its answer is through. The
-// call has no key and may not be repeated, so nobody may send it again, and the
-// caller is told that it may have run.
+// The upstream runs a call and dies before its answer is complete. The call has no key
+// and may not be repeated. Guards against sending it again, and against telling the
+// caller that it has not run.
 func TestLostAnswerIsNotRepeated(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/io/entry/fixture_test.go
+++ b/io/entry/fixture_test.go
@@ -75,8 +75,8 @@
 
 func (realClock) Now() time.Time { return time.Now() }
 
-// fleet is one entry before a few upstream hosts, in one process: real HTTP
-// between them, functions in place of the platform and of the control calls.
+// fleet is a set of entries and upstream hosts in one process. HTTP between them is
+// real; functions replace the platform and the control calls.
 type fleet struct {
 	t       testing.TB
 	view    catlog.View
@@ -85,9 +85,9 @@
 	mu      sync.Mutex
 	journal map[string]claims.Claim
 	cut     atomic.Bool
-	// away takes all hosts off the entries' lists.
-	away atomic.Bool
-	// worth is the agents' weight of waiting; zero is the default.
+	// hidden removes all hosts from the entries' lists.
+	hidden atomic.Bool
+	// worth is the agents' weight of waiting time; zero means the default.
 	worth warm.Worth
 }
 
@@ -98,10 +98,11 @@
 	plain  *plain.Server
 	// unsure makes the host's grants uncertain, as in a platform outage.
 	unsure atomic.Bool
-	// upstream is where the stand-in's own interface is reached.
+	// upstream is the URL of the fake upstream's own interface.
 	upstream string
 	work     *httptest.Server
-	// handler is the agent's, start and stop begin and end one life of it.
+	// handler is the handler of the current agent. start starts an agent, stop stops
+	// it.
 	handler atomic.Value
 	start   func()
 	stop    func()
@@ -170,7 +171,7 @@
 	return h
 }
 
-// startAgent runs a new life of a host's agent.
+// startAgent starts a new incarnation of a host's agent.
 func (f *fleet) startAgent(h *host, name core.HostName, service core.ServiceName, client *engine.Client, isPlain bool) {
 	h.agent = &agent.Agent{
 		Host: name, Service: service, Plain: isPlain, Incarnation: core.Incarnation(rand.Uint64()), Engine: client,
@@ -197,7 +198,7 @@
 	}
 }
 
-// restartAgent ends a host's agent and starts another; the address stays.
+// restartAgent stops a host's agent and starts another at the same address.
 func (f *fleet) restartAgent(name core.HostName) {
 	h := f.agents[name]
 	h.stop()
@@ -218,7 +219,7 @@
 }
 
 func (f *fleet) hosts(t core.Target) []entry.Host {
-	if f.away.Load() {
+	if f.hidden.Load() {
 		return nil
 	}
 	var out []entry.Host
@@ -238,25 +239,25 @@
 	return h.Host, true
 }
 
-type unreachedError struct{}
+type unreachableError struct{}
 
-func (unreachedError) Error() string { return "unreached" }
+func (unreachableError) Error() string { return "unreached" }
 
 func (f *fleet) probe(_ context.Context, h entry.Host, names []core.ModelName) (*wire.HostLoad, error) {
 	if f.cut.Load() {
-		return nil, unreachedError{}
+		return nil, unreachableError{}
 	}
 	return f.agents[h.Name].agent.Load(names), nil
 }
 
 func (f *fleet) seal(ctx context.Context, h entry.Host, c *wire.SealCall) (*wire.SealReply, error) {
 	if f.cut.Load() {
-		return nil, unreachedError{}
+		return nil, unreachableError{}
 	}
 	return f.agents[h.Name].agent.Seal(ctx, c), nil
 }
 
-// claim is a journal that is always up.
+// claim records a claim in a journal that is always available.
 func (f *fleet) claim(_ context.Context, a claims.Ask) claims.Answer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -269,7 +270,7 @@
 	return claims.Answer{Result: claims.Won, Holder: a.Claim}
 }
 
-// entryHost adds an entry and returns the address callers use.
+// entryHost adds an entry and returns its URL for callers.
 func (f *fleet) entryHost() string {
 	f.t.Helper()
 	e := &entry.Entry{
@@ -307,7 +308,7 @@
 	return srv.URL
 }
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	status  int
 	header  http.Header
--- a/io/entry/host_test.go
+++ b/io/entry/host_test.go
@@ -34,9 +34,9 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// An agent has been restarted while the platform is out. A peer's copy of the
-// grants may be older than a release that its predecessor made, so it must not
-// load on it; but what its engine holds was granted and goes on being served.
+// An agent is restarted while the platform is down. A peer's copy of the grants may be
+// older than a release by the agent's predecessor. Guards against loading on such a
+// grant, and against refusing requests for models that the engine already holds.
 func TestUncertainGrantsServeWhatIsLoaded(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -59,9 +59,9 @@
 	assert.DeepEqual(t, loaded(h), map[core.ModelName]bool{"large": true})
 }
 
-// A fitter's check runs on a model while another model is asked for that would
-// need its memory. The running request must not lose its model; the other one is
-// told that there is no room.
+// A request runs on a model while another model is requested that needs its memory.
+// Guards against evicting a model in use; the other request is refused for lack of
+// memory.
 func TestModelInUseIsNotEvicted(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -75,9 +75,9 @@
 	assertDone(t, chat(t, url, "large", "big", false, 1))
 }
 
-// On a site the first check of the day asks for an adapter that has never been
-// loaded, with five seconds to spare. Its load takes milliseconds, but the agent
-// foresaw five seconds for a load it had not measured and turned it away.
+// The first request for an adapter leaves less time than an agent assumes for a load
+// that it has not measured. Guards against refusing such a request, whose load takes
+// milliseconds: the agent once assumed five seconds.
 func TestUnmeasuredLoadIsNotForeseen(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -101,9 +101,8 @@
 	assertRefused(t, chat(t, f.entryHost(), "huge", "x", false, 1), core.CodeNoMemory, core.NotRun)
 }
 
-// An operator restarts an agent in the middle of a session. What runs goes on to
-// its end, what comes meanwhile goes to another host, and no caller sees a
-// failure.
+// An agent is told to leave while requests run. Guards against failed requests: running
+// ones finish there, and later ones go to another host.
 func TestLeavingCutsNothing(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -125,10 +124,10 @@
 	waitFor(t, "the agent is not idle", left.agent.Idle)
 }
 
-// An agent is restarted between two requests of a session. The entry still knows
-// the process before it and names that one in its hand-over; the new agent must
-// refuse, since it cannot tell what its predecessor did, and the entry must learn
-// from the refusal whom it is talking to and hand over once more.
+// An agent is restarted between two requests, and the entry still names the previous
+// incarnation in its hand-over. The new agent must refuse, since it does not know what
+// its predecessor did. Guards against an entry that does not learn the new incarnation
+// from the refusal and hand over again.
 func TestRestartedAgentIsRecognised(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -147,18 +146,18 @@
 func TestIdleModelIsUnloaded(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	// Waiting is worth next to nothing, so that idling for a moment costs more
-	// than another load, however long loads take on a busy machine.
+	// Waiting is worth next to nothing, so that a moment of idle time costs more than
+	// another load, however long loads take on a busy machine.
 	f.worth = warm.DefaultWorth.Times(1e-6)
 	h := f.engineHost("up-1", &llmsrv.Server{LoadTimes: quickLoads})
 	assertDone(t, chat(t, f.entryHost(), "alpha", "once", false, 1))
 	waitFor(t, "the model is still loaded", func() bool { return !loaded(h)["alpha"] })
 }
 
-// A service's only host was away for three seconds, and the callers who came
-// meanwhile were served when it was back. The next caller, with little patience,
-// was refused: the entry took the wait for the host for the time the service
-// takes.
+// A service's only host is away for three seconds, and the callers that arrive
+// meanwhile are served after its return. Guards against refusing a later caller with a
+// short deadline because the entry counts the wait for the host as the service's own
+// time.
 func TestWaitForHostIsNoPace(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -166,22 +165,22 @@
 	f.engineHost("up-1", &llmsrv.Server{LoadTimes: quickLoads, Batch: 8})
 	url := f.entryHost()
 	assertDone(t, chat(t, url, "alpha", "before", false, 1))
-	f.away.Store(true)
+	f.hidden.Store(true)
 	var all sync.WaitGroup
 	for range 6 {
 		all.Go(func() { assertDone(t, chat(t, url, "alpha", "meanwhile", false, 1)) })
 	}
-	time.AfterFunc(3*time.Second, func() { f.away.Store(false) })
+	time.AfterFunc(3*time.Second, func() { f.hidden.Store(false) })
 	all.Wait()
 	deadline := time.Now().Add(1500 * time.Millisecond).Format(time.RFC3339Nano)
 	body := `{"model":"alpha","max_tokens":1,"messages":[{"role":"user","content":"after"}]}`
 	assertDone(t, send(t, http.MethodPost, url+"/v1/chat/completions", body, front.HeaderDeadline, deadline))
 }
 
-// While a model was loaded, the request that waited for it had the agent look at
-// its engine again from within each look: a core a host went into reports. The
-// looks during a load come in steps of its age, some fifty in half a second,
-// however many requests wait.
+// Guards against requests that wait for a load and make the agent read its engine's
+// state in a loop, which took a CPU core on each host. During a load the state is read
+// at intervals that grow with the load's age, some fifty times in half a second however
+// many requests wait.
 func TestWaitForLoadLooksSeldom(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/io/entry/hosts.go
+++ b/io/entry/hosts.go
@@ -19,19 +19,20 @@
 	inFlight    int
 	sent        int
 	probing     bool
-	// tiers is where the host last had each checkpoint.
+	// tiers holds the storage tier in which the host last had each checkpoint.
 	tiers map[core.ModelName]core.Tier
 }
 
-// Costs of a cold start while none was measured, by tier: a guess that only
-// orders the tiers.
-var guessedCosts = [3]time.Duration{500 * time.Millisecond, 2 * time.Second, 8 * time.Second}
+// defaultCosts are the costs of a cold start by tier until one is measured. They serve
+// only to order the tiers.
+var defaultCosts = [3]time.Duration{500 * time.Millisecond, 2 * time.Second, 8 * time.Second}
 
 const (
-	// costWeight is how much of a measured cost one load replaces.
+	// costWeight is the divisor of a new measurement: each measured cold start moves
+	// the known cost by 1/costWeight of the difference.
 	costWeight = 4
-	// probeTime bounds a probe; a later answer would be stale.
-	probeTime = 300 * time.Millisecond
+	// probeTimeout bounds a probe; a later answer would be outdated.
+	probeTimeout = 300 * time.Millisecond
 )
 
 func (e *Entry) host(name core.HostName) *hostState {
@@ -43,9 +44,9 @@
 	return h
 }
 
-// plan asks the router where a request should go. Hosts whose load is old are
-// asked for it; where the router says that the answers are worth waiting for,
-// since a load would be started in vain otherwise, it is asked again with them.
+// plan asks the router where a request should go. It probes hosts whose load is
+// outdated. If the router prefers to wait for their answers, since a load would
+// otherwise be started in vain, it is asked again with them.
 func (e *Entry) plan(ctx context.Context, r core.Request, tried []core.HostName) ([]route.Choice, map[core.HostName]Host) {
 	hosts := e.Hosts(r.Target)
 	byName := make(map[core.HostName]Host, len(hosts))
@@ -53,9 +54,9 @@
 		byName[h.Name] = h
 	}
 	var asked []core.HostName
-	silent := map[core.HostName]bool{}
+	unanswered := map[core.HostName]bool{}
 	for {
-		plan := e.planOnce(r, hosts, tried, asked, silent)
+		plan := e.planOnce(r, hosts, tried, asked, unanswered)
 		if !plan.Wait || len(plan.Probe) == 0 || ctx.Err() != nil {
 			for _, name := range plan.Probe {
 				e.probeLater(byName[name], r.Target)
@@ -63,13 +64,13 @@
 			return plan.Hosts, byName
 		}
 		for name, ok := range e.probeAll(ctx, byName, plan.Probe, r.Target) {
-			silent[name] = !ok
+			unanswered[name] = !ok
 		}
 		asked = append(asked, plan.Probe...)
 	}
 }
 
-func (e *Entry) planOnce(r core.Request, hosts []Host, tried, asked []core.HostName, silent map[core.HostName]bool) route.Plan {
+func (e *Entry) planOnce(r core.Request, hosts []Host, tried, asked []core.HostName, unanswered map[core.HostName]bool) route.Plan {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
@@ -79,7 +80,7 @@
 	}
 	for _, h := range e.allowed(now, r, hosts, tried) {
 		c := e.candidate(r.Target, h)
-		if silent[h.Name] && c.Health == route.Live {
+		if unanswered[h.Name] && c.Health == route.Live {
 			c.Health = route.Suspect
 		}
 		q.Candidates = append(q.Candidates, c)
@@ -87,7 +88,7 @@
 	return e.router.Plan(now, q)
 }
 
-// probeAll asks hosts for their load and tells which of them answered.
+// probeAll probes hosts and reports which of them answered.
 func (e *Entry) probeAll(ctx context.Context, byName map[core.HostName]Host, names []core.HostName, t core.Target) map[core.HostName]bool {
 	type outcome struct {
 		name core.HostName
@@ -105,9 +106,9 @@
 	return out
 }
 
-// probe asks one host for its load and tells whether it answered.
+// probe asks one host for its load and reports whether it answered.
 func (e *Entry) probe(ctx context.Context, h Host, t core.Target) bool {
-	ctx, stop := context.WithTimeout(ctx, probeTime)
+	ctx, stop := context.WithTimeout(ctx, probeTimeout)
 	defer stop()
 	load, err := e.Probe(ctx, h, namesOf(t))
 	if err != nil {
@@ -115,14 +116,14 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.noteLoad(h.Name, load)
+	e.recordLoad(h.Name, load)
 	return true
 }
 
-// allowed leaves out hosts where the request must not go for what it is
-// suspected of. A suspect goes to the host of its trial, the same from every
-// entry. Identical requests that nobody has seen end well stay together: if they
-// crash engines they lose one and not one each.
+// allowed returns the hosts that the request may go to, given the strikes against it. A
+// suspect goes to the host of its trial, which is the same for all entries. Identical
+// requests of which none has ended well yet stay on one host: if they crash engines,
+// they crash one instead of one each.
 func (e *Entry) allowed(now time.Time, r core.Request, hosts []Host, tried []core.HostName) []Host {
 	only := e.copies.Host(r.Fingerprint)
 	if !e.book.Settled(now, r.Fingerprint).IsZero() {
@@ -149,8 +150,8 @@
 	}
 }
 
-// loadOf returns the host's load as the router sees it. A report lists what
-// the host holds; an item that it does not name is absent.
+// loadOf returns the host's load for the router. A report lists all that the host
+// holds; an item that it does not list is absent.
 func (s *hostState) loadOf(t core.Target) route.Load {
 	out := route.Load{Item: route.Item{Tier: s.tier(t.Model)}, Base: route.Item{Tier: s.tier(t.Base)}}
 	l := s.load
@@ -189,10 +190,10 @@
 	if c := e.costs[name]; c != nil {
 		return *c
 	}
-	return guessedCosts
+	return defaultCosts
 }
 
-// probeLater asks a host for its load in the background.
+// probeLater probes a host in the background.
 func (e *Entry) probeLater(h Host, t core.Target) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -227,9 +228,9 @@
 	return names
 }
 
-// noteLoad takes a host's load from an answer or a probe. The lock is
-// held.
-func (e *Entry) noteLoad(name core.HostName, l *wire.HostLoad) {
+// recordLoad records a host's load from an answer or a probe, unless it is older than
+// the one known. The lock is held.
+func (e *Entry) recordLoad(name core.HostName, l *wire.HostLoad) {
 	if l == nil {
 		return
 	}
@@ -248,13 +249,13 @@
 	}
 }
 
-// noteCost measures a cold start: the time from hand-over to the first byte of
-// a request that waited for a load.
-func (e *Entry) noteCost(t core.Target, tier core.Tier, took time.Duration) {
+// recordColdStart records the duration of a cold start: the time from sending a request
+// that waited for a load to its end.
+func (e *Entry) recordColdStart(t core.Target, tier core.Tier, took time.Duration) {
 	c := e.costs[t.Model]
 	if c == nil {
-		fresh := guessedCosts
-		c = &fresh
+		initial := defaultCosts
+		c = &initial
 		e.costs[t.Model] = c
 	}
 	i := min(int(tier), len(c)-1)
--- a/io/entry/journal.go
+++ b/io/entry/journal.go
@@ -13,54 +13,54 @@
 	"radishwell/wire"
 )
 
-// Journals carries out what core/claims decides: it asks the entry in charge of
-// a key's journal, or writes to the platform where that is this one.
+// Journals carries out what core/claims decides. It sends a claim to the entry that
+// leads the key's journal, or writes it to the platform if that is this entry.
 type Journals struct {
 	Self     core.HostName
 	Clock    core.Clock
 	Platform core.Platform
-	// Known tells that the platform has answered since the start.
+	// Known reports whether the platform has answered since the start.
 	Known func() bool
 	// Entries lists the live entries, this one included.
 	Entries func() []core.HostName
 	// Ask asks another entry to record a claim.
 	Ask func(ctx context.Context, entry core.HostName, c *wire.ClaimCall) (*wire.ClaimReply, error)
 
-	books []*journal
-	slots listing
+	journals []*journal
+	listing  listing
 }
 
 const (
-	// journalSlots and segmentBytes bound a journal: at 56 bytes a claim, 256
-	// segments of 64 KiB hold 300,000 claims, in all four journals a day of 14 a
-	// second or 40 minutes of 500 a second. A segment is written again with every
-	// group, so it is kept small; a ring is read whole by an entry that takes it
-	// over, so it has few segments.
+	// journalSlots and segmentBytes bound a journal. At 56 bytes a claim, 256 segments
+	// of 64 KiB hold 300,000 claims; all four journals hold those of a day at 14 a
+	// second, or of 40 minutes at 500 a second. Segments are small since a segment is
+	// rewritten with every group of claims. There are few of them since an entry that
+	// takes over a journal reads it whole.
 	journalSlots = 256
 	segmentBytes = 64 * core.KiB
 	// maxClaims bounds the claims that wait in one journal.
 	maxClaims = 4096
 	// platformTime bounds one call of the platform for a claim.
 	platformTime = time.Second
-	// askTime bounds the question to the entry in charge.
-	askTime = time.Second
+	// askTimeout bounds a call of the entry that leads a journal.
+	askTimeout = time.Second
 )
 
-// journal is one journal and the goroutine that owns it.
+// journal is one journal. The goroutine of Journals.serve owns all fields but events.
 type journal struct {
-	in      chan func(now time.Time) claims.Effects
+	events  chan func(now time.Time) claims.Effects
 	state   claims.Journal
 	waiting map[uint64]chan claims.Answer
 	token   uint64
-	// ready tells that the journal has been read whole once.
+	// ready is set once the journal has been read whole.
 	ready bool
 }
 
-// Init prepares the journals; Run serves them.
+// Init initialises the journals; Run serves them.
 func (s *Journals) Init() {
 	for n := range claims.Journals {
-		s.books = append(s.books, &journal{
-			in:      make(chan func(time.Time) claims.Effects, maxClaims),
+		s.journals = append(s.journals, &journal{
+			events:  make(chan func(time.Time) claims.Effects, maxClaims),
 			waiting: map[uint64]chan claims.Answer{},
 			state:   claims.Journal{Number: n, Slots: journalSlots, SegmentBytes: segmentBytes, MaxWaiting: maxClaims},
 		})
@@ -69,39 +69,40 @@
 
 // Run serves the journals until the context ends.
 func (s *Journals) Run(ctx context.Context) error {
-	ended := make(chan struct{}, len(s.books))
-	for _, b := range s.books {
+	ended := make(chan struct{}, len(s.journals))
+	for _, b := range s.journals {
 		go func() { s.serve(ctx, b); ended <- struct{}{} }()
 	}
 	s.keepWarm(ctx)
-	for range s.books {
+	for range s.journals {
 		<-ended
 	}
 	return nil
 }
 
-// warmTime is the time between two looks at which journals this entry leads.
-const warmTime = 200 * time.Millisecond
+// warmInterval is the time between two checks of which journals this entry leads.
+const warmInterval = 200 * time.Millisecond
 
-// keepWarm has the journals that this entry leads read before the first claim,
-// which would wait for it otherwise.
+// keepWarm reads the journals that this entry leads, since their first claims would
+// otherwise wait for that.
 func (s *Journals) keepWarm(ctx context.Context) {
-	tick := time.NewTicker(warmTime)
+	tick := time.NewTicker(warmInterval)
 	defer tick.Stop()
-	warm := make([]bool, len(s.books))
-	leads := make([]bool, len(s.books))
+	warm := make([]bool, len(s.journals))
+	leads := make([]bool, len(s.journals))
 	var ranked []core.HostName
 	for {
-		// Ranking 400 entries five times a second for each journal took a third
-		// of what an entry at rest may; they seldom change.
+		// The ranking is kept since the entries seldom change: ranking 400 entries for
+		// each journal five times a second took a third of the CPU time allowed to an
+		// idle entry.
 		if entries := s.Entries(); !slices.Equal(entries, ranked) {
 			ranked = slices.Clone(entries)
-			for n := range s.books {
+			for n := range s.journals {
 				first := claims.Rank(n, ranked)
 				leads[n] = len(first) > 0 && first[0] == s.Self
 			}
 		}
-		for n, b := range s.books {
+		for n, b := range s.journals {
 			if leads[n] && !warm[n] && s.Known() {
 				b.send(ctx, b.state.Warm)
 				warm[n] = true
@@ -116,7 +117,7 @@
 	}
 }
 
-// serve owns one journal: every event of it passes here.
+// serve handles all events of one journal, which it owns.
 func (s *Journals) serve(ctx context.Context, b *journal) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -128,22 +129,22 @@
 		timer.Reset(wait)
 		var effects claims.Effects
 		select {
-		case event := <-b.in:
+		case event := <-b.events:
 			effects = event(s.Clock.Now())
 		case <-timer.C:
 			effects = b.state.Tick(s.Clock.Now())
 		case <-ctx.Done():
 			return
 		}
-		s.carryOut(ctx, b, effects)
+		s.apply(ctx, b, effects)
 	}
 }
 
-func (s *Journals) carryOut(ctx context.Context, b *journal, e claims.Effects) {
+func (s *Journals) apply(ctx context.Context, b *journal, e claims.Effects) {
 	for _, a := range e.Answers {
-		if to := b.waiting[a.Token]; to != nil {
+		if answer := b.waiting[a.Token]; answer != nil {
 			delete(b.waiting, a.Token)
-			to <- a
+			answer <- a
 		}
 	}
 	b.ready = b.ready || b.state.Ready()
@@ -162,7 +163,7 @@
 // send passes an event to the journal's owner.
 func (b *journal) send(ctx context.Context, event func(time.Time) claims.Effects) {
 	select {
-	case b.in <- event:
+	case b.events <- event:
 	case <-ctx.Done():
 	}
 }
@@ -177,12 +178,12 @@
 	b.send(ctx, func(now time.Time) claims.Effects { return b.state.Read(now, replyOf(name, o, err)) })
 }
 
-// listAge is how old a list may be that slots are read from. While a journal is
-// read for the first time, one list serves for all of its slots, which a read
-// of each would take the platform's budget for seconds. Old content does no
-// harm: a segment that has moved on makes the next append, which is conditional
-// on the version read, fail; it is then read by itself.
-const listAge = 2 * time.Second
+// maxListAge is how old a list may be from which slots are read. When a journal is read
+// for the first time, one list serves all of its slots; reading each slot would use up
+// the platform's budget for seconds. Outdated content does no harm: if a segment has
+// changed since, the next append fails, as it is conditional on the version read, and
+// the segment is then read alone.
+const maxListAge = 2 * time.Second
 
 // listing is the latest list of all journals' slots.
 type listing struct {
@@ -191,7 +192,7 @@
 	objects map[string]core.Object
 }
 
-// readMany reads many slots, as when a journal is taken over, from one list.
+// readMany reads many slots from one list, as when a journal is taken over.
 func (s *Journals) readMany(ctx context.Context, b *journal, names []string) {
 	objects, err := s.list(ctx)
 	for _, name := range names {
@@ -205,34 +206,34 @@
 }
 
 func (s *Journals) list(ctx context.Context) (map[string]core.Object, error) {
-	s.slots.mu.Lock()
-	defer s.slots.mu.Unlock()
-	if s.Clock.Now().Before(s.slots.until) {
-		return s.slots.objects, nil
+	s.listing.mu.Lock()
+	defer s.listing.mu.Unlock()
+	if s.Clock.Now().Before(s.listing.until) {
+		return s.listing.objects, nil
 	}
 	call, stop := context.WithTimeout(ctx, platformTime)
 	defer stop()
-	asked := s.Clock.Now()
+	requested := s.Clock.Now()
 	l, err := s.Platform.List(call, core.KindClaim)
 	if err != nil {
 		return nil, err
 	}
-	s.slots.objects = make(map[string]core.Object, len(l.Objects))
+	s.listing.objects = make(map[string]core.Object, len(l.Objects))
 	for _, o := range l.Objects {
-		s.slots.objects[o.Name] = o
+		s.listing.objects[o.Name] = o
 	}
-	s.slots.until = asked.Add(listAge)
-	return s.slots.objects, nil
+	s.listing.until = requested.Add(maxListAge)
+	return s.listing.objects, nil
 }
 
 func (s *Journals) write(ctx context.Context, b *journal, w claims.Write) {
 	call, stop := context.WithTimeout(ctx, platformTime)
 	defer stop()
-	do := s.Platform.Update
+	put := s.Platform.Update
 	if w.Create {
-		do = s.Platform.Create
+		put = s.Platform.Create
 	}
-	o, err := do(call, w.Object)
+	o, err := put(call, w.Object)
 	b.send(ctx, func(now time.Time) claims.Effects { return b.state.Wrote(now, replyOf(w.Object.Name, o, err)) })
 }
 
@@ -248,16 +249,15 @@
 	return claims.Reply{Name: name, Fault: fault}
 }
 
-// Claim records a claim through the entry in charge of the key's journal, or
-// here where that one does not answer: any entry may append, since every append
-// is conditional.
+// Claim records a claim through the entry that leads the key's journal, or locally if
+// that entry does not answer. Any entry may append, since every append is conditional.
 func (s *Journals) Claim(ctx context.Context, a claims.Ask) claims.Answer {
 	n := claims.JournalOf(a.Claim.ID)
 	ranked := claims.Rank(n, s.Entries())
 	if len(ranked) == 0 || ranked[0] == s.Self {
 		return s.Local(ctx, a)
 	}
-	call, stop := context.WithTimeout(ctx, askTime)
+	call, stop := context.WithTimeout(ctx, askTimeout)
 	reply, err := s.Ask(call, ranked[0], callOf(a))
 	stop()
 	if err != nil {
@@ -266,9 +266,9 @@
 	return answerOf(reply)
 }
 
-// Local records a claim here.
+// Local records a claim without asking another entry.
 func (s *Journals) Local(ctx context.Context, a claims.Ask) claims.Answer {
-	b := s.books[claims.JournalOf(a.Claim.ID)]
+	b := s.journals[claims.JournalOf(a.Claim.ID)]
 	to := make(chan claims.Answer, 1)
 	b.send(ctx, func(now time.Time) claims.Effects {
 		b.token++
@@ -286,5 +286,5 @@
 
 // Serve records a claim for another entry.
 func (s *Journals) Serve(ctx context.Context, c *wire.ClaimCall) *wire.ClaimReply {
-	return replyTo(s.Local(ctx, askOf(c, s.Clock.Now().Add(askTime))))
+	return replyTo(s.Local(ctx, askOf(c, s.Clock.Now().Add(askTimeout))))
 }
--- a/io/entry/journal_test.go
+++ b/io/entry/journal_test.go
@@ -19,8 +19,8 @@
 	"radishwell/wire"
 )
 
-// journals starts the journals of some entries on one platform; each asks the
-// others by function.
+// journals starts the journals of n entries on one platform. They call each other
+// directly.
 func journals(t *testing.T, n int) []*entry.Journals {
 	t.Helper()
 	web := httptest.NewServer(&apisrv.Server{History: 1000})
@@ -44,7 +44,7 @@
 						return list[j].Serve(ctx, c), nil
 					}
 				}
-				return nil, unreachedError{}
+				return nil, unreachableError{}
 			},
 		}
 		list[i].Init()
@@ -69,8 +69,8 @@
 	}}
 }
 
-// The same key is claimed through several entries at once. Exactly one sending
-// may win, and all others must be told whose claim it is.
+// The same key is claimed through several entries at once. Guards against two sendings
+// that win, and against losers that are given the wrong holder.
 func TestOneClaimWins(t *testing.T) {
 	t.Parallel()
 	list := journals(t, 3)
--- a/io/entry/keyed.go
+++ b/io/entry/keyed.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// claimTime is how long an entry waits for a claim to be recorded: ten group
-	// commits, or a retry after a lost answer.
-	claimTime = 2 * time.Second
-	// claimPatience is how long it asks again while the claim is not recorded:
-	// longer than the entry in charge takes to be replaced at a planned stop, and
-	// short enough that callers hear of a platform's outage in time to act.
-	claimPatience = 3 * time.Second
-	claimPause    = 100 * time.Millisecond
+	// claimTimeout is how long an entry waits for a claim to be recorded: the time of
+	// ten group commits, or of a retry after a lost answer.
+	claimTimeout = 2 * time.Second
+	// claimRetryTime is how long an entry retries while a claim is not recorded: longer
+	// than it takes to replace the entry that leads a journal at a planned stop, and
+	// short enough that callers learn of a platform outage in time to act.
+	claimRetryTime  = 3 * time.Second
+	claimRetryPause = 100 * time.Millisecond
 )
 
 // runKeyed runs a request that may not be repeated under its idempotency key.
@@ -31,7 +31,7 @@
 	r := j.call.Request
 	call := claims.Call{
 		ID: dedupe.KeyOf(r.Owner, r.Key), Fingerprint: r.Fingerprint,
-		Claimant: j.e.draw((*rand.Rand).Uint64), Deadline: r.Deadline, Expires: claims.ExpiryOf(r.Deadline, j.e.KeyAge),
+		Claimant: j.e.random((*rand.Rand).Uint64), Deadline: r.Deadline, Expires: claims.ExpiryOf(r.Deadline, j.e.KeyAge),
 	}
 	k := keyed{j: j, call: &call}
 	step := call.Start(j.e.Clock.Now())
@@ -44,7 +44,7 @@
 		case claims.StepHandOver:
 			step = k.handOver(ctx, step.Claim)
 		case claims.StepAsk:
-			step = k.ask(ctx, step)
+			step = k.askAgent(ctx, step)
 		case claims.StepAttach:
 			step = k.attach(ctx, step.Claim)
 		case claims.StepRefuse:
@@ -55,20 +55,20 @@
 	}
 }
 
-// keyed drives one request's claims.Call.
+// keyed carries out the steps of one request's claims.Call.
 type keyed struct {
 	j     *job
 	call  *claims.Call
 	tried []core.HostName
-	// g is where the caller's answer stands, whichever connection it came over.
-	g *reading
+	// reading is the progress of the caller's answer, over all connections.
+	reading *reading
 }
 
 func (k *keyed) now() time.Time { return k.j.e.Clock.Now() }
 
-// pick chooses a host whose incarnation is known: a claim names both. Where
-// there is none it waits as long as a request without a key would, since a
-// service's only host may be restarting.
+// pick chooses a host whose incarnation is known, since a claim names both. If there is
+// none, it waits as long as a request without a key would, since the only host of a
+// service may be restarting.
 func (k *keyed) pick(ctx context.Context) claims.Step {
 	r := k.j.call.Request
 	c := retry.Case{Request: r}
@@ -78,19 +78,19 @@
 			return k.call.Picked(h.Name, incarnation)
 		}
 		c.Attempts = append(c.Attempts, retry.Attempt{Refusal: noHost(k.now(), r.Target)})
-		d := k.j.e.decide(c)
+		d := k.j.e.decideRetry(c)
 		if d.Action == retry.GiveUp {
 			return k.call.NoHost(d.Refusal)
 		}
 		k.tried = nil
 		if !k.j.waitUntil(ctx, d.At) {
-			return k.call.NoHost(k.j.over(ctx, nil, noHost(k.now(), r.Target)))
+			return k.call.NoHost(k.j.expired(ctx, nil, noHost(k.now(), r.Target)))
 		}
 	}
 }
 
-// find returns the first host of a plan that answers, with its incarnation;
-// zero where there is none.
+// find returns the first host of a plan that answers, with its incarnation; zero if
+// there is none.
 func (k *keyed) find(ctx context.Context, r core.Request) (Host, core.Incarnation) {
 	choices, hosts := k.j.e.plan(ctx, r, k.tried)
 	for _, c := range choices {
@@ -102,8 +102,8 @@
 	return Host{}, 0
 }
 
-// incarnationOf returns a host's incarnation, asked for where it is not known;
-// zero where the host does not answer.
+// incarnationOf returns a host's incarnation. It probes the host if the incarnation is
+// not known, and returns zero if the host does not answer.
 func (e *Entry) incarnationOf(ctx context.Context, h Host, t core.Target) core.Incarnation {
 	e.mu.Lock()
 	known := e.host(h.Name).incarnation
@@ -119,19 +119,19 @@
 	return e.host(h.Name).incarnation
 }
 
-// claim has the claim recorded. It asks again with the same claim while it is
-// not known to be recorded: the claimant's number tells a claim that was, though
-// the answer was lost, from another's.
+// claim has the claim recorded. It retries with the same claim until that is known to
+// be recorded: if an answer was lost, the claimant's number distinguishes the recorded
+// claim from another's.
 func (k *keyed) claim(ctx context.Context, c claims.Claim) claims.Step {
-	until := k.now().Add(claimPatience)
+	until := k.now().Add(claimRetryTime)
 	var answer claims.Answer
 	for {
-		giveUp := k.now().Add(claimTime)
+		giveUp := k.now().Add(claimTimeout)
 		if k.call.Deadline.Before(giveUp) {
 			giveUp = k.call.Deadline
 		}
 		answer = k.j.e.Claim(ctx, claims.Ask{Claim: c, GiveUp: giveUp})
-		again := k.now().Add(claimPause)
+		again := k.now().Add(claimRetryPause)
 		if answer.Result != claims.Unsure || !again.Before(until) || !k.j.waitUntil(ctx, again) {
 			break
 		}
@@ -140,7 +140,7 @@
 	if answer.Result == claims.Unsure {
 		events.Log(events.ClaimsUnavailable, "request", k.j.call.Request.ID)
 	}
-	k.j.e.trail(k.j.call.Request.ID, k.now(), "claim "+claimText(answer.Result)+" for "+string(c.Host))
+	k.j.e.recordStep(k.j.call.Request.ID, k.now(), "claim "+claimText(answer.Result)+" for "+string(c.Host))
 	return k.call.Claimed(k.now(), answer)
 }
 
@@ -173,19 +173,19 @@
 	return head
 }
 
-// handOver sends the request, once.
+// handOver sends the request to the claim's host, once.
 func (k *keyed) handOver(ctx context.Context, c claims.Claim) claims.Step {
 	h, ok := k.j.e.Find(c.Host)
 	if !ok {
 		return k.call.Ended(k.now(), claims.EndUnsent, nil, true)
 	}
 	since := k.now()
-	k.j.e.handing(h, k.j.call.Request)
+	k.j.e.startAttempt(h, k.j.call.Request)
 	k.j.call.Answer.Reset()
-	k.g = &reading{to: k.j.call.Answer, clock: k.j.e.Clock}
-	refusal, lost := k.j.read(ctx, h, k.head(c, h), k.j.call.Body, k.g)
-	k.j.e.handed(h, k.j.call.Request, lossRefusal(refusal, lost), k.j.cold, since)
-	return k.over(ctx, refusal, lost)
+	k.reading = &reading{to: k.j.call.Answer, clock: k.j.e.Clock}
+	refusal, lost := k.j.readAnswer(ctx, h, k.head(c, h), k.j.call.Body, k.reading)
+	k.j.e.endAttempt(h, k.j.call.Request, lossRefusal(refusal, lost), k.j.cold, since)
+	return k.reportEnd(ctx, refusal, lost)
 }
 
 func lossRefusal(r *core.Refusal, l *loss) *core.Refusal {
@@ -195,11 +195,11 @@
 	return r
 }
 
-// over tells the call how a hand-over or an attachment ended.
-func (k *keyed) over(ctx context.Context, refusal *core.Refusal, lost *loss) claims.Step {
+// reportEnd passes the result of a hand-over or an attachment to the call.
+func (k *keyed) reportEnd(ctx context.Context, refusal *core.Refusal, lost *loss) claims.Step {
 	switch {
 	case lost != nil && callerGone(ctx, lost.cause):
-		return claims.Step{Kind: claims.StepRefuse, Refusal: gone(ctx, "")}
+		return claims.Step{Kind: claims.StepRefuse, Refusal: interrupted(ctx, "")}
 	case lost != nil && lost.sent:
 		return k.call.Ended(k.now(), claims.EndLost, nil, false)
 	case lost != nil:
@@ -207,35 +207,35 @@
 	case refusal == nil:
 		return k.call.Ended(k.now(), claims.EndWhole, nil, false)
 	}
-	again := refusal.Outcome == core.NotRun && k.again(refusal)
-	return k.call.Ended(k.now(), claims.EndRefused, refusal, again)
+	mayRetry := refusal.Outcome == core.NotRun && k.mayRetry(refusal)
+	return k.call.Ended(k.now(), claims.EndRefused, refusal, mayRetry)
 }
 
-// again asks core/retry whether a refused attempt may be made elsewhere.
-func (k *keyed) again(refusal *core.Refusal) bool {
-	d := k.j.e.decide(retry.Case{
+// mayRetry asks core/retry whether a refused attempt may be made elsewhere.
+func (k *keyed) mayRetry(refusal *core.Refusal) bool {
+	d := k.j.e.decideRetry(retry.Case{
 		Request: k.j.call.Request, Attempts: []retry.Attempt{{Host: refusal.Host, Refusal: refusal}},
 		Begun: k.j.call.Answer.Begun(), HostsLeft: 1,
 	})
 	return d.Action == retry.Again
 }
 
-// patience is how long an entry waits for an attempt that another sending of the
-// request has claimed to reach its agent, before it has the attempt sealed: a
-// claimant hands over within milliseconds, unless it is paused or dead.
-// peekPause is the time between two looks.
+// arrivalTimeout is how long an entry waits until an attempt that another sending of
+// the request has claimed reaches its agent, before it has the attempt sealed. A
+// claimant hands over within milliseconds unless it is paused or dead. peekInterval is
+// the time between two checks.
 const (
-	patience  = time.Second
-	peekPause = 20 * time.Millisecond
+	arrivalTimeout = time.Second
+	peekInterval   = 20 * time.Millisecond
 )
 
-// ask asks the agent of a claim what became of the attempt.
-func (k *keyed) ask(ctx context.Context, step claims.Step) claims.Step {
+// askAgent asks the agent named in a claim what became of the attempt.
+func (k *keyed) askAgent(ctx context.Context, step claims.Step) claims.Step {
 	if step.Claim.Claimant != k.call.Claimant {
-		k.waitFor(ctx, step.Claim)
+		k.waitForArrival(ctx, step.Claim)
 	}
 	if !k.j.waitUntil(ctx, step.At) {
-		return claims.Step{Kind: claims.StepRefuse, Refusal: gone(ctx, step.Claim.Host)}
+		return claims.Step{Kind: claims.StepRefuse, Refusal: interrupted(ctx, step.Claim.Host)}
 	}
 	c := step.Claim
 	h, ok := k.j.e.Find(c.Host)
@@ -246,24 +246,24 @@
 	if err != nil {
 		return k.call.Asked(k.now(), claims.Standing{})
 	}
-	k.j.e.trail(k.j.call.Request.ID, k.now(), "attempt at "+string(c.Host)+" is "+dedupe.State(reply.GetState()).String())
+	k.j.e.recordStep(k.j.call.Request.ID, k.now(), "attempt at "+string(c.Host)+" is "+dedupe.State(reply.GetState()).String())
 	return k.call.Asked(k.now(), claims.Standing{Reached: true, State: dedupe.State(reply.GetState())})
 }
 
-// waitFor waits until another sending's attempt has reached its agent.
-func (k *keyed) waitFor(ctx context.Context, c claims.Claim) {
+// waitForArrival waits until the attempt of another sending has reached its agent.
+func (k *keyed) waitForArrival(ctx context.Context, c claims.Claim) {
 	h, ok := k.j.e.Find(c.Host)
-	until := k.now().Add(patience)
+	until := k.now().Add(arrivalTimeout)
 	for ok && k.now().Before(until) {
 		reply, err := k.seal(ctx, h, c, true)
-		if err == nil && !reply.GetUnseen() || !k.j.waitUntil(ctx, k.now().Add(peekPause)) {
+		if err == nil && !reply.GetUnseen() || !k.j.waitUntil(ctx, k.now().Add(peekInterval)) {
 			return
 		}
 	}
 }
 
 func (k *keyed) seal(ctx context.Context, h Host, c claims.Claim, peek bool) (*wire.SealReply, error) {
-	ctx, stop := context.WithTimeout(ctx, sealTime)
+	ctx, stop := context.WithTimeout(ctx, sealTimeout)
 	defer stop()
 	return k.j.e.Seal(ctx, h, &wire.SealCall{
 		Owner: string(k.j.call.Request.Owner), Key: k.j.call.Request.Key, Attempt: c.Attempt, Incarnation: uint64(c.Incarnation),
@@ -271,16 +271,16 @@
 	})
 }
 
-// attach reads an attempt's answer from where the caller's stands.
+// attach reads an attempt's answer from the offset that the caller's has reached.
 func (k *keyed) attach(ctx context.Context, c claims.Claim) claims.Step {
 	h, ok := k.j.e.Find(c.Host)
 	if !ok {
 		return k.call.Asked(k.now(), claims.Standing{Gone: true})
 	}
-	if k.g == nil {
-		k.g = &reading{to: k.j.call.Answer, clock: k.j.e.Clock}
+	if k.reading == nil {
+		k.reading = &reading{to: k.j.call.Answer, clock: k.j.e.Clock}
 	}
-	head := attachHead(k.head(c, h), k.g.offset)
-	refusal, lost := k.j.read(ctx, h, head, nil, k.g)
-	return k.over(ctx, refusal, lost)
+	head := attachHead(k.head(c, h), k.reading.offset)
+	refusal, lost := k.j.readAnswer(ctx, h, head, nil, k.reading)
+	return k.reportEnd(ctx, refusal, lost)
 }
--- a/io/entry/note.go
+++ b/io/entry/note.go
@@ -14,9 +14,9 @@
 	"radishwell/wire"
 )
 
-// handing notes that a request goes to a host now, and returns the host's
-// incarnation as last known, zero where it is not.
-func (e *Entry) handing(h Host, r core.Request) core.Incarnation {
+// startAttempt records that a request is sent to a host now. It returns the host's
+// incarnation as last known, zero if it is not known.
+func (e *Entry) startAttempt(h Host, r core.Request) core.Incarnation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.host(h.Name)
@@ -30,8 +30,8 @@
 	return h.Incarnation
 }
 
-// handed notes how an attempt at a host ended.
-func (e *Entry) handed(h Host, r core.Request, refusal *core.Refusal, cold bool, since time.Time) {
+// endAttempt records how an attempt at a host ended.
+func (e *Entry) endAttempt(h Host, r core.Request, refusal *core.Refusal, cold bool, since time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
@@ -40,26 +40,26 @@
 	took := now.Sub(since)
 	switch {
 	case refusal == nil && cold:
-		e.noteCost(r.Target, e.host(h.Name).tier(r.Target.Model), took)
+		e.recordColdStart(r.Target, e.host(h.Name).tier(r.Target.Model), took)
 	case refusal == nil:
 		e.router.Observe(now, route.Report{Host: h.Name, Target: r.Target, Result: route.Served, Took: took, Cost: cost(r)})
-	case broken(refusal.Code) || refusal.Code == core.CodeUpstreamFailed:
+	case isContactLoss(refusal.Code) || refusal.Code == core.CodeUpstreamFailed:
 		e.router.Observe(now, route.Report{Host: h.Name, Target: r.Target, Result: route.Broken, Took: took, Cost: cost(r)})
 	}
 	e.Noted(member.Contact{
-		Host: h.Name, OK: refusal == nil || !broken(refusal.Code), Since: since,
+		Host: h.Name, OK: refusal == nil || !isContactLoss(refusal.Code), Since: since,
 		Incarnation: e.host(h.Name).incarnation, Leaving: refusal != nil && refusal.Code == core.CodeLeaving,
 	})
 }
 
-// broken tells whether a refusal means that contact with a host or its upstream
-// failed.
-func broken(code core.Code) bool {
+// isContactLoss reports whether a refusal means that contact with a host or its
+// upstream was lost.
+func isContactLoss(code core.Code) bool {
 	return code == core.CodeUpstreamLost || code == core.CodeUnreached
 }
 
-// watchOverdue tells the router when an attempt takes much longer than others
-// did. Without it a host that hangs is noticed only when its requests end.
+// watchOverdue reports to the router when an attempt takes much longer than others did.
+// Otherwise a host that hangs would be noticed only when its requests end.
 func (e *Entry) watchOverdue(h Host, r core.Request, since time.Time) *time.Timer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,23 +77,23 @@
 	})
 }
 
-// ended takes what rides on an answer's end.
-func (e *Entry) ended(h Host, end *wire.End) {
+// applyEnd applies the load and the strikes that an answer's end frame carries.
+func (e *Entry) applyEnd(h Host, end *wire.End) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.noteLoad(h.Name, end.GetLoad())
+	e.recordLoad(h.Name, end.GetLoad())
 	if len(end.GetStrikes()) > 0 {
 		e.mergeStrikes(relay.StrikesIn(end.GetStrikes()))
 	}
 }
 
-func (e *Entry) firstAttempt(set core.ServiceName) {
+func (e *Entry) recordFirstAttempt(set core.ServiceName) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.budgets.First(set)
 }
 
-func (e *Entry) decide(c retry.Case) retry.Decision {
+func (e *Entry) decideRetry(c retry.Case) retry.Decision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	d := e.budgets.Decide(e.Clock.Now(), c, e.Rand)
@@ -101,15 +101,15 @@
 	return d
 }
 
-// draw returns a random number; the source is not safe for concurrent use.
-func (e *Entry) draw(from func(*rand.Rand) uint64) uint64 {
+// random returns a random number; the source is not safe for concurrent use.
+func (e *Entry) random(from func(*rand.Rand) uint64) uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return from(e.Rand)
 }
 
-// strikesAgainst returns what is held against a request, and whether it goes to
-// its trial.
+// strikesAgainst returns the strikes against a request, and whether the request is a
+// suspect that goes to its trial.
 func (e *Entry) strikesAgainst(f core.Fingerprint) (list []*wire.Strike, trial bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -117,7 +117,7 @@
 	return relay.StrikesOut(e.book.Against(now, f)), !e.book.Settled(now, f).IsZero()
 }
 
-// cancelAt tells a host in the background that a request's caller has gone.
+// cancelAt notifies a host in the background that a request's caller has left.
 func (e *Entry) cancelAt(h Host, id core.RequestID) {
 	e.calls.Add(1)
 	go func() {
@@ -126,22 +126,23 @@
 	}()
 }
 
-// Strikes returns what this entry knows against requests, for peers.
+// Strikes returns the strikes that this entry knows, for its peers.
 func (e *Entry) Strikes() []strike.Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.book.Records(e.Clock.Now())
 }
 
-// MergeStrikes takes strikes from peers and tells whether any was news.
+// MergeStrikes adds strikes from peers and reports whether any was new.
 func (e *Entry) MergeStrikes(list []strike.Record) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.mergeStrikes(list)
 }
 
-// mergeStrikes speaks for requests that have ended well here, and tells the
-// hosts that have copies of the others. The lock is held.
+// mergeStrikes adds strikes. For a request that has ended well here, it sends peers a
+// record of that; for one that is in flight, it sends the new strikes to the host that
+// has it. The lock is held.
 func (e *Entry) mergeStrikes(list []strike.Record) bool {
 	now := e.Clock.Now()
 	news := e.book.Merge(now, list)
@@ -156,15 +157,14 @@
 	return len(news) > 0
 }
 
-// Quarantined lists the requests that something is held against, ClearStrikes
-// voids what is held against one. Operators call both.
+// Quarantined lists the requests that strikes are held against, for operators.
 func (e *Entry) Quarantined() []strike.Finding {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.book.List(e.Clock.Now())
 }
 
-// ClearStrikes voids what is held against a request.
+// ClearStrikes voids the strikes against a request. Operators call it.
 func (e *Entry) ClearStrikes(f core.Fingerprint) {
 	e.mu.Lock()
 	mark := e.book.Clear(e.Clock.Now(), f)
--- a/io/entry/path_test.go
+++ b/io/entry/path_test.go
@@ -63,15 +63,14 @@
 	})
 }
 
-// An operator looked at how many requests an entry had under way and always saw
-// none: they were counted among those that wait for their turn. The gauge is one
-// while a stream flows and none once it has ended.
+// Guards against requests in progress that are counted as waiting, so that their gauge
+// stays zero. It is one while a stream runs and zero after.
 func TestRunningIsShown(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.engineHost("up-1", &llmsrv.Server{LoadTimes: quickLoads, TokenTime: 20 * time.Millisecond})
 	url := f.entryHost()
-	shows := func(n int) func() bool {
+	gaugeIs := func(n int) func() bool {
 		return func() bool {
 			var b strings.Builder
 			f.entries[0].Meter.Write(&b)
@@ -80,7 +79,7 @@
 	}
 	ended := make(chan answer, 1)
 	go func() { ended <- chat(t, url, "alpha", "x", true, 50) }()
-	waitFor(t, "the request is not shown", shows(1))
+	waitFor(t, "the request is not shown", gaugeIs(1))
 	assertDone(t, <-ended)
-	waitFor(t, "the request is shown after its end", shows(0))
+	waitFor(t, "the request is shown after its end", gaugeIs(0))
 }
--- a/io/entry/queue.go
+++ b/io/entry/queue.go
@@ -13,32 +13,33 @@
 	"radishwell/io/meter"
 )
 
-// await admits a request and waits for its turn. It returns nil when the
-// request may go on; release must be called then.
-func (e *Entry) await(ctx context.Context, c *front.Call) *core.Refusal {
-	t, refusal := e.enter(c)
+// awaitTurn admits a request and waits until it may start. It returns nil if the request
+// has started; release must be called then.
+func (e *Entry) awaitTurn(ctx context.Context, c *front.Call) *core.Refusal {
+	t, refusal := e.enqueue(c)
 	if refusal != nil {
 		return refusal
 	}
 	select {
-	case <-t.given:
+	case <-t.decided:
 		return t.refusal
 	case <-ctx.Done():
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	select {
-	case <-t.given:
-		// The turn came at the same moment; it is handed back by the caller.
+	case <-t.decided:
+		// The request started or was refused at the same moment. If it started, the
+		// caller of awaitTurn releases it.
 		return t.refusal
 	default:
 	}
 	e.queue.Remove(t.request.ID)
-	e.drop(t, core.Refuse(core.CodeCancelled, "the caller went away"))
+	e.refuse(t, core.Refuse(core.CodeCancelled, "the caller went away"))
 	return t.refusal
 }
 
-func (e *Entry) enter(c *front.Call) (*turn, *core.Refusal) {
+func (e *Entry) enqueue(c *front.Call) (*waiter, *core.Refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
@@ -50,8 +51,8 @@
 	if refusal := e.admit.Check(now, c.Request, bounds); refusal != nil {
 		return nil, refusal
 	}
-	t := &turn{request: c.Request, given: make(chan struct{})}
-	e.turns[c.Request.ID] = t
+	t := &waiter{request: c.Request, decided: make(chan struct{})}
+	e.waiters[c.Request.ID] = t
 	e.lane(c.Request.Target)
 	pushed := e.queue.Push(now, queue.Item{
 		ID: c.Request.ID, Lane: c.Request.Target.Name(), Owner: c.Request.Owner, Caller: c.Request.Caller,
@@ -59,10 +60,10 @@
 	})
 	e.refuseAll(pushed.Displaced)
 	if pushed.Refusal != nil {
-		delete(e.turns, c.Request.ID)
+		delete(e.waiters, c.Request.ID)
 		return nil, pushed.Refusal
 	}
-	// A request that the queue refuses has used none of its owner's rate.
+	// A request that the queue refuses is not counted against its owner's rate.
 	e.admit.Take(now, c.Request, bounds)
 	e.schedule(now)
 	loop.Poke(e.alarm)
@@ -88,27 +89,29 @@
 	return l
 }
 
-// schedule gives turns to the requests that may go on. The lock is held.
+// schedule starts the requests that may start and refuses those that have expired. The
+// lock is held.
 func (e *Entry) schedule(now time.Time) {
 	e.refuseAll(e.queue.Expire(now))
 	for {
-		item, ok := e.queue.Pop(now, e.free)
+		item, ok := e.queue.Pop(now, e.freePlaces)
 		e.refuseAll(e.queue.Expire(now))
 		if !ok {
 			return
 		}
-		e.give(now, e.turns[item.ID])
+		e.start(now, e.waiters[item.ID])
 	}
 }
 
-// holds are how far a concurrency limit that is in use reaches in the queue.
+// holds maps each scope of an exhausted concurrency limit to the part of the queue that
+// it holds back.
 var holds = map[admit.Scope]queue.Hold{
 	admit.Owner: queue.HoldOwner, admit.Caller: queue.HoldCaller, admit.Target: queue.HoldLane, admit.Service: queue.HoldLane,
 }
 
-// may tells the queue whether a request may start as far as concurrency limits
-// go. One that may not keeps its place.
-func (e *Entry) may(i queue.Item) queue.Hold {
+// mayStart returns which part of the queue concurrency limits hold back because of an
+// item. An item that may not start keeps its place.
+func (e *Entry) mayStart(i queue.Item) queue.Hold {
 	scope, blocked := e.admit.Blocked(i.ID)
 	if !blocked {
 		return queue.Go
@@ -116,50 +119,51 @@
 	return holds[scope]
 }
 
-// free tells how many more requests of a lane may be in progress.
-func (e *Entry) free(name string) int {
+// freePlaces returns how many more requests of a lane may be in progress.
+func (e *Entry) freePlaces(name string) int {
 	l := e.lanes[name]
-	window := leastWindow
-	// Membership judges the hosts at each call; only a limit asks how many.
+	window := minWindow
+	// Listing the hosts makes membership judge each of them, so it is done only for a
+	// limit that needs their number.
 	if entry, ok := e.Snapshot().Entry(l.target); ok && entry.Limits.Concurrency > 0 {
 		window = max(window, windowFactor*entry.Limits.Concurrency*len(e.Hosts(l.target)))
 	}
 	return window - l.running
 }
 
-// give lets a request go on.
-func (e *Entry) give(now time.Time, t *turn) {
+// start lets a waiting request start.
+func (e *Entry) start(now time.Time, t *waiter) {
 	if t == nil || t.refusal != nil {
 		return
 	}
 	e.admit.Start(now, t.request.ID)
 	e.lane(t.request.Target).running++
 	e.running[t.request.Class]++
-	delete(e.turns, t.request.ID)
+	delete(e.waiters, t.request.ID)
 	e.Meter.Hop(meter.EntryQueue, t.request.Arrived, now)
-	close(t.given)
+	close(t.decided)
 }
 
-func (e *Entry) refuseAll(list []queue.Refused) {
-	for _, r := range list {
-		if t := e.turns[r.Item.ID]; t != nil {
-			e.drop(t, r.Refusal)
+func (e *Entry) refuseAll(refused []queue.Refused) {
+	for _, r := range refused {
+		if t := e.waiters[r.Item.ID]; t != nil {
+			e.refuse(t, r.Refusal)
 		}
 	}
 }
 
-// drop refuses a request that waits.
-func (e *Entry) drop(t *turn, refusal *core.Refusal) {
+// refuse refuses a waiting request.
+func (e *Entry) refuse(t *waiter, refusal *core.Refusal) {
 	if t.refusal != nil {
 		return
 	}
 	t.refusal = refusal
-	delete(e.turns, t.request.ID)
+	delete(e.waiters, t.request.ID)
 	e.admit.Done(e.Clock.Now(), t.request.ID)
-	close(t.given)
+	close(t.decided)
 }
 
-// release returns a request's place after its end.
+// release frees a request's place after its end.
 func (e *Entry) release(c *front.Call, refusal *core.Refusal, cold bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/io/entry/relay.go
+++ b/io/entry/relay.go
@@ -20,29 +20,32 @@
 
 const (
 	dialTimeout = time.Second
-	// A connection on which nothing has arrived for pingAfter is asked for a
-	// sign of life, and closed if none comes within pingTimeout: a connection
-	// that something between the two hosts has lost track of is found within
-	// two seconds, however slow the model is that is answering on it.
-	pingAfter   = time.Second
+	// A connection that has received nothing for pingDelay is pinged, and closed if no
+	// reply arrives within pingTimeout. A connection that a device between the two
+	// hosts has lost track of is thus found within two seconds, however slowly the
+	// model answers on it.
+	pingDelay   = time.Second
 	pingTimeout = time.Second
-	// streamBuffer bounds what one answer may have on its way to a slow caller.
-	streamBuffer = 256 << 10
-	connBuffer   = 16 << 20
-	cancelTime   = time.Second
+	// streamBuffer and connBuffer bound the data buffered for a slow caller, for one
+	// answer and for all answers of a connection, in bytes.
+	streamBuffer  = 256 << 10
+	connBuffer    = 16 << 20
+	cancelTimeout = time.Second
 )
 
-// Relay hands requests over to agents and reads their answers.
+// Relay sends requests to agents and reads their answers. Set the exported field before
+// use; its methods may be called from several goroutines.
 type Relay struct {
-	// TLS returns the configuration towards a host; nil for none.
+	// TLS returns the configuration for connections to a host, nil for none. The field
+	// itself is nil if no host has one.
 	TLS func(core.HostName) *tls.Config
 
 	clients clientSet
 }
 
-// handOverError reports a hand-over that ended without an answer's end.
+// handOverError reports a hand-over that did not yield an answer.
 type handOverError struct {
-	// sent tells that the agent may have the request.
+	// sent is set if the agent may have received the request.
 	sent  bool
 	cause error
 }
@@ -53,8 +56,8 @@
 // Unwrap returns the cause.
 func (e *handOverError) Unwrap() error { return e.cause }
 
-// newTransport returns a transport for one host: HTTP/2 with pings on silent
-// connections, over TLS if conf is set.
+// newTransport returns a transport for one host. It uses HTTP/2, with pings on silent
+// connections, and TLS if conf is set.
 func newTransport(conf *tls.Config) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	var protocols http.Protocols
@@ -63,14 +66,14 @@
 	return &http.Transport{
 		DialContext: dialer.DialContext, TLSClientConfig: conf, Protocols: &protocols, DisableCompression: true,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout: pingAfter, PingTimeout: pingTimeout, WriteByteTimeout: pingAfter + pingTimeout,
+			SendPingTimeout: pingDelay, PingTimeout: pingTimeout, WriteByteTimeout: pingDelay + pingTimeout,
 			MaxReceiveBufferPerStream: streamBuffer, MaxReceiveBufferPerConnection: connBuffer,
 		},
 	}
 }
 
-// open sends a request, or asks for the rest of its answer, and returns the
-// answer's frames. Its error is a handOverError.
+// open sends a request, or asks for the rest of its answer, and returns the answer's
+// frames. Its error is a handOverError.
 func (r *Relay) open(ctx context.Context, h Host, head *wire.WorkHead, body []byte) (io.ReadCloser, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
@@ -85,7 +88,7 @@
 	return answer.Body, nil
 }
 
-// StatusError reports an agent that does not speak the protocol as expected.
+// StatusError reports an agent that answered with an unexpected HTTP status.
 type StatusError struct{ Status int }
 
 // Error implements error.
@@ -101,20 +104,20 @@
 	if err != nil {
 		return nil, err
 	}
-	// A body that cannot be rewound keeps the transport from sending the
-	// request again by itself, which could run it twice.
-	req.Body = once{io.MultiReader(&buf, bytes.NewReader(body))}
+	// The body cannot be rewound, which keeps the transport from retrying the request
+	// itself and so running it twice.
+	req.Body = oneShotBody{io.MultiReader(&buf, bytes.NewReader(body))}
 	req.ContentLength = int64(buf.Len() + len(body))
 	return client.transport.RoundTrip(req)
 }
 
-type once struct{ io.Reader }
+type oneShotBody struct{ io.Reader }
 
-func (once) Close() error { return nil }
+func (oneShotBody) Close() error { return nil }
 
-// cancel tells an agent that a request's caller has gone.
+// cancel notifies an agent that a request's caller has left.
 func (r *Relay) cancel(h Host, id core.RequestID) {
-	ctx, stop := context.WithTimeout(context.Background(), cancelTime)
+	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
 	answer, err := r.post(ctx, h, agent.PathCancel, &wire.WorkHead{RequestId: string(id)}, nil)
 	if err == nil {
@@ -125,20 +128,20 @@
 // Close closes all connections that are not in use.
 func (r *Relay) Close() { r.clients.close() }
 
-// sink takes an answer's frames on the way to the caller.
+// sink receives an answer's header and data on their way to the caller.
 type sink interface {
 	Head(status int, header http.Header)
 	Data(p []byte) error
 }
 
-// reading is one answer being read, over as many connections as it takes.
+// reading is the progress of reading one answer, over as many connections as it takes.
 type reading struct {
-	to     sink
-	offset int64
-	headed bool
-	first  time.Time
-	clock  core.Clock
-	end    *wire.End
+	to         sink
+	offset     int64
+	headerSent bool
+	firstByte  time.Time
+	clock      core.Clock
+	end        *wire.End
 }
 
 // callerError reports that the caller's connection has ended.
@@ -146,9 +149,9 @@
 
 func (e *callerError) Error() string { return "the caller went away: " + e.cause.Error() }
 
-// frames copies an answer's frames until its end. Its error is a callerError or
-// a relay.FrameError.
-func (g *reading) frames(body io.Reader) error {
+// copyFrames copies an answer's frames until its end. Its error is a callerError or a
+// relay.FrameError.
+func (g *reading) copyFrames(body io.Reader) error {
 	in := relay.NewReader(body)
 	defer in.Release()
 	var f wire.Frame
@@ -158,9 +161,9 @@
 		}
 		switch kind := f.Kind.(type) {
 		case *wire.Frame_Head:
-			g.head(kind.Head)
+			g.writeHeader(kind.Head)
 		case *wire.Frame_Data:
-			if err := g.data(kind.Data); err != nil {
+			if err := g.writeData(kind.Data); err != nil {
 				return err
 			}
 		case *wire.Frame_End:
@@ -170,11 +173,11 @@
 	}
 }
 
-func (g *reading) head(h *wire.AnswerHead) {
-	if g.headed {
+func (g *reading) writeHeader(h *wire.AnswerHead) {
+	if g.headerSent {
 		return
 	}
-	g.headed = true
+	g.headerSent = true
 	header := http.Header{}
 	for _, f := range h.GetHeader() {
 		header.Add(f.GetName(), f.GetValue())
@@ -182,9 +185,9 @@
 	g.to.Head(int(h.GetStatus()), header)
 }
 
-func (g *reading) data(p []byte) error {
-	if g.first.IsZero() {
-		g.first = g.clock.Now()
+func (g *reading) writeData(p []byte) error {
+	if g.firstByte.IsZero() {
+		g.firstByte = g.clock.Now()
 	}
 	if err := g.to.Data(p); err != nil {
 		return &callerError{cause: err}
@@ -193,7 +196,8 @@
 	return nil
 }
 
-// callerGone tells whether an error means that the caller left.
+// callerGone reports whether an error means that the caller left or the deadline
+// passed.
 func callerGone(ctx context.Context, err error) bool {
 	var gone *callerError
 	return ctx.Err() != nil || errors.As(err, &gone)
--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -17,17 +17,18 @@
 	"radishwell/wire"
 )
 
-// job is one request on its way through an entry.
+// job is one request in progress at an entry.
 type job struct {
 	e    *Entry
 	call *front.Call
 	span spans.Span
-	// handed counts the hand-overs.
-	handed uint64
-	// first is when the answer's first byte came, cold that it waited for a load.
-	first time.Time
-	cold  bool
-	// waited tells that the request waited for something other than its turn.
+	// handOvers counts the hand-overs: the times that the request was sent to a host.
+	handOvers uint64
+	// firstByte is when the answer's first byte arrived. cold is set if the answer
+	// waited for a load.
+	firstByte time.Time
+	cold      bool
+	// waited is set if the request waited for anything but its turn in the queue.
 	waited bool
 }
 
@@ -36,16 +37,16 @@
 	j := &job{e: e, call: c, span: e.Tracer.Request(c.Trace, c.Request, c.Request.Arrived)}
 	ctx, stop := context.WithDeadline(ctx, c.Request.Deadline)
 	defer stop()
-	refusal := e.await(ctx, c)
+	refusal := e.awaitTurn(ctx, c)
 	if refusal == nil {
 		j.span.Hop(meter.EntryQueue, c.Request.Arrived, e.Clock.Now())
 		refusal = j.run(ctx)
-		// Neither a load nor a wait for a host tells how fast the target works: an
-		// agent's restart of three seconds would have the next callers refused for
-		// a wait that they do not have.
+		// Neither a load nor a wait for a host shows how fast the target works. If they
+		// counted, an agent's restart of three seconds would have later callers refused
+		// for a wait that no longer exists.
 		e.release(c, refusal, j.cold || j.waited)
 	}
-	j.close(refusal)
+	j.finish(refusal)
 }
 
 func (j *job) run(ctx context.Context) *core.Refusal {
@@ -55,11 +56,11 @@
 	return j.runAttempts(ctx)
 }
 
-// close ends the answer and records the outcome.
-func (j *job) close(refusal *core.Refusal) {
+// finish ends the answer and records the outcome.
+func (j *job) finish(refusal *core.Refusal) {
 	now := j.e.Clock.Now()
-	j.e.trail(j.call.Request.ID, now, "ended: "+ending(refusal))
-	j.e.Meter.Request(j.call.Request.Class, refusal, j.call.Request.Arrived, j.first, now, j.cold)
+	j.e.recordStep(j.call.Request.ID, now, "ended: "+outcomeText(refusal))
+	j.e.Meter.Request(j.call.Request.Class, refusal, j.call.Request.Arrived, j.firstByte, now, j.cold)
 	j.span.End(refusal, now)
 	if refusal == nil {
 		j.call.Answer.Done()
@@ -73,7 +74,7 @@
 	j.call.Answer.Fail(refusal)
 }
 
-func ending(r *core.Refusal) string {
+func outcomeText(r *core.Refusal) string {
 	if r == nil {
 		return core.Done.String()
 	}
@@ -84,7 +85,7 @@
 func (j *job) runAttempts(ctx context.Context) *core.Refusal {
 	c := retry.Case{Request: j.call.Request}
 	var tried []core.HostName
-	j.e.firstAttempt(j.call.Request.Target.Service)
+	j.e.recordFirstAttempt(j.call.Request.Target.Service)
 	for {
 		choices, hosts := j.e.plan(ctx, j.call.Request, tried)
 		refusal := noHost(j.e.Clock.Now(), j.call.Request.Target)
@@ -98,20 +99,20 @@
 			return nil
 		}
 		if ctx.Err() != nil {
-			return j.over(ctx, c.Attempts, refusal)
+			return j.expired(ctx, c.Attempts, refusal)
 		}
 		c.Attempts = append(c.Attempts, retry.Attempt{Host: refusal.Host, Refusal: refusal})
 		c.Begun = j.call.Answer.Begun()
 		c.HostsLeft = max(0, len(choices)-1)
-		d := j.e.decide(c)
-		j.e.trail(j.call.Request.ID, j.e.Clock.Now(), "attempt at "+string(refusal.Host)+": "+refusal.Error()+"; "+d.Why.String())
+		d := j.e.decideRetry(c)
+		j.e.recordStep(j.call.Request.ID, j.e.Clock.Now(), "attempt at "+string(refusal.Host)+": "+refusal.Error()+"; "+d.Why.String())
 		switch d.Action {
 		case retry.GiveUp:
 			return d.Refusal
 		case retry.Later:
 			tried = nil
 			if !j.waitUntil(ctx, d.At) {
-				return j.over(ctx, c.Attempts, refusal)
+				return j.expired(ctx, c.Attempts, refusal)
 			}
 		}
 		j.call.Answer.Reset()
@@ -125,9 +126,9 @@
 	return r
 }
 
-// over is the end of a request whose caller left or whose deadline passed: not
-// run only if no attempt may have.
-func (j *job) over(ctx context.Context, before []retry.Attempt, last *core.Refusal) *core.Refusal {
+// expired returns the refusal of a request whose caller left or whose deadline passed.
+// Its outcome is that of the last attempt, unless an earlier one may have run.
+func (j *job) expired(ctx context.Context, before []retry.Attempt, last *core.Refusal) *core.Refusal {
 	out := *last
 	out.Code, out.Reason = core.CodeCancelled, "the caller went away"
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -141,8 +142,8 @@
 	return &out
 }
 
-// waitUntil sleeps for want of a host, a claim or a connection. It is false where
-// the request's time or its caller ends the wait.
+// waitUntil waits for a host, a claim or a connection. It returns false if the deadline
+// passes or the caller leaves first.
 func (j *job) waitUntil(ctx context.Context, at time.Time) bool {
 	j.waited = true
 	timer := time.NewTimer(max(0, at.Sub(j.e.Clock.Now())))
@@ -159,20 +160,20 @@
 	return core.RefuseUntil(core.CodeNoHost, "no host may serve "+t.Name()+" at present", now.Add(time.Second))
 }
 
-// attempt hands the request to one host and relays its answer.
+// attempt sends the request to one host and relays its answer.
 func (j *job) attempt(ctx context.Context, h Host, choice route.Choice) *core.Refusal {
 	now := j.e.Clock.Now()
-	j.e.trail(j.call.Request.ID, now, "handed to "+string(h.Name)+" ("+choice.Reason.String()+")")
-	incarnation := j.e.handing(h, j.call.Request)
-	j.handed++
+	j.e.recordStep(j.call.Request.ID, now, "handed to "+string(h.Name)+" ("+choice.Reason.String()+")")
+	incarnation := j.e.startAttempt(h, j.call.Request)
+	j.handOvers++
 	head := j.head(h, incarnation)
 	overdue := j.e.watchOverdue(h, j.call.Request, now)
 	defer overdue.Stop()
-	refusal, lost := j.relay(ctx, h, head, j.call.Body)
+	refusal, lost := j.forward(ctx, h, head, j.call.Body)
 	if lost != nil {
-		refusal = j.afterLoss(ctx, h, head, lost)
+		refusal = j.recoverLoss(ctx, h, head, lost)
 	}
-	j.e.handed(h, j.call.Request, refusal, j.cold, now)
+	j.e.endAttempt(h, j.call.Request, refusal, j.cold, now)
 	return refusal
 }
 
@@ -185,7 +186,7 @@
 		Arrived: r.Arrived.UnixNano(), Deadline: r.Deadline.UnixNano(), Repeatable: r.Repeatable, Key: r.Key,
 		Fingerprint: uint64(r.Fingerprint), Tokens: int64(r.Tokens), Stream: r.Stream,
 		Method: j.call.Method, Path: j.call.Path, Trace: j.span.Traceparent(), BodySize: int64(len(j.call.Body)),
-		Incarnation: uint64(incarnation), Entry: string(j.e.Name), Prefixes: r.Prefixes, HandOver: j.handed,
+		Incarnation: uint64(incarnation), Entry: string(j.e.Name), Prefixes: r.Prefixes, HandOver: j.handOvers,
 	}
 	head.Strikes, head.Trial = j.e.strikesAgainst(r.Fingerprint)
 	for name, values := range j.call.Header {
@@ -196,84 +197,84 @@
 	return head
 }
 
-// relay hands over and reads the answer on one connection. The second result is
-// set where contact was lost before the answer's end.
-func (j *job) relay(ctx context.Context, h Host, head *wire.WorkHead, body []byte) (*core.Refusal, *loss) {
+// forward sends the request and reads the answer on one connection. The second result is
+// set if contact was lost before the answer's end.
+func (j *job) forward(ctx context.Context, h Host, head *wire.WorkHead, body []byte) (*core.Refusal, *loss) {
 	g := &reading{to: j.call.Answer, clock: j.e.Clock}
-	return j.read(ctx, h, head, body, g)
+	return j.readAnswer(ctx, h, head, body, g)
 }
 
-// loss is an answer whose connection broke.
+// loss describes an answer whose connection broke.
 type loss struct {
-	g     *reading
-	sent  bool
-	cause error
+	reading *reading
+	sent    bool
+	cause   error
 }
 
-func (j *job) read(ctx context.Context, h Host, head *wire.WorkHead, body []byte, g *reading) (*core.Refusal, *loss) {
+func (j *job) readAnswer(ctx context.Context, h Host, head *wire.WorkHead, body []byte, g *reading) (*core.Refusal, *loss) {
 	stream, err := j.e.Relay.open(ctx, h, head, body)
 	if err != nil {
 		var fault *handOverError
 		errors.As(err, &fault)
-		return nil, &loss{g: g, sent: fault == nil || fault.sent, cause: err}
+		return nil, &loss{reading: g, sent: fault == nil || fault.sent, cause: err}
 	}
 	from := g.offset
-	err = g.frames(stream)
+	err = g.copyFrames(stream)
 	stream.Close()
 	j.e.Meter.AnswerBytes(int(g.offset - from))
-	if g.first.IsZero() {
-		g.first = j.e.Clock.Now()
+	if g.firstByte.IsZero() {
+		g.firstByte = j.e.Clock.Now()
 	}
 	if err != nil {
-		return nil, &loss{g: g, sent: true, cause: err}
+		return nil, &loss{reading: g, sent: true, cause: err}
 	}
-	if j.first.IsZero() && g.offset > 0 {
-		j.first = g.first
-		j.span.Hop(meter.FirstToken, j.call.Request.Arrived, g.first)
-		j.span.Hop(meter.Stream, g.first, j.e.Clock.Now())
+	if j.firstByte.IsZero() && g.offset > 0 {
+		j.firstByte = g.firstByte
+		j.span.Hop(meter.FirstToken, j.call.Request.Arrived, g.firstByte)
+		j.span.Hop(meter.Stream, g.firstByte, j.e.Clock.Now())
 	}
 	j.cold = j.cold || g.end.GetCold()
 	j.span.Upstream(h.Name, j.cold)
-	j.e.ended(h, g.end)
+	j.e.applyEnd(h, g.end)
 	return relay.RefusalOf(g.end, h.Name), nil
 }
 
 const (
-	// resumeFor is how long an entry tries to reach an agent again for the rest
-	// of an answer: longer than a dead connection takes to be found at both
-	// ends, and shorter than an agent waits for a reader.
-	resumeFor   = 3 * time.Second
-	resumePause = 100 * time.Millisecond
-	sealTime    = 500 * time.Millisecond
+	// resumeTimeout is how long an entry tries to reach an agent again for the rest of
+	// an answer: longer than both ends take to find a dead connection, and shorter than
+	// an agent waits for a reader.
+	resumeTimeout  = 3 * time.Second
+	resumeInterval = 100 * time.Millisecond
+	sealTimeout    = 500 * time.Millisecond
 )
 
-// afterLoss finds out what became of a request without a key whose connection
-// broke. The agent either has it, and the answer is read on at the offset
-// reached, or has never seen it and never will run it.
-func (j *job) afterLoss(ctx context.Context, h Host, head *wire.WorkHead, l *loss) *core.Refusal {
+// recoverLoss finds out what became of a request without a key whose connection broke.
+// Either the agent has the request, and the answer is read on from the offset reached,
+// or the agent has never received it and will never run it.
+func (j *job) recoverLoss(ctx context.Context, h Host, head *wire.WorkHead, l *loss) *core.Refusal {
 	if !l.sent {
 		return core.RefuseUntil(core.CodeUnreached, "the host cannot be reached", j.e.Clock.Now().Add(time.Second))
 	}
-	until := j.e.Clock.Now().Add(resumeFor)
+	until := j.e.Clock.Now().Add(resumeTimeout)
 	for j.e.Clock.Now().Before(until) {
 		if callerGone(ctx, l.cause) {
 			j.e.cancelAt(h, j.call.Request.ID)
-			return gone(ctx, h.Name)
+			return interrupted(ctx, h.Name)
 		}
-		refusal, done := j.pickUp(ctx, h, head, l)
+		refusal, done := j.recoverAnswer(ctx, h, head, l)
 		if done {
 			return refusal
 		}
-		if !j.waitUntil(ctx, j.e.Clock.Now().Add(resumePause)) {
+		if !j.waitUntil(ctx, j.e.Clock.Now().Add(resumeInterval)) {
 			continue
 		}
 	}
 	return &core.Refusal{Code: core.CodeUpstreamLost, Outcome: core.MayHaveRun, Reason: "contact with the host was lost", Host: h.Name}
 }
 
-// gone is the end of a request whose caller left, or whose deadline passed,
-// while a host had it.
-func gone(ctx context.Context, host core.HostName) *core.Refusal {
+// interrupted returns the refusal of a request whose caller left, or whose deadline
+// passed, while a host had it.
+func interrupted(ctx context.Context, host core.HostName) *core.Refusal {
 	r := &core.Refusal{Code: core.CodeCancelled, Outcome: core.MayHaveRun, Reason: "the caller went away", Host: host}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		r.Code, r.Reason = core.CodeDeadline, "the deadline passed"
@@ -281,10 +282,10 @@
 	return r
 }
 
-// pickUp asks the agent what became of the request and reads on if it has it.
-// The second result is false where the agent could not be reached.
-func (j *job) pickUp(ctx context.Context, h Host, head *wire.WorkHead, l *loss) (*core.Refusal, bool) {
-	call, stop := context.WithTimeout(ctx, sealTime)
+// recoverAnswer asks the agent what became of the request, and reads on if the agent
+// has it. The second result is false if the agent could not be reached.
+func (j *job) recoverAnswer(ctx context.Context, h Host, head *wire.WorkHead, l *loss) (*core.Refusal, bool) {
+	call, stop := context.WithTimeout(ctx, sealTimeout)
 	reply, err := j.e.Seal(call, h, &wire.SealCall{
 		Key: head.GetRequestId(), Incarnation: head.GetIncarnation(), Expires: head.GetDeadline(), Fingerprint: head.GetFingerprint(),
 		HandOver: head.GetHandOver(),
@@ -299,9 +300,9 @@
 	case dedupe.Lost:
 		return &core.Refusal{Code: core.CodeUpstreamLost, Outcome: core.MayHaveRun, Reason: "the host has restarted", Host: h.Name}, true
 	}
-	refusal, again := j.resume(ctx, h, head, l.g)
-	if again != nil {
-		l.cause = again.cause
+	refusal, newLoss := j.resume(ctx, h, head, l.reading)
+	if newLoss != nil {
+		l.cause = newLoss.cause
 		return nil, false
 	}
 	return refusal, true
@@ -311,10 +312,10 @@
 func (j *job) resume(ctx context.Context, h Host, head *wire.WorkHead, g *reading) (*core.Refusal, *loss) {
 	events.Log(events.StreamResumed, "request", j.call.Request.ID, "host", h.Name, "offset", g.offset)
 	again := attachHead(head, g.offset)
-	return j.read(ctx, h, again, nil, g)
+	return j.readAnswer(ctx, h, again, nil, g)
 }
 
-// attachHead asks for the rest of an answer.
+// attachHead returns a head that asks for the rest of an answer.
 func attachHead(head *wire.WorkHead, offset int64) *wire.WorkHead {
 	return &wire.WorkHead{
 		RequestId: head.GetRequestId(), Owner: head.GetOwner(), Key: head.GetKey(), Attempt: head.GetAttempt(),
--- a/io/entry/steps_test.go
+++ b/io/entry/steps_test.go
@@ -12,39 +12,40 @@
 	"radishwell/io/fakes/llmsrv"
 )
 
-// way is one request's way with a fault at one of its steps, and what the
-// caller must see.
-type way struct {
+// stepCase is a fault at one step of a request, and what the caller must receive.
+type stepCase struct {
 	step    string
 	fault   string
 	prepare func(f *fleet)
 	during  func(f *fleet)
 	send    func(t *testing.T, url string) answer
-	// code is the refusal's; empty where the request must be done.
+	// code is the refusal's; empty if the request must succeed.
 	code    core.Code
 	outcome core.Outcome
-	// runs is how often the plain service may have run the call, at the most.
+	// runs bounds how often the plain service may have run the call.
 	runs int
 }
 
-func ask(t *testing.T, url string) answer { return chat(t, url, "alpha", "step", false, 3) }
+func sendChat(t *testing.T, url string) answer { return chat(t, url, "alpha", "step", false, 3) }
 
-func askStreamed(t *testing.T, url string) answer { return chat(t, url, "alpha", "step", true, 40) }
+func sendStreamedChat(t *testing.T, url string) answer {
+	return chat(t, url, "alpha", "step", true, 40)
+}
 
-func post(t *testing.T, url string) answer {
+func sendCall(t *testing.T, url string) answer {
 	return send(t, http.MethodPost, url+"/services/ledger/post", "amount 1")
 }
 
-func postKeyed(t *testing.T, url string) answer {
+func sendKeyedCall(t *testing.T, url string) answer {
 	return send(t, http.MethodPost, url+"/services/ledger/post", "amount 1", "Idempotency-Key", "step")
 }
 
-func get(t *testing.T, url string) answer {
+func sendGet(t *testing.T, url string) answer {
 	return send(t, http.MethodGet, url+"/services/ledger/x", "")
 }
 
-// everyEngine switches faults at all engines, everyService at all services.
-func everyEngine(faults llmsrv.Faults) func(*fleet) {
+// onAllEngines sets faults of all engines, onAllServices those of all plain services.
+func onAllEngines(faults llmsrv.Faults) func(*fleet) {
 	return func(f *fleet) {
 		for _, h := range f.agents {
 			if h.engine != nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-func everyService(faults map[string]bool) func(*fleet) {
+func onAllServices(faults map[string]bool) func(*fleet) {
 	return func(f *fleet) {
 		for _, h := range f.agents {
 			if h.plain != nil {
@@ -64,13 +65,13 @@
 	}
 }
 
-// firstEngine switches faults at the host that would load the model.
-func firstEngine(faults llmsrv.Faults) func(*fleet) {
-	return func(f *fleet) { setFaults(f.t, f.agents[f.first()], faults) }
+// onFirstEngine sets faults of the engine that would load the model first.
+func onFirstEngine(faults llmsrv.Faults) func(*fleet) {
+	return func(f *fleet) { setFaults(f.t, f.agents[f.firstChoice()], faults) }
 }
 
-// first is the host that entries choose for a cold start of alpha.
-func (f *fleet) first() core.HostName {
+// firstChoice returns the host that entries choose for a cold start of alpha.
+func (f *fleet) firstChoice() core.HostName {
 	f.t.Helper()
 	probe := newFleet(f.t)
 	for _, name := range []core.HostName{"up-1", "up-2"} {
@@ -85,8 +86,8 @@
 	return ""
 }
 
-// cutAgent closes the connections of the host that runs the request and lets
-// nobody ask it any more, as when it is lost.
+// cutAgent closes the connections of all hosts and makes their agents unreachable, as
+// if they were lost.
 func cutAgent(f *fleet) {
 	f.cut.Store(true)
 	for _, h := range f.agents {
@@ -95,20 +96,20 @@
 	}
 }
 
-var ways = []way{
-	{step: "load", fault: "fails on the first host", prepare: firstEngine(llmsrv.Faults{LoadFails: true}), send: ask},
-	{step: "load", fault: "fails everywhere", prepare: everyEngine(llmsrv.Faults{LoadFails: true}), send: ask, code: core.CodeLoadFailed, outcome: core.NotRun},
-	{step: "load", fault: "answers to orders are lost", prepare: everyEngine(llmsrv.Faults{OrderAnswersLost: true}), send: ask},
-	{step: "hand-over to the engine", fault: "engine is down", prepare: firstEngine(llmsrv.Faults{Down: true}), send: ask},
-	{step: "hand-over to the service", fault: "service drops connections unread", prepare: everyService(map[string]bool{"down": true}), send: post, code: core.CodeUpstreamLost, outcome: core.MayHaveRun},
-	{step: "run", fault: "service dies after the run", prepare: everyService(map[string]bool{"answers-lost": true}), send: post, code: core.CodeUpstreamLost, outcome: core.MayHaveRun, runs: 1},
-	{step: "run", fault: "service dies after a keyed run", prepare: everyService(map[string]bool{"answers-lost": true}), send: postKeyed, code: core.CodeUpstreamLost, outcome: core.MayHaveRun, runs: 1},
-	{step: "run", fault: "service dies after a call that may not be repeated by its rule", prepare: everyService(map[string]bool{"answers-lost": true}), send: get, code: core.CodeUpstreamLost, outcome: core.MayHaveRun, runs: 1},
-	{step: "stream", fault: "agent is lost", during: cutAgent, send: askStreamed, code: core.CodeUpstreamLost, outcome: core.MayHaveRun},
-	{step: "stream", fault: "engine crashes", during: func(f *fleet) { crashAll(f) }, send: askStreamed, code: core.CodeUpstreamLost, outcome: core.MayHaveRun},
+var stepCases = []stepCase{
+	{step: "load", fault: "fails on the first host", prepare: onFirstEngine(llmsrv.Faults{LoadFails: true}), send: sendChat},
+	{step: "load", fault: "fails everywhere", prepare: onAllEngines(llmsrv.Faults{LoadFails: true}), send: sendChat, code: core.CodeLoadFailed, outcome: core.NotRun},
+	{step: "load", fault: "answers to orders are lost", prepare: onAllEngines(llmsrv.Faults{OrderAnswersLost: true}), send: sendChat},
+	{step: "hand-over to the engine", fault: "engine is down", prepare: onFirstEngine(llmsrv.Faults{Down: true}), send: sendChat},
+	{step: "hand-over to the service", fault: "service drops connections unread", prepare: onAllServices(map[string]bool{"down": true}), send: sendCall, code: core.CodeUpstreamLost, outcome: core.MayHaveRun},
+	{step: "run", fault: "service dies after the run", prepare: onAllServices(map[string]bool{"answers-lost": true}), send: sendCall, code: core.CodeUpstreamLost, outcome: core.MayHaveRun, runs: 1},
+	{step: "run", fault: "service dies after a keyed run", prepare: onAllServices(map[string]bool{"answers-lost": true}), send: sendKeyedCall, code: core.CodeUpstreamLost, outcome: core.MayHaveRun, runs: 1},
+	{step: "run", fault: "service dies after a call that may not be repeated by its rule", prepare: onAllServices(map[string]bool{"answers-lost": true}), send: sendGet, code: core.CodeUpstreamLost, outcome: core.MayHaveRun, runs: 1},
+	{step: "stream", fault: "agent is lost", during: cutAgent, send: sendStreamedChat, code: core.CodeUpstreamLost, outcome: core.MayHaveRun},
+	{step: "stream", fault: "engine crashes", during: func(f *fleet) { crashEngines(f) }, send: sendStreamedChat, code: core.CodeUpstreamLost, outcome: core.MayHaveRun},
 }
 
-func crashAll(f *fleet) {
+func crashEngines(f *fleet) {
 	for _, h := range f.agents {
 		if h.engine == nil {
 			continue
@@ -119,19 +120,20 @@
 	}
 }
 
-// A fault at each step of a request's way in turn: the caller must get its
-// answer or an honest refusal, and "not run" only where nothing ran.
+// Injects a fault at each step of a request in turn. Guards against callers that get
+// neither their answer nor a correct refusal, and against "not run" for a request that
+// has run.
 func TestFaultAtEachStep(t *testing.T) {
 	t.Parallel()
-	for _, w := range ways {
+	for _, w := range stepCases {
 		t.Run(strings.ReplaceAll(w.step+"/"+w.fault, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			w.play(t)
+			w.run(t)
 		})
 	}
 }
 
-func (w way) play(t *testing.T) {
+func (w stepCase) run(t *testing.T) {
 	f := newFleet(t)
 	for _, name := range []core.HostName{"up-1", "up-2"} {
 		f.engineHost(name, &llmsrv.Server{LoadTimes: quickLoads, TokenTime: 20 * time.Millisecond})
