--- a/io/deploy/entry.go
+++ b/io/deploy/entry.go
@@ -85,7 +85,7 @@
 		e.leaving.Store(true)
 		e.tender.leave()
 		if due, ok := ctx.Deadline(); ok {
-			e.proxy.Leave(p.clock.Now().Add(time.Until(due) - waitMargin))
+			e.proxy.Drain(p.clock.Now().Add(time.Until(due) - waitMargin))
 		}
 		if loop.Sleep(ctx, leaveTime) {
 			// Its error is the deadline's: what is still in progress is cut then.
@@ -126,7 +126,7 @@
 		Self: e.members.self, Clock: e.clock, Seed: rand.Uint64(),
 		Tolerance: admit.Tolerance{Window: m.QuotaWindow, Ratio: m.QuotaRatio, Slack: m.QuotaSlack},
 		Ask:       e.client.Allow, Before: e.members.before, Entries: e.entries,
-		Allowance: e.allowance, Limited: func() bool { return e.proxy.Table().Limited() || e.proxy.Limited() > 0 },
+		Allowance: e.allowance, Limited: func() bool { return e.proxy.Table().Limited() || e.proxy.LimitedHosts() > 0 },
 	}
 	e.quota.Start()
 	e.handler.Allow = e.quota.Serve
--- a/io/deploy/planner.go
+++ b/io/deploy/planner.go
@@ -106,7 +106,7 @@
 		k.mu.Unlock()
 	}
 	if len(followers)+len(others) > 0 {
-		p.entry.proxy.Ordered()
+		p.entry.proxy.NoteLoader()
 	}
 	p.lead(len(followers) > 0)
 	if len(followers) > 0 {
@@ -122,7 +122,7 @@
 	plans := p.entry.feed.Plans().Name == p.entry.Settings.Name
 	p.lead(plans)
 	if p.entry.feed.HasFollowers(linkTime) {
-		p.entry.proxy.Ordered()
+		p.entry.proxy.NoteLoader()
 	}
 	if plans {
 		p.plan(ctx, now, p.entry.feed.Followers(linkTime))
@@ -229,7 +229,7 @@
 			go p.send(ctx, s, entries[m.Host], m)
 		}
 	}
-	p.entry.proxy.Foresee(ready)
+	p.entry.proxy.SetForecasts(ready)
 	p.entry.feed.Foresee(ready)
 }
 
@@ -319,7 +319,7 @@
 	for _, r := range reply.GetReady() {
 		ready[core.ModelName(r.GetModel())] = now.Add(time.Duration(r.GetLeft()))
 	}
-	p.entry.proxy.Foresee(ready)
+	p.entry.proxy.SetForecasts(ready)
 }
 
 // servePlan takes another entry's demand.
--- a/io/deploy/signal.go
+++ b/io/deploy/signal.go
@@ -12,9 +12,9 @@
 // themselves in answers. One that sends an upstream little hears of it late, and what all
 // entries send counts there.
 func (e *entry) shareSignals() {
-	e.proxy.HeardLimit, e.proxy.HeardLeaving = e.spreadLimit, e.spreadLeaving
+	e.proxy.OnRateLimit, e.proxy.OnLeaving = e.spreadLimit, e.spreadLeaving
 	e.state.Marked = e.takeMarks
-	e.meter.LimitedUpstreams(e.proxy.Limited)
+	e.meter.LimitedUpstreams(e.proxy.LimitedHosts)
 }
 
 // spreadLimit tells other entries of the rate limit that an upstream names.
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -233,7 +233,7 @@
 		}
 	}
 	if len(asked) > 0 {
-		f.Proxy.ForeseeSome(asked, ready)
+		f.Proxy.UpdateForecasts(asked, ready)
 	}
 	if changed {
 		f.noteReady()
--- a/io/proxy/proxy.go
+++ b/io/proxy/proxy.go
@@ -30,12 +30,12 @@
 	// Pacer spaces requests to upstreams that name a rate limit; nil if they are not
 	// spaced.
 	Pacer core.Pacer
-	// HeardLimit, if set, is called for each answer in which an upstream names a rate
+	// OnRateLimit, if set, is called for each answer in which an upstream names a rate
 	// limit, and once when the upstream no longer names one.
-	HeardLimit func(life fleet.Life, limit core.RateLimit)
-	// HeardLeaving, if set, is called once an upstream states in an answer that it is
+	OnRateLimit func(life fleet.Life, limit core.RateLimit)
+	// OnLeaving, if set, is called once an upstream states in an answer that it is
 	// leaving.
-	HeardLeaving func(life fleet.Life)
+	OnLeaving func(life fleet.Life)
 	// Behind, if set, reports whether the routing table in force may be outdated.
 	Behind func() bool
 	// RetryRatio, RetrySpare and RetrySpan are this process's share of the platform's
@@ -119,8 +119,8 @@
 	}
 }
 
-// Limited returns the number of hosts that name a rate limit.
-func (p *Proxy) Limited() int {
+// LimitedHosts returns the number of hosts that name a rate limit.
+func (p *Proxy) LimitedHosts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Limited(p.Clock.Now())
@@ -132,17 +132,17 @@
 	p.changed = make(chan struct{})
 }
 
-// Foresee replaces the forecasts: the times at which models that requests wait for
+// SetForecasts replaces the forecasts: the times at which models that requests wait for
 // should be loaded.
-func (p *Proxy) Foresee(ready map[core.ModelName]time.Time) {
+func (p *Proxy) SetForecasts(ready map[core.ModelName]time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forecasts = ready
 	p.wake()
 }
 
-// Ordered records that an agent or entry that can order loads of models is available.
-func (p *Proxy) Ordered() {
+// NoteLoader records that an agent or entry that can order loads of models is available.
+func (p *Proxy) NoteLoader() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loaderSeen = p.Clock.Now()
@@ -155,9 +155,9 @@
 	return p.demand.All(p.Clock.Now())
 }
 
-// ForeseeSome updates the forecasts of the models in asked. Those that ready lacks are
+// UpdateForecasts updates the forecasts of the models in asked. Those that ready lacks are
 // not being loaded.
-func (p *Proxy) ForeseeSome(asked []core.ModelName, ready map[core.ModelName]time.Time) {
+func (p *Proxy) UpdateForecasts(asked []core.ModelName, ready map[core.ModelName]time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.forecasts == nil {
@@ -191,9 +191,9 @@
 // model.
 func (p *Proxy) Waiting() <-chan struct{} { return p.waiting }
 
-// Leave refuses requests that still wait at the given time, since the process stops
+// Drain refuses requests that still wait at the given time, since the process stops
 // soon after it.
-func (p *Proxy) Leave(at time.Time) {
+func (p *Proxy) Drain(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drainAt = at
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -556,7 +556,7 @@
 		table.Match("a.example", "/stream/x").Silence = 4 * time.Second
 		r.Offer(table)
 		w := empty(t, r)
-		r.Foresee(map[core.ModelName]time.Time{"m": time.Now().Add(6 * time.Second)})
+		r.SetForecasts(map[core.ModelName]time.Time{"m": time.Now().Add(6 * time.Second)})
 		a := do(t, stream(r, "q"))
 		wantStatus(t, a, http.StatusServiceUnavailable)
 		back, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
@@ -567,7 +567,7 @@
 	t.Run("not at all where the model comes too late", func(t *testing.T) {
 		r := newRig(t)
 		w := empty(t, r)
-		r.Foresee(map[core.ModelName]time.Time{"m": time.Now().Add(time.Hour)})
+		r.SetForecasts(map[core.ModelName]time.Time{"m": time.Now().Add(time.Hour)})
 		a := do(t, stream(r, "q"))
 		wantStatus(t, a, http.StatusServiceUnavailable)
 		assert.Assert(t, a.header.Get("Retry-After") != "")
@@ -582,7 +582,7 @@
 		got := make(chan answer, 1)
 		go func() { got <- do(t, stream(r, "q")) }()
 		<-r.Waiting()
-		r.Leave(time.Now())
+		r.Drain(time.Now())
 		a := <-got
 		wantStatus(t, a, http.StatusServiceUnavailable)
 		assert.Assert(t, strings.Contains(a.body, string(core.CodeLeaving)))
--- a/io/proxy/signal.go
+++ b/io/proxy/signal.go
@@ -81,11 +81,11 @@
 		backoff = v.NoteBackoff(life, now, head.RetryAt)
 		leaving = head.Leaving && v.NoteLeaving(life, now)
 	})
-	if p.HeardLimit != nil && (limited || head.Limit.Named) {
-		p.HeardLimit(life, limit)
+	if p.OnRateLimit != nil && (limited || head.Limit.Named) {
+		p.OnRateLimit(life, limit)
 	}
-	if p.HeardLeaving != nil && leaving {
-		p.HeardLeaving(life)
+	if p.OnLeaving != nil && leaving {
+		p.OnLeaving(life)
 	}
 	if limited {
 		events.Log(events.UpstreamLimited, "host", t.id, "address", t.address, "limited", limit.Named, "rate", limit.Rate, "request", c.ask.ID)
--- a/io/proxy/signal_test.go
+++ b/io/proxy/signal_test.go
@@ -28,7 +28,7 @@
 func TestLimitOfUnlistedHostIsKept(t *testing.T) {
 	clock := &stepClock{now: time.Unix(1000, 0)}
 	var limits []core.RateLimit
-	p := &Proxy{Clock: clock, HeardLimit: func(_ fleet.Life, l core.RateLimit) { limits = append(limits, l) }}
+	p := &Proxy{Clock: clock, OnRateLimit: func(_ fleet.Life, l core.RateLimit) { limits = append(limits, l) }}
 	p.Start()
 	p.view.Apply(fleet.Entry{ID: "i-1", Usable: true})
 	c := &call{proxy: p, ask: core.Ask{ID: "q"}}
