--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -62,8 +62,8 @@
 	Find  func(core.HostName) (Host, bool)
 	// Share returns this entry's part of the limits.
 	Share func() admit.Share
-	// Noted records in membership how contact with a host went.
-	Noted func(member.Contact)
+	// OnContact records in membership how contact with a host went.
+	OnContact func(member.Contact)
 	// Probe asks a host for its load. Seal asks a host what became of an attempt and,
 	// unless the call only peeks, seals an attempt that has not arrived, so that it
 	// never runs.
@@ -74,10 +74,10 @@
 	// KeyAge is how long an idempotency key is remembered after the deadline.
 	KeyAge time.Duration
 	Relay  *Relay
-	// Spread sends strikes to all peers at once.
-	Spread func([]strike.Record)
-	// Tell sends strikes to one host.
-	Tell func(core.HostName, []strike.Record)
+	// BroadcastStrikes sends strikes to all peers at once.
+	BroadcastStrikes func([]strike.Record)
+	// SendStrikes sends strikes to one host.
+	SendStrikes func(core.HostName, []strike.Record)
 
 	mu      sync.Mutex
 	admit   admit.Admit
--- a/io/entry/fixture_test.go
+++ b/io/entry/fixture_test.go
@@ -276,10 +276,10 @@
 	e := &entry.Entry{
 		Name: core.HostName("entry-" + strconv.Itoa(len(f.entries))), DataCentre: "dc", Clock: realClock{}, Meter: meter.New(),
 		Rand: rand.New(rand.NewPCG(1, uint64(len(f.entries)))), Snapshot: f.snapshot, Hosts: f.hosts, Find: f.find,
-		Share: func() admit.Share { return admit.Share{Entries: 1} },
-		Noted: func(member.Contact) {}, Probe: f.probe, Seal: f.seal, Claim: f.claim,
-		KeyAge: time.Hour, Relay: &entry.Relay{}, Spread: f.spread,
-		Tell: func(h core.HostName, list []strike.Record) { f.agents[h].agent.MergeStrikes(list) },
+		Share:     func() admit.Share { return admit.Share{Entries: 1} },
+		OnContact: func(member.Contact) {}, Probe: f.probe, Seal: f.seal, Claim: f.claim,
+		KeyAge: time.Hour, Relay: &entry.Relay{}, BroadcastStrikes: f.spread,
+		SendStrikes: func(h core.HostName, list []strike.Record) { f.agents[h].agent.MergeStrikes(list) },
 	}
 	e.Init()
 	f.entries = append(f.entries, e)
--- a/io/entry/note.go
+++ b/io/entry/note.go
@@ -46,7 +46,7 @@
 	case isContactLoss(refusal.Code) || refusal.Code == core.CodeUpstreamFailed:
 		e.router.Observe(now, route.Report{Host: h.Name, Target: r.Target, Result: route.Broken, Took: took, Cost: cost(r)})
 	}
-	e.Noted(member.Contact{
+	e.OnContact(member.Contact{
 		Host: h.Name, OK: refusal == nil || !isContactLoss(refusal.Code), Since: since,
 		Incarnation: e.host(h.Name).incarnation, Leaving: refusal != nil && refusal.Code == core.CodeLeaving,
 	})
@@ -148,10 +148,10 @@
 	news := e.book.Merge(now, list)
 	for _, f := range news {
 		if e.copies.Take(now, f) {
-			go e.Spread([]strike.Record{e.book.Known(now, f)})
+			go e.BroadcastStrikes([]strike.Record{e.book.Known(now, f)})
 		}
 		if host := e.copies.At(f); host != "" {
-			go e.Tell(host, e.book.Against(now, f))
+			go e.SendStrikes(host, e.book.Against(now, f))
 		}
 	}
 	return len(news) > 0
@@ -169,5 +169,5 @@
 	e.mu.Lock()
 	mark := e.book.Clear(e.Clock.Now(), f)
 	e.mu.Unlock()
-	e.Spread([]strike.Record{mark})
+	e.BroadcastStrikes([]strike.Record{mark})
 }
--- a/io/node/entry.go
+++ b/io/node/entry.go
@@ -41,9 +41,9 @@
 	e := &entry.Entry{
 		Name: s.Name, DataCentre: s.DataCentre, Clock: n.clock, Meter: n.meter, Tracer: n.tracer,
 		Rand: rand.New(rand.NewPCG(n.rand.Uint64(), n.rand.Uint64())), Snapshot: n.world.snapshot,
-		Hosts: n.hosts, Find: n.find, Share: n.share, Noted: n.members.note,
+		Hosts: n.hosts, Find: n.find, Share: n.share, OnContact: n.members.note,
 		Probe: n.probe, Seal: n.seal, Claim: journals.Claim, KeyAge: s.Limits.KeyAge,
-		Relay: &entry.Relay{TLS: n.tlsToAgent()}, Spread: n.spread, Tell: n.tell,
+		Relay: &entry.Relay{TLS: n.tlsToAgent()}, BroadcastStrikes: n.spread, SendStrikes: n.tell,
 	}
 	e.Init()
 	forgotten := make(chan core.Object, maxForgotten)
