--- a/core/queue/ahead.go
+++ b/core/queue/ahead.go
@@ -6,13 +6,14 @@
 	"radishwell/core"
 )
 
-// ahead foresees how much cost the track starts before an item would be started
-// that came now. A caller's own work goes before it; then each level serves the
-// others about as much as it serves the item's side, but no more than they have.
-func (t *track) ahead(i Item) int64 {
-	cost := t.sections[i.Class].ahead(i)
+// costAhead estimates how much cost the track starts before an item that
+// arrives now. The caller's own waiting items go first. Each level then serves
+// the others about as much as it serves the item's branch, but no more than
+// they have waiting.
+func (t *track) costAhead(i Item) int64 {
+	cost := t.classes[i.Class].costAhead(i)
 	total := cost
-	for c, other := range t.sections {
+	for c, other := range t.classes {
 		if core.Class(c) == i.Class || other.items == 0 {
 			continue
 		}
@@ -22,45 +23,46 @@
 	return total
 }
 
-func (s *section) ahead(i Item) int64 {
+func (s *classQueue) costAhead(i Item) int64 {
 	if s.items == 0 {
 		return 0
 	}
-	p, ok := s.parties[i.Owner]
+	p, ok := s.owners[i.Owner]
 	if !ok {
-		return min(s.cost, int64(len(s.parties))*i.Cost)
+		return min(s.cost, int64(len(s.owners))*i.Cost)
 	}
-	return min(s.cost, int64(len(s.parties))*(p.ahead(i)+i.Cost))
+	return min(s.cost, int64(len(s.owners))*(p.costAhead(i)+i.Cost))
 }
 
-func (p *party) ahead(i Item) int64 {
-	f, ok := p.flows[i.Caller]
+func (p *ownerQueue) costAhead(i Item) int64 {
+	f, ok := p.callers[i.Caller]
 	if !ok {
-		return min(p.cost, int64(len(p.flows))*i.Cost)
+		return min(p.cost, int64(len(p.callers))*i.Cost)
 	}
-	return min(p.cost, int64(len(p.flows))*(f.cost+i.Cost))
+	return min(p.cost, int64(len(p.callers))*(f.cost+i.Cost))
 }
 
-// start foresees when an item that came now would be started.
-func (t *track) start(now time.Time, i Item) time.Time {
+// estimateStart returns the time at which an item that arrives now is expected
+// to start.
+func (t *track) estimateStart(now time.Time, i Item) time.Time {
 	from := now
 	if t.lane.ready.After(now) {
 		from = t.lane.ready
 	}
-	if _, waits := t.sections[i.Class].parties[i.Owner]; t.pace.open && !waits {
+	if _, waits := t.classes[i.Class].owners[i.Owner]; t.drain.heldByLimits && !waits {
 		return from
 	}
-	return from.Add(t.pace.wait(now, t.ahead(i), t.running))
+	return from.Add(t.drain.drainTime(now, t.costAhead(i), t.running))
 }
 
-// lastStart is the last moment at which a start is of use, by what is measured
-// at present.
-func (e *entry) lastStart(t *track) time.Time {
+// latestStart returns the last time at which the entry can start and still
+// finish by its deadline, according to the current estimates.
+func (e *entry) latestStart(t *track) time.Time {
 	if e.Deadline.IsZero() {
 		return forever
 	}
-	if e.inDoubt {
+	if e.probe {
 		return e.Deadline
 	}
-	return e.Deadline.Add(-t.pace.service(e.Cost))
+	return e.Deadline.Add(-t.drain.serviceTime(e.Cost))
 }
--- a/core/queue/bench_test.go
+++ b/core/queue/bench_test.go
@@ -10,8 +10,9 @@
 	"radishwell/core/queue"
 )
 
-// crowd returns n items of 55 owners with 20 callers each, in 200 lanes.
-func crowd(n int) []queue.Item {
+// manyItems returns n items of 55 owners with 20 callers each, spread over 200
+// lanes.
+func manyItems(n int) []queue.Item {
 	list := make([]queue.Item, n)
 	for i := range list {
 		list[i] = queue.Item{
@@ -24,7 +25,7 @@
 	return list
 }
 
-func filled(list []queue.Item) *queue.Queue {
+func filledQueue(list []queue.Item) *queue.Queue {
 	q := &queue.Queue{Items: len(list) + 1, Bytes: core.TiB}
 	for _, i := range list {
 		q.Push(t0, i)
@@ -39,24 +40,25 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkWaiting reports the memory of each of 100,000 waiting items, without
-// their names, which the entry holds anyway.
+// BenchmarkWaiting reports the memory per item of a queue with 100,000 waiting
+// items. The strings of the items are excluded because the entry holds them in
+// any case.
 func BenchmarkWaiting(b *testing.B) {
-	list := crowd(100_000)
+	list := manyItems(100_000)
 	for b.Loop() {
 		before := heapBytes()
-		q := filled(list)
+		q := filledQueue(list)
 		b.ReportMetric(float64(heapBytes()-before)/float64(len(list)), "B/item")
 		runtime.KeepAlive(q)
 	}
 	runtime.KeepAlive(list)
 }
 
-// BenchmarkPushPop pushes one item and pops one with 100,000 waiting.
+// BenchmarkPushPop pushes and pops one item while 100 or 100,000 others wait.
 func BenchmarkPushPop(b *testing.B) {
 	for _, n := range []int{100, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			q := filled(crowd(n))
+			q := filledQueue(manyItems(n))
 			i, _ := q.Pop(t0, always)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -69,9 +71,9 @@
 }
 
 // BenchmarkPopLane is BenchmarkPushPop for a process that knows which lane has
-// become free.
+// a free slot.
 func BenchmarkPopLane(b *testing.B) {
-	q := filled(crowd(100_000))
+	q := filledQueue(manyItems(100_000))
 	i, _ := q.PopLane(t0, "m7", 1)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/queue/choose.go
+++ b/core/queue/choose.go
@@ -6,126 +6,130 @@
 	"radishwell/core"
 )
 
-// Hold tells whether an item may start as far as limits outside the queue go,
-// such as its owner's concurrency.
+// Hold says whether a limit outside the queue, such as the concurrency limit of
+// an owner, keeps an item from starting, and how far that limit reaches.
 type Hold uint8
 
-// Holds. They say how far a limit reaches, so that a Pop need not look at
-// everything else that it holds back.
+// The values of Hold. A wider hold lets Pop skip everything that the same limit
+// covers.
 const (
-	// Go: the item may start.
+	// Go means that the item may start.
 	Go Hold = iota
-	// HoldCaller: nothing of the caller in this lane may start.
+	// HoldCaller means that no item of the caller in this lane may start.
 	HoldCaller
-	// HoldOwner: nothing of the owner in this lane may start.
+	// HoldOwner means that no item of the owner in this lane may start.
 	HoldOwner
-	// HoldLane: nothing in this lane may start.
+	// HoldLane means that no item in this lane may start.
 	HoldLane
 )
 
-// choice is the item that goes next.
-type choice struct {
+// candidate is a class of a track that may provide the next item.
+type candidate struct {
 	track *track
 	class core.Class
-	// tag and sub are the start tags of the class and of the first owner.
-	tag, sub int64
+	// classTag and ownerTag are the start tags of the class and of its first
+	// owner.
+	classTag, ownerTag int64
 }
 
-// before orders by the class's turn, class and the owner's turn.
-func (c choice) before(o choice) bool {
-	if c.tag != o.tag {
-		return c.tag < o.tag
+// less orders candidates by the start tag of the class, the class and the start
+// tag of the owner.
+func (c candidate) less(o candidate) bool {
+	if c.classTag != o.classTag {
+		return c.classTag < o.classTag
 	}
 	if c.class != o.class {
 		return c.class < o.class
 	}
-	return c.sub < o.sub
+	return c.ownerTag < o.ownerTag
 }
 
-// next returns the entry that goes next among the tracks, nil where none may.
-func (q *Queue) next(now time.Time, list []*track, free func(lane string) int) *entry {
-	var touched []*track
+// nextEntry returns the entry to start next among the tracks, or nil if none
+// may start.
+func (q *Queue) nextEntry(now time.Time, list []*track, free func(lane string) int) *entry {
+	var blocked []*track
 	var found *entry
 	for found == nil {
-		c, ok := q.first(now, list, free)
+		c, ok := q.bestCandidate(now, list, free)
 		if !ok {
 			break
 		}
-		found = c.track.sections[c.class].pick(q.May)
+		found = c.track.classes[c.class].pick(q.May)
 		if found == nil {
-			c.track.skip[c.class] = true
-			c.track.pace.held()
-			touched = append(touched, c.track)
+			c.track.blocked[c.class] = true
+			c.track.drain.markHeld()
+			blocked = append(blocked, c.track)
 		}
 	}
-	for _, t := range touched {
-		t.skip = [core.ClassCount]bool{}
+	for _, t := range blocked {
+		t.blocked = [core.ClassCount]bool{}
 	}
 	return found
 }
 
-// first returns the class and track whose turn it is, without regard to May.
-func (q *Queue) first(now time.Time, list []*track, free func(lane string) int) (choice, bool) {
-	var best choice
+// bestCandidate returns the class and track to serve next. It does not consult
+// May.
+func (q *Queue) bestCandidate(now time.Time, list []*track, free func(lane string) int) (candidate, bool) {
+	var best candidate
 	found := false
 	for _, t := range list {
 		if t.items == 0 {
 			continue
 		}
-		places := free(t.lane.name)
-		if places <= 0 && t.pace.open {
-			t.pace.backlog(now, t.lane.ready)
+		slots := free(t.lane.name)
+		if slots <= 0 && t.drain.heldByLimits {
+			t.drain.beginBacklog(now, t.lane.ready)
 		}
-		for class, s := range t.sections {
+		for class, s := range t.classes {
 			c := core.Class(class)
-			if s.items == 0 || t.skip[c] || q.room(now, t, c, places) <= 0 {
+			if s.items == 0 || t.blocked[c] || q.available(now, t, c, slots) <= 0 {
 				continue
 			}
 			in := q.classes[c]
-			option := choice{
+			cand := candidate{
 				track: t, class: c,
-				tag: q.clock.start(in.tag), sub: in.clock.start(s.first().owner.tag),
+				classTag: q.clock.startTag(in.tag), ownerTag: in.clock.startTag(s.first().owner.tag),
 			}
-			if !found || option.before(best) {
-				best, found = option, true
+			if !found || cand.less(best) {
+				best, found = cand, true
 			}
 		}
 	}
 	return best, found
 }
 
-// room returns how many requests of a class and track could start, given how
-// many of the lane could.
+// available returns how many items of a class and track could start if the lane
+// has the given number of free slots.
 //
-// Overnight work leaves the spare places, where there are any: what runs is not
-// taken back, so without them a check in front of a client waits for a review to
-// end when reviews hold all places.
+// Overnight work leaves Spare slots free. Running work is not preempted, so
+// without spare slots an interactive request has to wait for an overnight one
+// to end when overnight work holds all slots.
 //
-// Long work leaves a quarter of the places to short work of its class or a more
-// urgent one, while such has come of late. Without it a few long requests hold
-// all of them, as classes alone do not tell long from short. A quarter is what
-// long work then gives up at most.
-func (q *Queue) room(now time.Time, t *track, class core.Class, places int) int {
+// Long items leave a quarter of the slots to short items of the same or a more
+// urgent class if such items arrived recently. Without this rule a few long
+// requests hold all slots, because the class does not separate long requests
+// from short ones. Long items lose at most that quarter.
+func (q *Queue) available(now time.Time, t *track, class core.Class, slots int) int {
 	if class == core.Overnight {
-		places -= q.Spare
+		slots -= q.Spare
 	}
-	g := t.lane.gauge
-	if !t.long || places <= 0 || !g.shortSince(now.Add(-recentShort), class) {
-		return places
+	g := t.lane.sizes
+	if !t.long || slots <= 0 || !g.shortSince(now.Add(-shortWindow), class) {
+		return slots
 	}
-	all := g.running[0] + g.running[1] + places
-	return min(places, max(1, all*3/4)-g.running[1])
+	all := g.running[0] + g.running[1] + slots
+	return min(slots, max(1, all*3/4)-g.running[1])
 }
 
-// pick returns the section's next entry that may start. Parties that are held
-// are taken out of the heap while it looks on, so each is looked at once.
-func (s *section) pick(may func(Item) Hold) *entry {
+// pick returns the next entry of the class that may start. Owners that are held
+// are removed from the heap during the search, so each is examined once.
+func (s *classQueue) pick(may func(Item) Hold) *entry {
 	if may == nil {
-		return s.first().first().items.top()
+		return s.first().first().entries.top()
 	}
-	var held []*party
+	var held []*ownerQueue
 	var found *entry
-	for found == nil && s.turns.Len() > 0 {
+	for found == nil && s.byTag.Len() > 0 {
 		p := s.first()
 		e, hold := p.pick(may)
 		if hold == HoldLane {
@@ -133,20 +137,20 @@
 		}
 		if found = e; e == nil {
 			held = append(held, p)
-			s.turns.cut(p.place)
+			s.byTag.remove(p.index)
 		}
 	}
 	for _, p := range held {
-		s.turns.add(p)
+		s.byTag.insert(p)
 	}
 	return found
 }
 
-func (p *party) pick(may func(Item) Hold) (found *entry, hold Hold) {
-	var held []*flow
-	for p.turns.Len() > 0 {
+func (p *ownerQueue) pick(may func(Item) Hold) (found *entry, hold Hold) {
+	var held []*callerQueue
+	for p.byTag.Len() > 0 {
 		f := p.first()
-		e := f.items.top()
+		e := f.entries.top()
 		hold = may(e.Item)
 		if hold == Go {
 			found = e
@@ -155,10 +159,10 @@
 			break
 		}
 		held = append(held, f)
-		p.turns.cut(f.place)
+		p.byTag.remove(f.index)
 	}
 	for _, f := range held {
-		p.turns.add(f)
+		p.byTag.insert(f)
 	}
 	return found, hold
 }
--- a/core/queue/heap.go
+++ b/core/queue/heap.go
@@ -2,49 +2,50 @@
 
 import "container/heap"
 
-// order is the heap.Interface over a slice of pointers: before compares two
-// elements, moved tells one its new place (-1 when it has left).
-type order[T any] struct {
-	list   []T
-	before func(a, b T) bool
-	moved  func(e T, place int)
+// indexedHeap implements heap.Interface for a slice of pointers. The less
+// function compares two elements, and setIndex stores an element's index in it,
+// or -1 after its removal.
+type indexedHeap[T any] struct {
+	elems    []T
+	less     func(a, b T) bool
+	setIndex func(e T, place int)
 }
 
 // Len implements heap.Interface.
-func (h *order[T]) Len() int { return len(h.list) }
+func (h *indexedHeap[T]) Len() int { return len(h.elems) }
 
 // Less implements heap.Interface.
-func (h *order[T]) Less(i, j int) bool { return h.before(h.list[i], h.list[j]) }
+func (h *indexedHeap[T]) Less(i, j int) bool { return h.less(h.elems[i], h.elems[j]) }
 
 // Swap implements heap.Interface.
-func (h *order[T]) Swap(i, j int) {
-	h.list[i], h.list[j] = h.list[j], h.list[i]
-	h.moved(h.list[i], i)
-	h.moved(h.list[j], j)
+func (h *indexedHeap[T]) Swap(i, j int) {
+	h.elems[i], h.elems[j] = h.elems[j], h.elems[i]
+	h.setIndex(h.elems[i], i)
+	h.setIndex(h.elems[j], j)
 }
 
-// Push implements heap.Interface; callers use add.
-func (h *order[T]) Push(x any) {
-	e := x.(T)
-	h.moved(e, len(h.list))
-	h.list = append(h.list, e)
+// Push implements heap.Interface. Other code calls insert.
+func (h *indexedHeap[T]) Push(x any) {
+	elem := x.(T)
+	h.setIndex(elem, len(h.elems))
+	h.elems = append(h.elems, elem)
 }
 
-// Pop implements heap.Interface; callers use cut.
-func (h *order[T]) Pop() any {
+// Pop implements heap.Interface. Other code calls remove.
+func (h *indexedHeap[T]) Pop() any {
 	var zero T
-	last := len(h.list) - 1
-	e := h.list[last]
-	h.list[last] = zero
-	h.list = h.list[:last]
-	h.moved(e, -1)
-	return e
+	last := len(h.elems) - 1
+	elem := h.elems[last]
+	h.elems[last] = zero
+	h.elems = h.elems[:last]
+	h.setIndex(elem, -1)
+	return elem
 }
 
-func (h *order[T]) add(e T) { heap.Push(h, e) }
+func (h *indexedHeap[T]) insert(elem T) { heap.Push(h, elem) }
 
-func (h *order[T]) cut(place int) { heap.Remove(h, place) }
+func (h *indexedHeap[T]) remove(index int) { heap.Remove(h, index) }
 
-func (h *order[T]) fix(place int) { heap.Fix(h, place) }
+func (h *indexedHeap[T]) fix(index int) { heap.Fix(h, index) }
 
-func (h *order[T]) top() T { return h.list[0] }
+func (h *indexedHeap[T]) top() T { return h.elems[0] }
--- a/core/queue/hold_test.go
+++ b/core/queue/hold_test.go
@@ -11,8 +11,9 @@
 	"radishwell/core/queue"
 )
 
-// One owner has as much in progress as its limit allows, and most of what waits
-// is its own. The others must not wait for it, and it goes on when one ends.
+// If most waiting items belong to an owner at its concurrency limit, the items
+// of other owners must still start. The held owner's items start once its hold
+// is lifted.
 func TestHeldOwnersAreSkipped(t *testing.T) {
 	held := map[string]queue.Hold{"a/k": queue.HoldOwner, "b/k": queue.HoldCaller}
 	q := &queue.Queue{May: func(i queue.Item) queue.Hold { return held[string(i.Owner)+"/"+string(i.Caller)] }}
@@ -29,7 +30,7 @@
 	assert.Assert(t, !ok)
 	assert.Equal(t, q.Len(), 10)
 	clear(held)
-	// Owner b has had a turn already, so a has two.
+	// Owner b has been served once already, so a is served twice.
 	wantPops(t, q, t0, "a0", "a1", "b0", "a2")
 	held["a/k"], held["b/k"] = queue.HoldLane, queue.HoldLane
 	_, ok = q.Pop(t0, always)
@@ -37,8 +38,9 @@
 	assert.Equal(t, q.Len(), 6)
 }
 
-// One owner may run one request at a time and has many waiting, while the engine
-// has room. Another owner's request must not be refused for that owner's wait.
+// An owner that is limited to one request at a time has a long backlog while
+// the engine has free slots. The lane must not count as slow, or another
+// owner's request would be refused for a wait that it does not have.
 func TestHeldOwnersDoNotSlowOthers(t *testing.T) {
 	running := 0
 	q := &queue.Queue{May: func(i queue.Item) queue.Hold {
@@ -66,8 +68,8 @@
 	wantPops(t, q, now, "b")
 }
 
-// Overnight reviews fill every place of an engine; a check arrives right after
-// and waits until a review ends, unless a place was kept.
+// Overnight requests take every slot of an engine. An interactive request that
+// arrives afterwards waits for one of them to end unless a spare slot is kept.
 func TestSparePlaces(t *testing.T) {
 	for spare, want := range []int{4, 3} {
 		t.Run(fmt.Sprint(spare), func(t *testing.T) {
@@ -91,18 +93,19 @@
 	}
 }
 
-// An engine holds an adapter for reviews and one for checks. Each lane by itself
-// has work of one length only, yet reviews must leave places to the checks.
+// One engine serves two adapters, one with long requests and one with short
+// ones. Each lane alone has work of one length only, yet long requests must
+// leave slots to short ones across lanes.
 func TestLongAmongShortInOneEngine(t *testing.T) {
-	up := upstream{slots: 8, each: steady(50 * time.Millisecond)}
-	in := arrivals(5, time.Minute,
-		load{"short", "site", core.Interactive, 60, 1, 3 * time.Second},
-		load{"long", "office", core.Interactive, 4, 50, 30 * time.Second})
+	up := upstreamModel{slots: 8, serviceTime: steady(50 * time.Millisecond)}
+	in := generate(5, time.Minute,
+		workload{"short", "site", core.Interactive, 60, 1, 3 * time.Second},
+		workload{"long", "office", core.Interactive, 4, 50, 30 * time.Second})
 	for n := range in {
 		in[n].Lane = string(in[n].Owner)
 	}
-	shared := run(&fair{q: queue.Queue{Shared: true}}, up, in, byOwner)
-	apart := run(&fair{}, up, in, byOwner)
+	shared := run(&fairQueue{q: queue.Queue{Shared: true}}, up, in, byOwner)
+	apart := run(&fairQueue{}, up, in, byOwner)
 	t.Logf("short p99 %v, good %d of %d; lanes apart %v, good %d", shared["short"].p99(), shared["short"].good,
 		shared["short"].sent, apart["short"].p99(), apart["short"].good)
 	assert.Assert(t, shared["short"].good == shared["short"].sent)
--- a/core/queue/insert.go
+++ b/core/queue/insert.go
@@ -15,27 +15,27 @@
 	q.entries = make(map[core.RequestID]*entry)
 	q.running = make(map[core.RequestID]run)
 	for c := range q.classes {
-		q.classes[c] = newClass()
+		q.classes[c] = newClassState()
 	}
-	q.due.before = func(a, b *entry) bool {
-		if !a.last.Equal(b.last) {
-			return a.last.Before(b.last)
+	q.byStart.less = func(a, b *entry) bool {
+		if !a.startBy.Equal(b.startBy) {
+			return a.startBy.Before(b.startBy)
 		}
 		return a.seq < b.seq
 	}
-	q.due.moved = func(e *entry, place int) { e.due = int32(place) }
+	q.byStart.setIndex = func(e *entry, index int) { e.startByIndex = int32(index) }
 }
 
-// lane returns the lane of a name, a new one where there is none.
-func (q *Queue) lane(name string) *lane {
+// laneFor returns the lane of the given name and creates it if necessary.
+func (q *Queue) laneFor(name string) *lane {
 	l, ok := q.lanes[name]
 	if !ok {
-		if len(q.lanes) >= mostLanes {
-			q.prune()
+		if len(q.lanes) >= maxLanes {
+			q.pruneLanes()
 		}
-		g := &q.gauge
+		g := &q.sizes
 		if !q.Shared {
-			g = &gauge{}
+			g = &sizeClassifier{}
 		}
 		l = newLane(name, g)
 		q.lanes[name] = l
@@ -43,127 +43,128 @@
 	return l
 }
 
-// insert makes an item wait. All checks are behind it.
+// insert adds an item that has passed all checks.
 func (q *Queue) insert(now time.Time, i Item) {
-	l := q.lane(i.Lane)
+	l := q.laneFor(i.Lane)
 	t := l.track(i)
-	l.gauge.note(now, i, t.long)
-	l.used = q.seq
+	l.sizes.observe(now, i, t.long)
+	l.lastUsed = q.seq
 	e := &entry{Item: i, seq: q.seq}
 	q.seq++
-	e.inDoubt = t.idle() && t.pace.mean > 0 && t.pace.doubted(now)
-	e.last = e.lastStart(t)
+	e.probe = t.idle() && t.drain.serviceMean > 0 && t.drain.stale(now)
+	e.startBy = e.latestStart(t)
 	q.activate(now, t)
-	f := q.flowOf(t, i)
-	e.flow = f
-	f.items.add(e)
-	q.due.add(e)
+	f := q.callerQueue(t, i)
+	e.queue = f
+	f.entries.insert(e)
+	q.byStart.insert(e)
 	q.entries[i.ID] = e
-	q.count(f, i, 1)
+	q.addLoad(f, i, 1)
 }
 
 func (q *Queue) activate(now time.Time, t *track) {
 	if t.items > 0 {
 		return
 	}
-	t.place = len(q.active)
+	t.activeIndex = len(q.active)
 	q.active = append(q.active, t)
-	t.pace.backlog(now, t.lane.ready)
+	t.drain.beginBacklog(now, t.lane.ready)
 }
 
-// flowOf returns the flow of the item's caller in the track, with the levels
-// above it, all made where they are missing.
-func (q *Queue) flowOf(t *track, i Item) *flow {
-	o := q.ownerOf(i)
+// callerQueue returns the queue of the item's caller in the track. It creates
+// the queue and the levels above it if necessary.
+func (q *Queue) callerQueue(t *track, i Item) *callerQueue {
+	o := q.ownerState(i)
 	c, ok := o.callers[i.Caller]
 	if !ok {
-		c = &caller{name: i.Caller, tag: o.clock.now}
+		c = &callerState{name: i.Caller, tag: o.clock.now}
 		o.callers[i.Caller] = c
 	}
-	s := t.sections[i.Class]
-	p, ok := s.parties[i.Owner]
+	s := t.classes[i.Class]
+	p, ok := s.owners[i.Owner]
 	if !ok {
-		p = newParty(s, o)
-		s.parties[i.Owner] = p
-		s.turns.add(p)
+		p = newOwnerQueue(s, o)
+		s.owners[i.Owner] = p
+		s.byTag.insert(p)
 	}
-	f, ok := p.flows[i.Caller]
+	f, ok := p.callers[i.Caller]
 	if !ok {
-		f = newFlow(p, c)
-		p.flows[i.Caller] = f
-		p.turns.add(f)
-		c.flows = append(c.flows, f)
+		f = newCallerQueue(p, c)
+		p.callers[i.Caller] = f
+		p.byTag.insert(f)
+		c.queues = append(c.queues, f)
 	}
 	return f
 }
 
-func (q *Queue) ownerOf(i Item) *owner {
+func (q *Queue) ownerState(i Item) *ownerState {
 	c := q.classes[i.Class]
 	o, ok := c.owners[i.Owner]
 	if !ok {
-		o = &owner{
-			name:    i.Owner,
-			tag:     c.clock.now,
-			callers: make(map[core.CallerName]*caller),
-			bulk:    -1,
+		o = &ownerState{
+			name:      i.Owner,
+			tag:       c.clock.now,
+			callers:   make(map[core.CallerName]*callerState),
+			sizeIndex: -1,
 		}
 		c.owners[i.Owner] = o
 	}
 	if o.items == 0 {
-		c.bulk.add(o)
+		c.bySize.insert(o)
 	}
 	return o
 }
 
-// count adds the item to (sign 1) or takes it from (sign -1) every level.
-func (q *Queue) count(f *flow, i Item, sign int) {
-	p := f.in
+// addLoad adds the item to the load of every level (sign 1) or subtracts it
+// (sign -1).
+func (q *Queue) addLoad(f *callerQueue, i Item, sign int) {
+	p := f.parent
 	c := q.classes[i.Class]
 	for _, level := range []*load{
 		&q.load, &c.load, &p.owner.load, &f.caller.load,
-		&p.in.track.load, &p.in.load, &p.load, &f.load,
+		&p.parent.track.load, &p.parent.load, &p.load, &f.load,
 	} {
 		level.add(i, sign)
 	}
-	c.bulk.fix(p.owner.bulk)
+	c.bySize.fix(p.owner.sizeIndex)
 }
 
-// drop takes a waiting entry out of every level.
-func (q *Queue) drop(e *entry) {
-	f := e.flow
+// removeEntry removes a waiting entry from every level.
+func (q *Queue) removeEntry(e *entry) {
+	f := e.queue
 	delete(q.entries, e.ID)
-	q.due.cut(int(e.due))
-	f.items.cut(int(e.turn))
-	q.count(f, e.Item, -1)
-	if f.items.Len() == 0 {
-		q.cutFlow(f)
+	q.byStart.remove(int(e.startByIndex))
+	f.entries.remove(int(e.queueIndex))
+	q.addLoad(f, e.Item, -1)
+	if f.entries.Len() == 0 {
+		q.removeCallerQueue(f)
 	}
-	if t := f.in.in.track; t.items == 0 {
+	if t := f.parent.parent.track; t.items == 0 {
 		q.deactivate(t)
-		t.pace.empty()
+		t.drain.endBacklog()
 	}
-	q.settle(e.Class, f.in.owner)
+	q.releaseOwner(e.Class, f.parent.owner)
 }
 
-func (q *Queue) cutFlow(f *flow) {
-	p := f.in
-	p.turns.cut(f.place)
-	delete(p.flows, f.caller.name)
-	at := slices.Index(f.caller.flows, f)
-	f.caller.flows = slices.Delete(f.caller.flows, at, at+1)
-	if len(p.flows) > 0 {
+func (q *Queue) removeCallerQueue(f *callerQueue) {
+	p := f.parent
+	p.byTag.remove(f.index)
+	delete(p.callers, f.caller.name)
+	at := slices.Index(f.caller.queues, f)
+	f.caller.queues = slices.Delete(f.caller.queues, at, at+1)
+	if len(p.callers) > 0 {
 		return
 	}
-	p.in.turns.cut(p.place)
-	delete(p.in.parties, p.owner.name)
+	p.parent.byTag.remove(p.index)
+	delete(p.parent.owners, p.owner.name)
 }
 
 func (q *Queue) deactivate(t *track) {
 	last := len(q.active) - 1
 	moved := q.active[last]
-	q.active[t.place] = moved
-	moved.place = t.place
+	q.active[t.activeIndex] = moved
+	moved.activeIndex = t.activeIndex
 	q.active[last] = nil
 	q.active = q.active[:last]
-	t.place = -1
+	t.activeIndex = -1
 }
--- a/core/queue/lane.go
+++ b/core/queue/lane.go
@@ -8,94 +8,98 @@
 )
 
 const (
-	// longFactor is how far above the usual cost of its lane an item's cost is
-	// for it to be long, as a power of two: four times. Requests of one kind
-	// differ by less; a review among checks differs by far more.
-	longFactor = 2
-	// usualSamples is how many items tell what is usual, usualWeight how much one
-	// of them replaces.
-	usualSamples = 16
-	usualWeight  = 1.0 / 64
-	// recentShort is for how long after a short item long ones leave it room.
-	recentShort = 10 * time.Second
+	// longLog2Factor is how far above the usual cost of its lane the cost of a
+	// long item lies, as a power of two: four times. Costs of one kind of
+	// request differ by less; long requests among short ones differ by far
+	// more.
+	longLog2Factor = 2
+	// minSizeSamples is how many items are needed to know the usual cost, and
+	// sizeWeight is the weight of each further sample.
+	minSizeSamples = 16
+	sizeWeight     = 1.0 / 64
+	// shortWindow is the time after the arrival of a short item during which
+	// long items leave slots to short ones.
+	shortWindow = 10 * time.Second
 )
 
-// lane is what waits for one thing, such as a model: its short items and its
-// long ones, which drain at paces of their own.
+// lane holds the items that wait for one resource, such as a model. Short and
+// long items are kept apart because they drain at different rates.
 type lane struct {
 	name   string
 	tracks [2]*track
-	// ready is when the lane can start work at the earliest, such as when a load
-	// ends; zero for at once.
+	// ready is the earliest time at which the lane can start work, such as the
+	// expected end of a load. The zero time means now.
 	ready time.Time
-	// gauge is the lane's own, or one for all lanes where they share places.
-	gauge *gauge
-	// used orders idle lanes by when they were used last.
-	used uint64
+	// sizes belongs to the lane alone, or to all lanes if they share slots.
+	sizes *sizeClassifier
+	// lastUsed orders idle lanes by their last use. It holds a sequence number.
+	lastUsed uint64
 }
 
-// gauge tells short from long items among those that share places.
-type gauge struct {
-	// usual is the smoothed binary logarithm of the cost, seen how many items
-	// are in it.
-	usual float64
-	seen  int
-	// short is when a short item of each class came last.
-	short [core.ClassCount]time.Time
+// sizeClassifier separates short from long items among those that share slots.
+type sizeClassifier struct {
+	// meanLog2Cost is the smoothed binary logarithm of the cost, and samples is
+	// the number of items in it, up to minSizeSamples.
+	meanLog2Cost float64
+	samples      int
+	// lastShort is when the last short item of each class arrived.
+	lastShort [core.ClassCount]time.Time
 	// running counts the short and the long items that run.
 	running [2]int
 }
 
-// track is the short or the long items of a lane.
+// track holds either the short or the long items of a lane.
 type track struct {
 	load
-	lane     *lane
-	long     bool
-	sections [core.ClassCount]*section
-	pace     pace
-	running  int
-	// place is the track's index in Queue.active, -1 while it is empty.
-	place int
-	// skip marks classes that a Pop has found held; it is reset when it ends.
-	skip [core.ClassCount]bool
+	lane    *lane
+	long    bool
+	classes [core.ClassCount]*classQueue
+	drain   drainEstimator
+	running int
+	// activeIndex is the track's index in Queue.active, or -1 while the track
+	// is empty.
+	activeIndex int
+	// blocked marks the classes of which May let no item start. It is valid
+	// during one call of nextEntry.
+	blocked [core.ClassCount]bool
 }
 
-func newLane(name string, g *gauge) *lane {
-	l := &lane{name: name, gauge: g}
+func newLane(name string, g *sizeClassifier) *lane {
+	l := &lane{name: name, sizes: g}
 	for i := range l.tracks {
-		t := &track{lane: l, long: i == 1, place: -1}
-		for c := range t.sections {
-			t.sections[c] = newSection(t, core.Class(c))
+		t := &track{lane: l, long: i == 1, activeIndex: -1}
+		for c := range t.classes {
+			t.classes[c] = newClassQueue(t, core.Class(c))
 		}
 		l.tracks[i] = t
 	}
 	return l
 }
 
-// track returns the track an item belongs to.
+// track returns the track that an item belongs to.
 func (l *lane) track(i Item) *track {
-	if l.gauge.long(i.Cost) {
+	if l.sizes.isLong(i.Cost) {
 		return l.tracks[1]
 	}
 	return l.tracks[0]
 }
 
-func (g *gauge) long(cost int64) bool {
-	return g.seen >= usualSamples && math.Log2(float64(cost)) >= g.usual+longFactor
+func (g *sizeClassifier) isLong(cost int64) bool {
+	return g.samples >= minSizeSamples && math.Log2(float64(cost)) >= g.meanLog2Cost+longLog2Factor
 }
 
-// note learns from an item that came.
-func (g *gauge) note(now time.Time, i Item, long bool) {
-	weight := max(usualWeight, 1/float64(g.seen+1))
-	g.usual += (math.Log2(float64(i.Cost)) - g.usual) * weight
-	g.seen = min(g.seen+1, usualSamples)
+// observe updates the usual cost and the time of the last short item.
+func (g *sizeClassifier) observe(now time.Time, i Item, long bool) {
+	weight := max(sizeWeight, 1/float64(g.samples+1))
+	g.meanLog2Cost += (math.Log2(float64(i.Cost)) - g.meanLog2Cost) * weight
+	g.samples = min(g.samples+1, minSizeSamples)
 	if !long {
-		g.short[i.Class] = now
+		g.lastShort[i.Class] = now
 	}
 }
 
-func (g *gauge) shortSince(from time.Time, class core.Class) bool {
-	for _, at := range g.short[:class+1] {
+func (g *sizeClassifier) shortSince(from time.Time, class core.Class) bool {
+	for _, at := range g.lastShort[:class+1] {
 		if at.After(from) {
 			return true
 		}
@@ -103,17 +107,17 @@
 	return false
 }
 
-func (g *gauge) idle() bool { return g.running[0]+g.running[1] == 0 }
+func (g *sizeClassifier) idle() bool { return g.running[0]+g.running[1] == 0 }
 
-// run counts a start (1) or an end (-1) of one of the track's items.
-func (t *track) run(change int) {
+// addRunning records the start (1) or the end (-1) of one of the track's items.
+func (t *track) addRunning(change int) {
 	t.running += change
-	t.pace.widest = max(t.pace.widest, t.running)
+	t.drain.maxRunning = max(t.drain.maxRunning, t.running)
 	if t.long {
-		t.lane.gauge.running[1] += change
+		t.lane.sizes.running[1] += change
 		return
 	}
-	t.lane.gauge.running[0] += change
+	t.lane.sizes.running[0] += change
 }
 
 func (l *lane) load() load {
@@ -126,7 +130,7 @@
 
 func (l *lane) running() int { return l.tracks[0].running + l.tracks[1].running }
 
-// idle reports whether the lane has nothing to do.
+// idle reports whether nothing waits or runs in the lane.
 func (l *lane) idle() bool { return l.tracks[0].idle() && l.tracks[1].idle() }
 
 func (t *track) idle() bool { return t.items == 0 && t.running == 0 }
--- a/core/queue/pace.go
+++ b/core/queue/pace.go
@@ -5,140 +5,146 @@
 )
 
 const (
-	// paceWeight and serviceWeight are how much of a measure one new sample
-	// replaces. Sixteen finishes follow a change of speed within two rounds of an
-	// engine that runs eight at once; service times need less, since each sample
-	// is a whole measure.
-	paceWeight    = 1.0 / 16
+	// drainWeight and serviceWeight are the weights of a new sample in an
+	// estimate. With a weight of one sixteenth, the drain rate follows a change
+	// of speed within two rounds of an engine that runs eight requests at once.
+	// Service times need fewer samples because each is a whole measurement.
+	drainWeight   = 1.0 / 16
 	serviceWeight = 1.0 / 8
-	// spread is how many mean deviations above the mean a service time is
-	// foreseen at. Two leave some 5% of the work that was started late, when
-	// times spread as an exponential does.
-	spread = 2
-	// doubt is how long an idle lane believes its measures before it lets one
-	// request through whatever they say. Without it a lane whose engine was slow
-	// once, and whose callers are all refused for that, never measures again.
-	// One request a second is what a wrong guess may waste.
-	doubt = time.Second
+	// deviations is how many mean deviations above the mean an estimated service
+	// time lies. With two, some 5% of the work that starts at the last possible
+	// time misses its deadline if service times are exponentially distributed.
+	deviations = 2
+	// staleAfter is how long the estimates of an idle lane are used to refuse
+	// requests before one request is admitted regardless. Without it, a lane
+	// whose engine was slow once would refuse all callers and never measure
+	// again. A wrong guess wastes at most one request a second.
+	staleAfter = time.Second
 )
 
-// pace measures how a lane drains, in seconds for each unit of cost.
-type pace struct {
-	// seconds and cost are decayed sums over the finishes that fell into times
-	// with a backlog: their quotient is the time in which the lane gets through
-	// one unit of cost, however many requests run side by side.
-	seconds, cost float64
-	// finishes is the decayed number of finishes in them.
+// drainEstimator estimates how fast a track drains, in seconds per unit of
+// cost.
+type drainEstimator struct {
+	// drainSeconds and drainCost are decayed sums over the requests that
+	// finished during a backlog. Their quotient is the time in which the track
+	// serves one unit of cost, however many requests run in parallel.
+	drainSeconds, drainCost float64
+	// finishes is the decayed number of finishes in these sums.
 	finishes float64
-	// since is when the present interval began: the last finish, or when the
-	// backlog began. It is zero while nothing waits for a place.
-	since time.Time
-	// open tells that there were places and yet items waited, since their owners'
-	// or callers' limits held them.
-	open bool
-	// widest is how many ran at once at the most.
-	widest int
-	// mean and dev are the smoothed service time of one unit of cost and its
-	// mean deviation.
-	mean, dev float64
-	// sampled is when the last service time was measured.
-	sampled time.Time
+	// intervalStart is the time of the last finish, or the start of the backlog
+	// if that is later. It is zero while nothing waits for a slot.
+	intervalStart time.Time
+	// heldByLimits is set if slots are free and items wait only because of
+	// limits of their owners or callers.
+	heldByLimits bool
+	// maxRunning is the largest number of items that ran at once.
+	maxRunning int
+	// serviceMean and serviceDev are the smoothed service time of one unit of
+	// cost and its mean deviation.
+	serviceMean, serviceDev float64
+	// lastSample is when the last service time was measured.
+	lastSample time.Time
 }
 
-// backlog tells that work waits from now on; ready is when the lane can start.
-func (p *pace) backlog(now, ready time.Time) {
-	p.open = false
-	p.since = now
+// beginBacklog records that work waits from now on; ready is when the lane can
+// start it.
+func (d *drainEstimator) beginBacklog(now, ready time.Time) {
+	d.heldByLimits = false
+	d.intervalStart = now
 	if ready.After(now) {
-		p.since = ready
+		d.intervalStart = ready
 	}
 }
 
-// empty tells that nothing waits for a place: the time until the next backlog
-// says nothing about how fast one drains.
-func (p *pace) empty() { p.since = time.Time{} }
+// endBacklog records that nothing waits for a slot. The time until the next
+// backlog does not count towards the drain rate.
+func (d *drainEstimator) endBacklog() { d.intervalStart = time.Time{} }
 
-// restart begins a new interval: what passed was spent on a load.
-func (p *pace) restart(now time.Time) {
-	if !p.since.IsZero() {
-		p.since = now
+// restartInterval excludes the time since the last finish from the drain rate
+// because it was spent on a load.
+func (d *drainEstimator) restartInterval(now time.Time) {
+	if !d.intervalStart.IsZero() {
+		d.intervalStart = now
 	}
 }
 
-// held tells that there are places but limits hold all that waits. Without it a
-// lane would seem as slow as the one owner who may run one request at a time,
-// and others would be refused for a wait that they do not have.
-func (p *pace) held() {
-	p.empty()
-	p.open = true
+// markHeld records that slots are free but limits hold all waiting items.
+// Without it a lane would seem as slow as an owner that is limited to one
+// request at a time, and the requests of others would be refused for a wait
+// that they do not have.
+func (d *drainEstimator) markHeld() {
+	d.endBacklog()
+	d.heldByLimits = true
 }
 
-// drained folds one finish into the drain rate.
-func (p *pace) drained(now time.Time, cost int64) {
-	if p.since.IsZero() {
+// recordFinish adds one finished request to the drain rate.
+func (d *drainEstimator) recordFinish(now time.Time, cost int64) {
+	if d.intervalStart.IsZero() {
 		return
 	}
-	gone := max(0, now.Sub(p.since).Seconds())
-	p.seconds += gone - p.seconds*paceWeight
-	p.cost += float64(cost) - p.cost*paceWeight
-	p.finishes += 1 - p.finishes*paceWeight
-	if now.After(p.since) {
-		p.since = now
+	elapsed := max(0, now.Sub(d.intervalStart).Seconds())
+	d.drainSeconds += elapsed - d.drainSeconds*drainWeight
+	d.drainCost += float64(cost) - d.drainCost*drainWeight
+	d.finishes += 1 - d.finishes*drainWeight
+	if now.After(d.intervalStart) {
+		d.intervalStart = now
 	}
 }
 
-// served folds one service time in. A sample from a request that was let through
-// in doubt replaces what was believed.
-func (p *pace) served(now time.Time, took time.Duration, cost int64, inDoubt bool) {
+// recordService adds one service time. The sample of a probe replaces the
+// estimate.
+func (d *drainEstimator) recordService(now time.Time, took time.Duration, cost int64, probe bool) {
 	each := took.Seconds() / float64(cost)
-	p.sampled = now
-	if p.mean == 0 || inDoubt {
-		p.mean, p.dev = each, each/2
+	d.lastSample = now
+	if d.serviceMean == 0 || probe {
+		d.serviceMean, d.serviceDev = each, each/2
 		return
 	}
-	diff := each - p.mean
-	p.mean += diff * serviceWeight
-	p.dev += (max(diff, -diff) - p.dev) * serviceWeight
+	diff := each - d.serviceMean
+	d.serviceMean += diff * serviceWeight
+	d.serviceDev += (max(diff, -diff) - d.serviceDev) * serviceWeight
 }
 
-// doubted reports whether an idle lane's measures are too old to refuse by.
-func (p *pace) doubted(now time.Time) bool {
-	quarter := time.Duration(p.mean / 4 * float64(time.Second))
-	return now.Sub(p.sampled) >= max(doubt, quarter)
+// stale reports whether the estimates of an idle lane are too old to refuse
+// requests by.
+func (d *drainEstimator) stale(now time.Time) bool {
+	quarter := time.Duration(d.serviceMean / 4 * float64(time.Second))
+	return now.Sub(d.lastSample) >= max(staleAfter, quarter)
 }
 
-// service foresees how long a request of this cost runs, zero while unknown.
-func (p *pace) service(cost int64) time.Duration {
-	return seconds((p.mean + spread*p.dev) * float64(cost))
+// serviceTime estimates how long a request of the given cost runs. It is zero
+// while unknown.
+func (d *drainEstimator) serviceTime(cost int64) time.Duration {
+	return seconds((d.serviceMean + deviations*d.serviceDev) * float64(cost))
 }
 
-// wait foresees how long it takes to get through cost. While an upstream hangs,
-// nothing finishes and the sums stand still; so the open interval since the last
-// finish counts, as if it ended now with a request of mean cost, as soon as that
-// gives the longer wait. It counts only while something runs: otherwise the lane
-// waits for a load, and Queue.Ready tells how long.
-func (p *pace) wait(now time.Time, cost int64, running int) time.Duration {
+// drainTime estimates how long it takes to serve the given cost. While an
+// upstream hangs, nothing finishes and the sums do not change, so the open
+// interval since the last finish is counted as if a request of mean cost ended
+// now, once that gives the longer time. It is counted only while something
+// runs; otherwise the lane waits for a load, whose end is set by Queue.Ready.
+func (d *drainEstimator) drainTime(now time.Time, cost int64, running int) time.Duration {
 	if cost <= 0 {
 		return 0
 	}
-	if p.cost == 0 {
-		return seconds(p.mean * float64(cost) / float64(max(1, running, p.widest)))
+	if d.drainCost == 0 {
+		return seconds(d.serviceMean * float64(cost) / float64(max(1, running, d.maxRunning)))
 	}
-	each := p.seconds / p.cost
-	if !p.since.IsZero() && running > 0 {
-		open := max(0, now.Sub(p.since).Seconds())
-		kept := 1 - paceWeight
-		each = max(each, (p.seconds*kept+open)/(p.cost*kept+p.cost/p.finishes))
+	each := d.drainSeconds / d.drainCost
+	if !d.intervalStart.IsZero() && running > 0 {
+		elapsed := max(0, now.Sub(d.intervalStart).Seconds())
+		keep := 1 - drainWeight
+		each = max(each, (d.drainSeconds*keep+elapsed)/(d.drainCost*keep+d.drainCost/d.finishes))
 	}
 	return seconds(each * float64(cost))
 }
 
-// longest bounds what is foreseen, so that times stay within their range.
-const longest = 30 * 24 * time.Hour
+// maxForecast bounds all estimates so that times stay within their range.
+const maxForecast = 30 * 24 * time.Hour
 
 func seconds(s float64) time.Duration {
-	if s >= longest.Seconds() {
-		return longest
+	if s >= maxForecast.Seconds() {
+		return maxForecast
 	}
 	return time.Duration(s * float64(time.Second))
 }
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -6,77 +6,81 @@
 	"radishwell/core"
 )
 
-// Defaults of the bounds that are zero.
+// Defaults for bounds that are zero.
 const (
-	// DefaultItems holds a burst of 100,000 waiting requests; at about half a
-	// kilobyte each the queue itself then takes some 50 MB.
+	// DefaultItems admits a burst of 100,000 waiting requests. At about half a
+	// kilobyte each, the queue itself then takes some 50 MB.
 	DefaultItems = 100_000
-	// DefaultBytes bounds the bodies that wait with them.
+	// DefaultBytes bounds the bodies of the waiting requests.
 	DefaultBytes = core.GiB
-	// mostLanes is how many lanes keep their measures while they are idle. It
-	// is above the number of models and adapters of the largest catalogue met.
-	mostLanes = 4096
+	// maxLanes is how many lanes are kept before estimates of idle ones are
+	// dropped. It is above the number of models and adapters of the largest
+	// known catalogue.
+	maxLanes = 4096
 )
 
-// Queue is the waiting requests of one process. The zero value is ready for use.
-// It needs no lock of its own; its owner calls it from one goroutine at a time.
+// Queue holds the waiting requests of one process. The zero value is ready for
+// use. It is not safe for concurrent use.
 type Queue struct {
-	// Items and Bytes bound what waits in all; zero means the default.
+	// Items and Bytes bound everything that waits; zero means the default.
 	Items int
 	Bytes core.Bytes
 	// LaneItems and LaneBytes bound what waits in one lane; zero means no bound
-	// but the overall one.
+	// per lane.
 	LaneItems int
 	LaneBytes core.Bytes
-	// Shared tells that all lanes start work in the same places, as the models of
-	// one engine do. Otherwise each lane has places of its own.
+	// Shared is set if all lanes start work in the same slots, as the models of
+	// one engine do. Otherwise each lane has its own slots.
 	Shared bool
-	// Spare is how many places overnight work leaves free.
+	// Spare is how many slots overnight work leaves free.
 	Spare int
-	// May, where it is set, is asked before an item is popped.
+	// May, if not nil, is called before an item is popped and reports whether a
+	// limit holds it.
 	May func(Item) Hold
 
 	load
-	classes [core.ClassCount]*class
-	clock   clock
+	classes [core.ClassCount]*classState
+	clock   virtualClock
 	lanes   map[string]*lane
 	active  []*track
 	entries map[core.RequestID]*entry
 	running map[core.RequestID]run
-	due     order[*entry]
-	// out holds refusals that were decided while popping.
-	gauge gauge
-	out   []Refused
-	outAt time.Time
-	seq   uint64
+	byStart indexedHeap[*entry]
+	sizes   sizeClassifier
+	// expired holds the refusals of items whose time ran out, until the next
+	// call of Expire; expiredAt is the time of the first of them.
+	expired   []Refused
+	expiredAt time.Time
+	seq       uint64
 }
 
 // run is a popped item that has not finished.
 type run struct {
 	track   *track
-	at      time.Time
+	started time.Time
 	cost    int64
-	inDoubt bool
+	probe   bool
 }
 
-// Pushed is what became of a pushed item.
+// Pushed is the result of Push.
 type Pushed struct {
-	// Refusal is nil where the item waits now.
+	// Refusal is nil if the item was queued.
 	Refusal *core.Refusal
-	// Displaced are items that had to make room; each is owed its refusal now.
+	// Displaced lists the items that were removed to make room. The caller of
+	// Push has to send each of them its refusal.
 	Displaced []Refused
 }
 
-// Push lets an item wait, or refuses it with outcome not-run: its id is in use
-// (internal), its deadline has passed, the wait foreseen is longer than the
-// deadline leaves, or the queue is full of what is worth more.
+// Push queues an item, or refuses it with outcome not-run if its ID is in use
+// (internal), its deadline has passed, the expected wait is too long for its
+// deadline, or the queue is full of items that are worth at least as much.
 func (q *Queue) Push(now time.Time, i Item) Pushed {
 	q.init()
-	i = tidy(i)
-	if ref := q.checkTimes(now, i); ref != nil {
+	i = normalize(i)
+	if ref := q.checkDeadline(now, i); ref != nil {
 		return Pushed{Refusal: ref}
 	}
-	displaced, ref := q.fit(now, i)
+	displaced, ref := q.makeRoom(now, i)
 	if ref != nil {
 		return Pushed{Refusal: ref}
 	}
@@ -84,8 +88,8 @@
 	return Pushed{Displaced: displaced}
 }
 
-func tidy(i Item) Item {
-	i.Cost = min(max(1, i.Cost), mostCost)
+func normalize(i Item) Item {
+	i.Cost = min(max(1, i.Cost), maxCost)
 	i.Size = max(0, i.Size)
 	if i.Class >= core.ClassCount {
 		i.Class = core.Overnight
@@ -93,8 +97,9 @@
 	return i
 }
 
-// checkTimes refuses what cannot end in time.
-func (q *Queue) checkTimes(now time.Time, i Item) *core.Refusal {
+// checkDeadline refuses an item whose ID is in use or that cannot finish in
+// time.
+func (q *Queue) checkDeadline(now time.Time, i Item) *core.Refusal {
 	if _, ok := q.entries[i.ID]; ok {
 		return core.Refuse(core.CodeInternal, "The request is waiting already.")
 	}
@@ -109,37 +114,37 @@
 		return nil
 	}
 	t := l.track(i)
-	end := t.start(now, i)
-	if !t.idle() || !t.pace.doubted(now) {
-		end = end.Add(t.pace.service(i.Cost))
+	end := t.estimateStart(now, i)
+	if !t.idle() || !t.drain.stale(now) {
+		end = end.Add(t.drain.serviceTime(i.Cost))
 	}
 	if !end.After(i.Deadline) {
 		return nil
 	}
-	return tooLong(now, t, end.Sub(i.Deadline))
+	return waitRefusal(now, t, end.Sub(i.Deadline))
 }
 
-// tooLong says when the backlog has shrunk enough for a request that is as
-// patient as this one.
-func tooLong(now time.Time, t *track, late time.Duration) *core.Refusal {
+// waitRefusal returns a refusal whose retry time is when the backlog should
+// have shrunk enough for a request with as much time left as this one.
+func waitRefusal(now time.Time, t *track, late time.Duration) *core.Refusal {
 	if t.idle() {
-		// The service time alone is too long: nothing drains. The lane lets one
-		// request measure it anew after the doubt.
-		late = max(late, doubt)
+		// The service time alone is too long, so nothing drains. Once the
+		// estimate is stale, the lane admits one request to measure it again.
+		late = max(late, staleAfter)
 	}
 	return core.RefuseUntil(core.CodeWaitTooLong,
 		"The work waiting for "+t.lane.name+" would not leave time before the deadline.", now.Add(late))
 }
 
-// Pop returns the item that goes next among the lanes that are free; free tells
-// how many more requests a lane could start now. The item counts as started.
-// Items whose time has run out on the way are kept for Expire.
+// Pop returns the item to start next among the lanes with free slots; free
+// returns how many more requests a lane could start now. The item counts as
+// started. Items that can no longer finish in time are kept for Expire.
 func (q *Queue) Pop(now time.Time, free func(lane string) int) (Item, bool) {
 	q.init()
 	return q.pop(now, &q.active, free)
 }
 
-// PopLane is Pop for one lane, which could start free more requests.
+// PopLane is Pop for a single lane, which could start free more requests.
 func (q *Queue) PopLane(now time.Time, name string, free int) (Item, bool) {
 	q.init()
 	l, ok := q.lanes[name]
@@ -150,51 +155,52 @@
 	return q.pop(now, &list, func(string) int { return free })
 }
 
-// pop takes the list of tracks by reference: it changes as items are refused.
+// pop takes a pointer to the list of tracks because the list changes as items
+// are refused.
 func (q *Queue) pop(now time.Time, list *[]*track, free func(lane string) int) (Item, bool) {
-	q.overdue(now)
+	q.expireDue(now)
 	for {
-		e := q.next(now, *list, free)
+		e := q.nextEntry(now, *list, free)
 		if e == nil {
 			return Item{}, false
 		}
-		// Running what cannot end in time any more would spend the upstream on an
-		// answer that comes too late, which is how goodput falls under overload.
-		if e.lastStart(e.flow.in.in.track).Before(now) {
+		// Starting an item that cannot finish in time would spend the upstream
+		// on an answer that comes too late and reduce goodput under overload.
+		if e.latestStart(e.queue.parent.parent.track).Before(now) {
 			q.refuse(now, e)
 			continue
 		}
-		q.begin(now, e)
+		q.startRun(now, e)
 		return e.Item, true
 	}
 }
 
-// begin moves an entry from waiting to running.
-func (q *Queue) begin(now time.Time, e *entry) {
-	t := e.flow.in.in.track
-	if t.lane.gauge.idle() {
-		t.pace.restart(now)
+// startRun moves an entry from waiting to running.
+func (q *Queue) startRun(now time.Time, e *entry) {
+	t := e.queue.parent.parent.track
+	if t.lane.sizes.idle() {
+		t.drain.restartInterval(now)
 	}
 	q.charge(e)
-	q.drop(e)
-	t.run(1)
-	q.running[e.ID] = run{track: t, at: now, cost: e.Cost, inDoubt: e.inDoubt}
+	q.removeEntry(e)
+	t.addRunning(1)
+	q.running[e.ID] = run{track: t, started: now, cost: e.Cost, probe: e.probe}
 }
 
 // charge advances the virtual times of the item's class, owner and caller.
 func (q *Queue) charge(e *entry) {
-	f := e.flow
+	f := e.queue
 	c := q.classes[e.Class]
-	o := f.in.owner
-	c.tag = q.clock.serve(c.tag, e.Cost*unit/Weights[e.Class])
-	o.tag = c.clock.serve(o.tag, e.Cost)
-	f.caller.tag = o.clock.serve(f.caller.tag, e.Cost)
+	o := f.parent.owner
+	c.tag = q.clock.advance(c.tag, e.Cost*virtualUnit/Weights[e.Class])
+	o.tag = c.clock.advance(o.tag, e.Cost)
+	f.caller.tag = o.clock.advance(f.caller.tag, e.Cost)
 }
 
-// Finish ends a popped item's run. Only Served is a measure of how fast the lane
-// is: without that, one load of 20 s would let the lane seem a hundred times
-// slower for the next dozen requests, and callers would be refused for it. An id
-// that is not running is ignored.
+// Finish records the end of a popped item's run. Only runs that end as Served
+// update the estimates. Otherwise a load of 20 s would make the lane seem a
+// hundred times slower for the next dozen requests, and callers would be
+// refused for it. An ID that is not running is ignored.
 func (q *Queue) Finish(now time.Time, id core.RequestID, end End) {
 	r, ok := q.running[id]
 	if !ok {
@@ -202,48 +208,49 @@
 	}
 	delete(q.running, id)
 	t := r.track
-	t.run(-1)
+	t.addRunning(-1)
 	switch end {
 	case Served:
-		t.pace.served(now, now.Sub(r.at), r.cost, r.inDoubt)
-		t.pace.drained(now, r.cost)
+		t.drain.recordService(now, now.Sub(r.started), r.cost, r.probe)
+		t.drain.recordFinish(now, r.cost)
 	case ServedCold:
-		t.pace.restart(now)
+		t.drain.restartInterval(now)
 	}
 }
 
-// End tells how a run ended.
+// End says how a run ended.
 type End uint8
 
-// Ends of runs.
+// The values of End.
 const (
-	// Served is a whole answer by an upstream that was ready.
+	// Served is a complete answer by an upstream that was ready.
 	Served End = iota
-	// ServedCold is a whole answer that waited for a load.
+	// ServedCold is a complete answer that waited for a load.
 	ServedCold
-	// Failed is any other end, a cancel included.
+	// Failed is any other end, including a cancelled run.
 	Failed
 )
 
-// Ready tells when the lane can start work, as when a load should end. A past or
-// zero time means at once.
+// Ready sets when the lane can start work, such as the expected end of a load.
+// A past or zero time means now.
 func (q *Queue) Ready(now time.Time, name string, at time.Time) {
 	q.init()
-	l := q.lane(name)
+	l := q.laneFor(name)
 	l.ready = at
 	for _, t := range l.tracks {
 		if t.items > 0 {
-			t.pace.backlog(now, at)
+			t.drain.beginBacklog(now, at)
 		}
 	}
 }
 
-// Remove takes out a waiting item whose caller went away.
+// Remove removes a waiting item, such as one whose caller disconnected. It
+// reports whether the item was waiting.
 func (q *Queue) Remove(id core.RequestID) (Item, bool) {
 	e, ok := q.entries[id]
 	if !ok {
 		return Item{}, false
 	}
-	q.drop(e)
+	q.removeEntry(e)
 	return e.Item, true
 }
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// popOwner pops n items and returns how many of them are the owner's.
+// popOwner pops n items and returns how many of them belong to the owner.
 func popOwner(t *testing.T, q *queue.Queue, n int, free func(string) int, owner string) int {
 	t.Helper()
 	got := 0
@@ -98,8 +98,8 @@
 	return got
 }
 
-// A caller asks again in the moment in which its first request is refused. The
-// time it was told must be one at which it passes, if nothing else comes.
+// A refused caller that retries at the time named in the refusal must be
+// admitted if nothing else arrives in between.
 func TestRetryAtIsHonest(t *testing.T) {
 	q := &queue.Queue{}
 	now := t0
@@ -173,9 +173,9 @@
 	})
 }
 
-// A lane that drains 20 requests a second loses its model and waits 20 s for a
-// load. Right after it, a request with some patience must not be refused: the
-// load is over, and the lane is as fast as before.
+// A lane that drains 20 requests a second waits 20 s for a load. Afterwards a
+// request with 3 s left must not be refused, because the lane is as fast as
+// before the load.
 func TestLoadsDoNotSlowTheLane(t *testing.T) {
 	for _, end := range []queue.End{queue.Served, queue.ServedCold} {
 		q := &queue.Queue{}
@@ -244,41 +244,41 @@
 	})
 }
 
-// Every request that was pushed is answered once: popped, refused at once,
-// displaced, expired or removed; none later than its deadline; and nothing of
-// any name is left when all are gone.
+// Every request that was pushed leaves the queue exactly once: popped, refused,
+// displaced, expired or removed. None leaves later than its deadline, and no
+// load remains once all have left.
 func TestConservation(t *testing.T) {
 	for seed := range uint64(12) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { conserve(t, rand.New(rand.NewPCG(seed, 1))) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkConservation(t, rand.New(rand.NewPCG(seed, 1))) })
 	}
 }
 
-// ledger counts what became of each request.
-type ledger struct {
+// tracker records which requests wait and which run.
+type tracker struct {
 	t       *testing.T
 	waiting map[core.RequestID]queue.Item
 	running []core.RequestID
 }
 
-func (l *ledger) gone(i queue.Item) {
+func (l *tracker) answered(i queue.Item) {
 	l.t.Helper()
 	_, ok := l.waiting[i.ID]
 	assert.Assert(l.t, ok, "%s is answered twice", i.ID)
 	delete(l.waiting, i.ID)
 }
 
-func (l *ledger) refused(list []queue.Refused) {
+func (l *tracker) refused(list []queue.Refused) {
 	l.t.Helper()
 	for _, r := range list {
-		l.gone(r.Item)
+		l.answered(r.Item)
 		assert.Equal(l.t, r.Refusal.Outcome, core.NotRun)
 	}
 }
 
-func conserve(t *testing.T, rng *rand.Rand) {
+func checkConservation(t *testing.T, rng *rand.Rand) {
 	q := &queue.Queue{Items: 50, Bytes: 3000, LaneItems: 20, Spare: rng.IntN(2), Shared: rng.IntN(2) == 0}
 	q.May = func(queue.Item) queue.Hold { return queue.Hold(max(0, rng.IntN(6)-2)) }
-	l := &ledger{t: t, waiting: make(map[core.RequestID]queue.Item)}
+	l := &tracker{t: t, waiting: make(map[core.RequestID]queue.Item)}
 	now := t0
 	for n := range 2000 {
 		now = now.Add(time.Duration(rng.IntN(100)) * time.Millisecond)
@@ -312,7 +312,7 @@
 	}
 }
 
-func (l *ledger) push(q *queue.Queue, now time.Time, i queue.Item) {
+func (l *tracker) push(q *queue.Queue, now time.Time, i queue.Item) {
 	p := q.Push(now, i)
 	l.refused(p.Displaced)
 	if p.Refusal == nil {
@@ -320,18 +320,18 @@
 	}
 }
 
-func (l *ledger) pop(q *queue.Queue, now time.Time, rng *rand.Rand) {
+func (l *tracker) pop(q *queue.Queue, now time.Time, rng *rand.Rand) {
 	open := rng.IntN(4)
 	i, ok := q.Pop(now, func(lane string) int { return 2 * int((lane[4]-'0')&1) * open })
 	l.refused(q.Expire(now))
 	if ok {
 		assert.Assert(l.t, now.Before(i.Deadline), "%s starts after its deadline", i.ID)
-		l.gone(i)
+		l.answered(i)
 		l.running = append(l.running, i.ID)
 	}
 }
 
-func (l *ledger) finish(q *queue.Queue, now time.Time, rng *rand.Rand) {
+func (l *tracker) finish(q *queue.Queue, now time.Time, rng *rand.Rand) {
 	if len(l.running) > 0 {
 		q.Finish(now, l.running[0], queue.End(rng.IntN(3)))
 		l.running = l.running[1:]
@@ -340,11 +340,11 @@
 	if len(l.waiting) > 0 {
 		i, ok := q.Remove(slices.Min(slices.Collect(maps.Keys(l.waiting))))
 		assert.Assert(l.t, ok)
-		l.gone(i)
+		l.answered(i)
 	}
 }
 
-func (l *ledger) wantNoneOverdue(now time.Time) {
+func (l *tracker) wantNoneOverdue(now time.Time) {
 	for _, i := range l.waiting {
 		assert.Assert(l.t, i.Deadline.After(now), "%s waits past its deadline", i.ID)
 	}
--- a/core/queue/refuse.go
+++ b/core/queue/refuse.go
@@ -6,47 +6,47 @@
 	"radishwell/core"
 )
 
-// Expire returns the items that can no longer end in time, each with its
-// refusal: at its deadline less the service time foreseen, so that a request
-// that is given up gets its answer at once and never waits for the deadline
-// itself. Call it at Next and after every Pop.
+// Expire returns the items that can no longer finish in time, each with its
+// refusal. An item expires at its deadline less its estimated service time, so
+// its caller gets the refusal at once rather than at the deadline. Call Expire
+// at the time returned by Next and after every Pop.
 func (q *Queue) Expire(now time.Time) []Refused {
-	q.overdue(now)
-	out := q.out
-	q.out = nil
-	return out
+	q.expireDue(now)
+	expired := q.expired
+	q.expired = nil
+	return expired
 }
 
-// Next returns when Expire has something to return: a past time where it has
-// already, and the zero time where nothing that waits has a deadline.
+// Next returns when Expire has to be called next: a past time if there are
+// refusals already, and the zero time if no waiting item has a deadline.
 func (q *Queue) Next() time.Time {
-	if len(q.out) > 0 {
-		return q.outAt
+	if len(q.expired) > 0 {
+		return q.expiredAt
 	}
-	if q.due.Len() == 0 || q.due.top().last.Equal(forever) {
+	if q.byStart.Len() == 0 || q.byStart.top().startBy.Equal(forever) {
 		return time.Time{}
 	}
-	return q.due.top().last
+	return q.byStart.top().startBy
 }
 
-func (q *Queue) overdue(now time.Time) {
-	for q.due.Len() > 0 && !q.due.top().last.After(now) {
-		q.refuse(now, q.due.top())
+func (q *Queue) expireDue(now time.Time) {
+	for q.byStart.Len() > 0 && !q.byStart.top().startBy.After(now) {
+		q.refuse(now, q.byStart.top())
 	}
 }
 
-// refuse gives a waiting entry up and keeps its refusal for Expire.
+// refuse removes a waiting entry and keeps its refusal for Expire.
 func (q *Queue) refuse(now time.Time, e *entry) {
-	t := e.flow.in.in.track
-	q.drop(e)
-	if len(q.out) == 0 {
-		q.outAt = now
+	t := e.queue.parent.parent.track
+	q.removeEntry(e)
+	if len(q.expired) == 0 {
+		q.expiredAt = now
 	}
-	q.out = append(q.out, Refused{Item: e.Item, Refusal: lateRefusal(now, t, e)})
+	q.expired = append(q.expired, Refused{Item: e.Item, Refusal: expiryRefusal(now, t, e)})
 }
 
-func lateRefusal(now time.Time, t *track, e *entry) *core.Refusal {
-	at := t.start(now, e.Item)
+func expiryRefusal(now time.Time, t *track, e *entry) *core.Refusal {
+	at := t.estimateStart(now, e.Item)
 	if !e.Deadline.After(now) {
 		return core.RefuseUntil(core.CodeDeadline,
 			"The deadline passed while the request waited for "+t.lane.name+".", at)
@@ -55,26 +55,27 @@
 		"The request waited for "+t.lane.name+" until too little time was left to run.", at)
 }
 
-// fit makes place for an item. It displaces only where that lets the item in,
-// so what it returns beside a refusal is empty.
-func (q *Queue) fit(now time.Time, i Item) ([]Refused, *core.Refusal) {
+// makeRoom displaces items until the new one fits. It displaces nothing if the
+// new item is refused.
+func (q *Queue) makeRoom(now time.Time, i Item) ([]Refused, *core.Refusal) {
 	whole := wholeScope{q}
-	if !sheds(i, q.excess(i), whole) {
-		return nil, full(now, q.lane(i.Lane).track(i), i, core.CodeOverload,
+	if !canShed(i, q.excess(i), whole) {
+		return nil, fullRefusal(now, q.laneFor(i.Lane).track(i), i, core.CodeOverload,
 			"The queue is full of requests that are worth at least as much.")
 	}
-	var gone []Refused
+	var displaced []Refused
 	if l, ok := q.lanes[i.Lane]; ok {
 		over := excess(l.load(), i, q.LaneItems, q.LaneBytes)
-		if !sheds(i, over, laneScope{l}) {
-			return nil, full(now, l.track(i), i, core.CodeQueueFull, "The queue for "+l.name+" is full.")
+		if !canShed(i, over, laneScope{l}) {
+			return nil, fullRefusal(now, l.track(i), i, core.CodeQueueFull, "The queue for "+l.name+" is full.")
 		}
-		gone = q.shed(now, i, over, laneScope{l})
+		displaced = q.shed(now, i, over, laneScope{l})
 	}
-	return append(gone, q.shed(now, i, q.excess(i), whole)...), nil
+	return append(displaced, q.shed(now, i, q.excess(i), whole)...), nil
 }
 
-// excess is what has to go from the whole queue before the item fits.
+// excess returns how much has to be removed from the whole queue before the
+// item fits.
 func (q *Queue) excess(i Item) load {
 	return excess(q.load, i, orDefault(q.Items, DefaultItems), orDefault(q.Bytes, DefaultBytes))
 }
@@ -86,7 +87,8 @@
 	return v
 }
 
-// excess is what has to go before the item fits; zero bounds are no bounds.
+// excess returns how much of a load has to be removed before the item fits. A
+// bound of zero means no bound.
 func excess(l load, i Item, items int, bytes core.Bytes) load {
 	var over load
 	if items > 0 {
@@ -98,11 +100,13 @@
 	return over
 }
 
-// full says when the track has started one more item, which frees a place.
-func full(now time.Time, t *track, i Item, code core.Code, reason string) *core.Refusal {
-	wait := t.pace.wait(now, i.Cost, t.running)
-	return core.RefuseUntil(code, reason, now.Add(max(wait, soonest)))
+// fullRefusal returns a refusal whose retry time is when the track should have
+// started one more item and freed its place.
+func fullRefusal(now time.Time, t *track, i Item, code core.Code, reason string) *core.Refusal {
+	wait := t.drain.drainTime(now, i.Cost, t.running)
+	return core.RefuseUntil(code, reason, now.Add(max(wait, minRetryDelay)))
 }
 
-// soonest is the least time after which a full queue is worth another try.
-const soonest = time.Second
+// minRetryDelay is the shortest delay after which a caller may retry when the
+// queue is full.
+const minRetryDelay = time.Second
--- a/core/queue/rest.go
+++ b/core/queue/rest.go
@@ -8,83 +8,86 @@
 	"radishwell/core"
 )
 
-// sweepEach is how many owners without work each removal looks at: more than
-// the one it can add.
-const sweepEach = 2
+// sweepCount is how many idle owners each removal examines. It exceeds the one
+// owner that a removal can add, so the list shrinks.
+const sweepCount = 2
 
-// settle drops the owner's record once it holds nothing that a fresh one would
-// not, so that names that fell silent do not stay in memory. An owner whose tag
-// is ahead stays until the class's clock has passed it: without that, sending
-// one request at a time would start each of them with a clean record.
-func (q *Queue) settle(c core.Class, o *owner) {
+// releaseOwner deletes the record of an owner that has nothing waiting once the
+// record equals a new one, so that names no longer in use do not stay in
+// memory. An owner whose tag is ahead of the virtual time of its class is kept
+// until the class has caught up. Otherwise an owner that sends one request at a
+// time would start each of them without its past charges.
+func (q *Queue) releaseOwner(c core.Class, o *ownerState) {
 	in := q.classes[c]
 	if o.items == 0 {
-		in.bulk.cut(o.bulk)
-		in.rest(o)
+		in.bySize.remove(o.sizeIndex)
+		in.retire(o)
 	}
-	in.sweep()
+	in.sweepIdle()
 	if in.items == 0 {
-		in.clock.settle()
+		in.clock.endBusyPeriod()
 		clear(in.owners)
-		in.rested = nil
+		in.idleAhead = nil
 	}
 	if q.items == 0 {
-		q.clock.settle()
+		q.clock.endBusyPeriod()
 	}
 }
 
-func (c *class) rest(o *owner) {
+func (c *classState) retire(o *ownerState) {
 	if o.tag <= c.clock.now {
 		delete(c.owners, o.name)
 		return
 	}
-	if !o.rested {
-		o.rested = true
-		c.rested = append(c.rested, o)
+	if !o.listedIdle {
+		o.listedIdle = true
+		c.idleAhead = append(c.idleAhead, o)
 	}
 }
 
-func (c *class) sweep() {
-	for range min(sweepEach, len(c.rested)) {
-		o := c.rested[0]
-		c.rested = c.rested[1:]
+func (c *classState) sweepIdle() {
+	for range min(sweepCount, len(c.idleAhead)) {
+		o := c.idleAhead[0]
+		c.idleAhead = c.idleAhead[1:]
 		switch {
 		case o.items > 0:
-			o.rested = false
+			o.listedIdle = false
 		case o.tag <= c.clock.now:
 			delete(c.owners, o.name)
 		default:
-			c.rested = append(c.rested, o)
+			c.idleAhead = append(c.idleAhead, o)
 		}
 	}
 }
 
-// prune forgets the measures of the idle lanes that were used longest ago, half
-// of them at once so that the cost is spread over many new lanes.
-func (q *Queue) prune() {
+// pruneLanes drops the estimates of the idle lanes that were used least
+// recently. It drops half of the idle lanes at once so that the cost is spread
+// over many new lanes.
+func (q *Queue) pruneLanes() {
 	var idle []*lane
 	for _, l := range q.lanes {
 		if l.idle() {
 			idle = append(idle, l)
 		}
 	}
-	slices.SortFunc(idle, func(a, b *lane) int { return cmp.Compare(a.used, b.used) })
+	slices.SortFunc(idle, func(a, b *lane) int { return cmp.Compare(a.lastUsed, b.lastUsed) })
 	for _, l := range idle[:(len(idle)+1)/2] {
 		delete(q.lanes, l.name)
 	}
 }
 
-// Depth tells what waits in a lane and how it drains, for explain and metrics.
+// Depth describes what waits in a lane and how fast the lane drains, for the
+// explain command and metrics.
 type Depth struct {
 	Items   int
 	Cost    int64
 	Bytes   core.Bytes
 	Running int
-	// Ready is when the lane can start work at the earliest.
+	// Ready is the earliest time at which the lane can start work.
 	Ready time.Time
-	// Service is the service time foreseen for cost one, Drain the time in which
-	// the lane gets through one unit of cost, both for its short work; zero while
-	// unknown.
+	// Service is the estimated service time of cost one, and Drain is the time
+	// in which the lane serves one unit of cost. Both refer to the short items
+	// of the lane and are zero while unknown.
 	Service, Drain time.Duration
 }
 
@@ -97,27 +100,27 @@
 	all, short := l.load(), l.tracks[0]
 	return Depth{
 		Items: all.items, Cost: all.cost, Bytes: all.bytes, Running: l.running(), Ready: l.ready,
-		Service: short.pace.service(1), Drain: short.pace.wait(now, 1, short.running),
+		Service: short.drain.serviceTime(1), Drain: short.drain.drainTime(now, 1, short.running),
 	}
 }
 
-// Foresee returns when an item pushed now would be started and when it would
-// end, by present measures.
+// Foresee returns when an item pushed now is expected to start and to end,
+// according to the current estimates.
 func (q *Queue) Foresee(now time.Time, i Item) (start, end time.Time) {
-	i = tidy(i)
+	i = normalize(i)
 	l, ok := q.lanes[i.Lane]
 	if !ok {
 		return now, now
 	}
 	t := l.track(i)
-	start = t.start(now, i)
-	return start, start.Add(t.pace.service(i.Cost))
+	start = t.estimateStart(now, i)
+	return start, start.Add(t.drain.serviceTime(i.Cost))
 }
 
-// Len returns the number of items waiting, Waiting those of a class.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return q.items }
 
-// Waiting returns the number of items of a class that wait.
+// Waiting returns the number of waiting items of a class.
 func (q *Queue) Waiting(c core.Class) int {
 	if q.lanes == nil || c >= core.ClassCount {
 		return 0
@@ -125,5 +128,5 @@
 	return q.classes[c].items
 }
 
-// Held returns the memory that the bodies of the waiting items hold.
+// Held returns the memory held by the bodies of the waiting items.
 func (q *Queue) Held() core.Bytes { return q.bytes }
--- a/core/queue/shed.go
+++ b/core/queue/shed.go
@@ -6,181 +6,183 @@
 	"radishwell/core"
 )
 
-// scope is the part of the queue that a bound is kept for.
+// scope is the part of the queue to which a bound applies.
 type scope interface {
-	// class returns what waits of a class.
-	class(c core.Class) load
-	// largest returns the owner in a class with most waiting, and how much.
-	largest(c core.Class) (core.OwnerName, int)
-	// held returns how much of a class an owner has waiting.
-	held(c core.Class, o core.OwnerName) int
-	// last returns an entry of an owner in a class, of the caller with most
-	// waiting and with a late deadline among that caller's.
-	last(c core.Class, o core.OwnerName) *entry
+	// classLoad returns what waits of a class.
+	classLoad(c core.Class) load
+	// largestOwner returns the owner with most items waiting in a class, and
+	// their number.
+	largestOwner(c core.Class) (core.OwnerName, int)
+	// ownerItems returns how many items of a class an owner has waiting.
+	ownerItems(c core.Class, o core.OwnerName) int
+	// victim returns the entry to displace for an owner in a class: one with a
+	// late deadline, of the caller with most items waiting.
+	victim(c core.Class, o core.OwnerName) *entry
 }
 
-// sheds reports whether room can be made for an item by giving up what is worth
-// less: work of less urgent classes, the least urgent first, or one item of an
-// owner in the same class who has at least two more waiting than the item's
-// owner. The second rule answers an owner who fills the queue: without it all
-// others are turned away until that owner's backlog is through.
-func sheds(i Item, over load, in scope) bool {
-	if over.items == 0 && over.bytes == 0 || enoughBelow(i.Class, over, in) {
+// canShed reports whether enough can be displaced to make room for an item:
+// work of less urgent classes, the least urgent first, or one item of an owner
+// in the same class that has at least two more items waiting than the item's
+// owner. Without the second rule an owner that fills the queue would lock out
+// all others until its backlog is served.
+func canShed(i Item, over load, in scope) bool {
+	if over.items == 0 && over.bytes == 0 || lowerClassesSuffice(i.Class, over, in) {
 		return true
 	}
-	name, most := in.largest(i.Class)
-	if over.items > 1 || most < in.held(i.Class, i.Owner)+2 {
+	name, most := in.largestOwner(i.Class)
+	if over.items > 1 || most < in.ownerItems(i.Class, i.Owner)+2 {
 		return false
 	}
-	return in.last(i.Class, name).Size >= over.bytes
+	return in.victim(i.Class, name).Size >= over.bytes
 }
 
-// shed makes the room that sheds has found.
+// shed displaces the items that canShed has found.
 func (q *Queue) shed(now time.Time, i Item, over load, in scope) []Refused {
 	if over.items == 0 && over.bytes == 0 {
 		return nil
 	}
-	if enoughBelow(i.Class, over, in) {
-		return q.shedBelow(now, i.Class, over, in)
+	if lowerClassesSuffice(i.Class, over, in) {
+		return q.shedLowerClasses(now, i.Class, over, in)
 	}
-	name, _ := in.largest(i.Class)
-	return []Refused{q.displace(now, in.last(i.Class, name))}
+	name, _ := in.largestOwner(i.Class)
+	return []Refused{q.displace(now, in.victim(i.Class, name))}
 }
 
-func enoughBelow(c core.Class, over load, in scope) bool {
+func lowerClassesSuffice(c core.Class, over load, in scope) bool {
 	var below load
 	for lower := c + 1; lower < core.ClassCount; lower++ {
-		l := in.class(lower)
+		l := in.classLoad(lower)
 		below.items += l.items
 		below.bytes += l.bytes
 	}
 	return below.items >= over.items && below.bytes >= over.bytes
 }
 
-func (q *Queue) shedBelow(now time.Time, c core.Class, over load, in scope) []Refused {
-	var gone []Refused
+func (q *Queue) shedLowerClasses(now time.Time, c core.Class, over load, in scope) []Refused {
+	var displaced []Refused
 	lower := core.ClassCount - 1
 	for lower > c && (over.items > 0 || over.bytes > 0) {
-		name, most := in.largest(lower)
+		name, most := in.largestOwner(lower)
 		if most == 0 {
 			lower--
 			continue
 		}
-		r := q.displace(now, in.last(lower, name))
+		r := q.displace(now, in.victim(lower, name))
 		over.items--
 		over.bytes -= r.Item.Size
-		gone = append(gone, r)
+		displaced = append(displaced, r)
 	}
-	return gone
+	return displaced
 }
 
 func (q *Queue) displace(now time.Time, e *entry) Refused {
-	t := e.flow.in.in.track
-	q.drop(e)
-	return Refused{Item: e.Item, Refusal: full(now, t, e.Item, core.CodeOverload,
+	t := e.queue.parent.parent.track
+	q.removeEntry(e)
+	return Refused{Item: e.Item, Refusal: fullRefusal(now, t, e.Item, core.CodeOverload,
 		"The queue is full and made room for more urgent work.")}
 }
 
-// wholeScope is the whole queue.
+// wholeScope is the scope of the bounds of the whole queue.
 type wholeScope struct{ q *Queue }
 
-func (w wholeScope) class(c core.Class) load { return w.q.classes[c].load }
+func (w wholeScope) classLoad(c core.Class) load { return w.q.classes[c].load }
 
-func (w wholeScope) largest(c core.Class) (core.OwnerName, int) {
-	bulk := &w.q.classes[c].bulk
-	if bulk.Len() == 0 {
+func (w wholeScope) largestOwner(c core.Class) (core.OwnerName, int) {
+	owners := &w.q.classes[c].bySize
+	if owners.Len() == 0 {
 		return "", 0
 	}
-	return bulk.top().name, bulk.top().items
+	return owners.top().name, owners.top().items
 }
 
-func (w wholeScope) held(c core.Class, o core.OwnerName) int {
+func (w wholeScope) ownerItems(c core.Class, o core.OwnerName) int {
 	if found, ok := w.q.classes[c].owners[o]; ok {
 		return found.items
 	}
 	return 0
 }
 
-func (w wholeScope) last(c core.Class, o core.OwnerName) *entry {
-	var most *caller
+func (w wholeScope) victim(c core.Class, o core.OwnerName) *entry {
+	var most *callerState
 	for _, candidate := range w.q.classes[c].owners[o].callers {
-		if candidate.items > 0 && (most == nil || candidate.outweighs(most)) {
+		if candidate.items > 0 && (most == nil || candidate.largerThan(most)) {
 			most = candidate
 		}
 	}
-	var longest *flow
-	for _, f := range most.flows {
-		if longest == nil || f.items.Len() > longest.items.Len() {
+	var longest *callerQueue
+	for _, f := range most.queues {
+		if longest == nil || f.entries.Len() > longest.entries.Len() {
 			longest = f
 		}
 	}
-	return longest.late()
+	return longest.lateEntry()
 }
 
-func (c *caller) outweighs(o *caller) bool {
+func (c *callerState) largerThan(o *callerState) bool {
 	if c.items != o.items {
 		return c.items > o.items
 	}
 	return c.name < o.name
 }
 
-// late returns an entry from the bottom of the heap, where late deadlines are.
-func (f *flow) late() *entry { return f.items.list[f.items.Len()-1] }
+// lateEntry returns the last element of the heap's slice, whose deadline is a
+// late one though not always the latest.
+func (f *callerQueue) lateEntry() *entry { return f.entries.elems[f.entries.Len()-1] }
 
-// laneScope is one lane.
+// laneScope is the scope of the bounds of one lane.
 type laneScope struct{ l *lane }
 
-func (s laneScope) class(c core.Class) load {
-	sum := s.l.tracks[0].sections[c].load
-	long := s.l.tracks[1].sections[c].load
+func (s laneScope) classLoad(c core.Class) load {
+	sum := s.l.tracks[0].classes[c].load
+	long := s.l.tracks[1].classes[c].load
 	sum.items += long.items
 	sum.bytes += long.bytes
 	return sum
 }
 
-func (s laneScope) largest(c core.Class) (core.OwnerName, int) {
+func (s laneScope) largestOwner(c core.Class) (core.OwnerName, int) {
 	var name core.OwnerName
-	most := 0
+	count := 0
 	for _, t := range s.l.tracks {
-		for _, p := range t.sections[c].turns.list {
-			held := s.held(c, p.owner.name)
-			if held > most || held == most && p.owner.name < name {
-				name, most = p.owner.name, held
+		for _, p := range t.classes[c].byTag.elems {
+			items := s.ownerItems(c, p.owner.name)
+			if items > count || items == count && p.owner.name < name {
+				name, count = p.owner.name, items
 			}
 		}
 	}
-	return name, most
+	return name, count
 }
 
-func (s laneScope) held(c core.Class, o core.OwnerName) int {
-	held := 0
+func (s laneScope) ownerItems(c core.Class, o core.OwnerName) int {
+	items := 0
 	for _, t := range s.l.tracks {
-		if p, ok := t.sections[c].parties[o]; ok {
-			held += p.items
+		if p, ok := t.classes[c].owners[o]; ok {
+			items += p.items
 		}
 	}
-	return held
+	return items
 }
 
-func (s laneScope) last(c core.Class, o core.OwnerName) *entry {
-	var most *flow
+func (s laneScope) victim(c core.Class, o core.OwnerName) *entry {
+	var most *callerQueue
 	for _, t := range s.l.tracks {
-		p, ok := t.sections[c].parties[o]
+		p, ok := t.classes[c].owners[o]
 		if !ok {
 			continue
 		}
-		for _, f := range p.turns.list {
-			if most == nil || f.outweighs(most) {
+		for _, f := range p.byTag.elems {
+			if most == nil || f.largerThan(most) {
 				most = f
 			}
 		}
 	}
-	return most.late()
+	return most.lateEntry()
 }
 
-func (f *flow) outweighs(o *flow) bool {
-	if f.items.Len() != o.items.Len() {
-		return f.items.Len() > o.items.Len()
+func (f *callerQueue) largerThan(o *callerQueue) bool {
+	if f.entries.Len() != o.entries.Len() {
+		return f.entries.Len() > o.entries.Len()
 	}
 	return f.caller.name < o.caller.name
 }
--- a/core/queue/tree.go
+++ b/core/queue/tree.go
@@ -4,29 +4,31 @@
 	"radishwell/core"
 )
 
-// clock is one level's virtual time: the start tag of what it served last.
-// A name that comes back, or whose lane was blocked, starts from here: it gets
-// its share from now on and no credit for the time it had nothing to run.
-type clock struct {
+// virtualClock is the virtual time of one level of fair queueing: the start tag
+// of the element served last. An element that returns, or whose lane was
+// blocked, starts from here. It gets its share from now on and no credit for
+// the time in which it had nothing to run.
+type virtualClock struct {
 	now int64
-	// most is the largest finish tag given out.
-	most int64
+	// maxFinish is the largest finish tag assigned so far.
+	maxFinish int64
 }
 
-func (c *clock) start(tag int64) int64 { return max(tag, c.now) }
+func (c *virtualClock) startTag(tag int64) int64 { return max(tag, c.now) }
 
-// serve charges a name whose tag is given and returns its new tag.
-func (c *clock) serve(tag, charge int64) int64 {
-	c.now = c.start(tag)
+// advance charges the element with the given tag and returns its new tag.
+func (c *virtualClock) advance(tag, charge int64) int64 {
+	c.now = c.startTag(tag)
 	end := c.now + charge
-	c.most = max(c.most, end)
+	c.maxFinish = max(c.maxFinish, end)
 	return end
 }
 
-// settle ends a busy period: with nothing waiting, nobody is behind.
-func (c *clock) settle() { c.now = c.most }
+// endBusyPeriod advances the clock to the largest finish tag. It is called when
+// nothing waits, so no element is behind.
+func (c *virtualClock) endBusyPeriod() { c.now = c.maxFinish }
 
-// load counts what waits.
+// load sums up waiting items.
 type load struct {
 	items int
 	cost  int64
@@ -39,136 +41,144 @@
 	l.bytes += core.Bytes(sign) * i.Size
 }
 
-// class is one service class over all lanes.
-type class struct {
+// classState is the state of one class over all lanes.
+type classState struct {
 	load
 	tag    int64
-	clock  clock
-	owners map[core.OwnerName]*owner
-	// bulk orders the owners with waiting items, the one with most first.
-	bulk order[*owner]
-	// rested lists owners with nothing waiting whose tag is still ahead.
-	rested []*owner
-}
-
-// owner is one owner inside a class, over all lanes.
-type owner struct {
+	clock  virtualClock
+	owners map[core.OwnerName]*ownerState
+	// bySize orders the owners with waiting items, the one with most items
+	// first.
+	bySize indexedHeap[*ownerState]
+	// idleAhead lists owners with nothing waiting whose tag is still ahead of
+	// clock.
+	idleAhead []*ownerState
+}
+
+// ownerState is the state of one owner within a class, over all lanes.
+type ownerState struct {
 	load
 	name    core.OwnerName
 	tag     int64
-	clock   clock
-	callers map[core.CallerName]*caller
-	// bulk is the owner's place in class.bulk; rested tells that class.rested
-	// lists it.
-	bulk   int
-	rested bool
+	clock   virtualClock
+	callers map[core.CallerName]*callerState
+	// sizeIndex is the owner's index in classState.bySize, and listedIdle is
+	// set while classState.idleAhead contains the owner.
+	sizeIndex  int
+	listedIdle bool
 }
 
-// caller is one caller inside an owner, over all lanes.
-type caller struct {
+// callerState is the state of one caller within an owner, over all lanes.
+type callerState struct {
 	load
 	name core.CallerName
 	tag  int64
-	// flows are the caller's non-empty flows, by track in the order they came.
-	flows []*flow
+	// queues are the caller's non-empty queues, one per track, in the order of
+	// their creation.
+	queues []*callerQueue
 }
 
-// flow is what one caller has waiting in one track, the earliest deadline first.
-type flow struct {
-	in     *party
-	caller *caller
-	items  order[*entry]
+// callerQueue holds the items that one caller has waiting in one track, ordered
+// by deadline.
+type callerQueue struct {
+	parent  *ownerQueue
+	caller  *callerState
+	entries indexedHeap[*entry]
 	load
-	// tag is the caller's tag as last seen by the track's heap; place is there.
+	// tag is the tag of the caller that the heap in ownerQueue.byTag uses, and
+	// index is the position in that heap.
 	tag   int64
-	place int
+	index int
 }
 
-// party is one owner's callers in one track.
-type party struct {
-	in    *section
-	owner *owner
-	flows map[core.CallerName]*flow
-	turns order[*flow]
+// ownerQueue holds the callers of one owner that have items waiting in one
+// track.
+type ownerQueue struct {
+	parent  *classQueue
+	owner   *ownerState
+	callers map[core.CallerName]*callerQueue
+	byTag   indexedHeap[*callerQueue]
 	load
 	tag   int64
-	place int
+	index int
 }
 
-// section is one class in one track.
-type section struct {
-	track   *track
-	class   core.Class
-	parties map[core.OwnerName]*party
-	turns   order[*party]
+// classQueue holds the owners of one class that have items waiting in one
+// track.
+type classQueue struct {
+	track  *track
+	class  core.Class
+	owners map[core.OwnerName]*ownerQueue
+	byTag  indexedHeap[*ownerQueue]
 	load
 }
 
-func newClass() *class {
-	c := &class{owners: make(map[core.OwnerName]*owner)}
-	c.bulk.before = func(a, b *owner) bool {
+func newClassState() *classState {
+	c := &classState{owners: make(map[core.OwnerName]*ownerState)}
+	c.bySize.less = func(a, b *ownerState) bool {
 		if a.items != b.items {
 			return a.items > b.items
 		}
 		return a.name < b.name
 	}
-	c.bulk.moved = func(o *owner, place int) { o.bulk = place }
+	c.bySize.setIndex = func(o *ownerState, index int) { o.sizeIndex = index }
 	return c
 }
 
-func newSection(t *track, c core.Class) *section {
-	s := &section{track: t, class: c, parties: make(map[core.OwnerName]*party)}
-	s.turns.before = func(a, b *party) bool {
+func newClassQueue(t *track, c core.Class) *classQueue {
+	s := &classQueue{track: t, class: c, owners: make(map[core.OwnerName]*ownerQueue)}
+	s.byTag.less = func(a, b *ownerQueue) bool {
 		if a.tag != b.tag {
 			return a.tag < b.tag
 		}
 		return a.owner.name < b.owner.name
 	}
-	s.turns.moved = func(p *party, place int) { p.place = place }
+	s.byTag.setIndex = func(p *ownerQueue, index int) { p.index = index }
 	return s
 }
 
-func newParty(s *section, o *owner) *party {
-	p := &party{in: s, owner: o, flows: make(map[core.CallerName]*flow), tag: o.tag}
-	p.turns.before = func(a, b *flow) bool {
+func newOwnerQueue(s *classQueue, o *ownerState) *ownerQueue {
+	p := &ownerQueue{parent: s, owner: o, callers: make(map[core.CallerName]*callerQueue), tag: o.tag}
+	p.byTag.less = func(a, b *callerQueue) bool {
 		if a.tag != b.tag {
 			return a.tag < b.tag
 		}
 		return a.caller.name < b.caller.name
 	}
-	p.turns.moved = func(f *flow, place int) { f.place = place }
+	p.byTag.setIndex = func(f *callerQueue, index int) { f.index = index }
 	return p
 }
 
-func newFlow(p *party, c *caller) *flow {
-	f := &flow{in: p, caller: c, tag: c.tag}
-	f.items.before = (*entry).beats
-	f.items.moved = func(e *entry, place int) { e.turn = int32(place) }
+func newCallerQueue(p *ownerQueue, c *callerState) *callerQueue {
+	f := &callerQueue{parent: p, caller: c, tag: c.tag}
+	f.entries.less = (*entry).less
+	f.entries.setIndex = func(e *entry, index int) { e.queueIndex = int32(index) }
 	return f
 }
 
-// first returns the party whose owner is furthest behind. The heap may hold an
-// older tag where the owner was served through another track. Tags only grow, so
-// an element at the top whose tag is up to date is the least.
-func (s *section) first() *party {
+// first returns the owner with the smallest tag. The heap may hold an outdated
+// tag if the owner was served through another track. Tags only grow, so an
+// element at the top whose tag is current has the smallest one.
+func (s *classQueue) first() *ownerQueue {
 	for {
-		p := s.turns.top()
+		p := s.byTag.top()
 		if p.tag == p.owner.tag {
 			return p
 		}
 		p.tag = p.owner.tag
-		s.turns.fix(p.place)
+		s.byTag.fix(p.index)
 	}
 }
 
-// first returns the flow whose caller is furthest behind, as section.first does.
-func (p *party) first() *flow {
+// first returns the caller with the smallest tag, in the same way as
+// classQueue.first.
+func (p *ownerQueue) first() *callerQueue {
 	for {
-		f := p.turns.top()
+		f := p.byTag.top()
 		if f.tag == f.caller.tag {
 			return f
 		}
 		f.tag = f.caller.tag
-		p.turns.fix(f.place)
+		p.byTag.fix(f.index)
 	}
 }
