--- a/core/route/load_test.go
+++ b/core/route/load_test.go
@@ -11,33 +11,33 @@
 	"radishwell/core"
 )
 
-func tenth(*rand.Rand, *core.Request) time.Duration { return 100 * time.Millisecond }
+func hundredMilliseconds(*rand.Rand, *core.Request) time.Duration { return 100 * time.Millisecond }
 
-// A treasurer's evening begins: forty requests reach eight entries within a
-// second, for a model that no host holds. A random router starts a load on every
-// granted host, and the accelerators of all of them are busy for one session.
+// Forty requests reach eight entries within a second, for a model that no host
+// holds. A random router starts a load on every granted host, which occupies
+// the accelerators of all of them.
 func TestBurstWakesOneHost(t *testing.T) {
-	burst := func(make func(int) router) *play {
-		p := newPlay(8, 6, 0, make)
+	simulate := func(make func(int) router) *simulation {
+		p := newSimulation(8, 6, 0, make)
 		for i := range 40 {
 			p.send(request(i, t0.Add(time.Duration(i)*25*time.Millisecond), time.Minute), i%8, 100*time.Millisecond)
 		}
 		p.run()
 		return p
 	}
-	f, n := burst(ours), burst(naive)
-	t.Logf("loads %d, naive %d; p99 %v, naive %v", f.loads(), n.loads(), quantile(f.waits, 0.99), quantile(n.waits, 0.99))
+	f, n := simulate(newPlanRouter), simulate(newRandomRouter)
+	t.Logf("loads %d, random %d; p99 %v, random %v", f.loads(), n.loads(), quantile(f.waits, 0.99), quantile(n.waits, 0.99))
 	assert.Equal(t, f.loads(), 1)
 	assert.Equal(t, n.loads(), 6)
-	assert.Equal(t, f.good, 40)
+	assert.Equal(t, f.inTime, 40)
 	assert.Assert(t, quantile(f.waits, 0.99) < costs.Item[core.TierStore]+2*time.Second)
 }
 
-// Twenty entries hold the same report, in which one host has least to do. If all
-// of them believe it, that host gets everything that comes until the next report.
+// Twenty entries hold the same report, in which one host has the least load. If
+// all of them follow it, that host gets every request until the next report.
 func TestOldReportsMakeNoHerd(t *testing.T) {
-	herd := func(make func(int) router) (most int) {
-		p := newPlay(20, 5, 5, make)
+	simulate := func(make func(int) router) (most int) {
+		p := newSimulation(20, 5, 5, make)
 		report := t0.Add(-time.Second)
 		for _, e := range p.entries {
 			for i, h := range p.hosts {
@@ -56,61 +56,62 @@
 		}
 		return most
 	}
-	f, n := herd(ours), herd(oldReport)
-	t.Logf("the fullest of five hosts got %d of 100, by old report %d", f, n)
+	f, n := simulate(newPlanRouter), simulate(newLeastReported)
+	t.Logf("the most loaded of five hosts got %d of 100, least loaded by last report %d", f, n)
 	assert.Assert(t, f <= 30)
 	assert.Assert(t, n >= 50)
 }
 
-// One host of six becomes ten times slower for 40 s. A sixth of all callers of a
-// random router meet it for as long as that lasts. At a low rate its queue does
-// not show it, as it is idle most of the time: only the latency does.
+// One host of six is ten times slower for 40 s. A random router sends it a
+// sixth of all requests during that time. At a low rate the host is mostly
+// idle, so its queue does not show the fault; only the latency does.
 func TestSlowUpstream(t *testing.T) {
 	for _, perSecond := range []float64{10, 80} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
-			n, _ := playSlow(naive, perSecond)
-			f, part := playSlow(ours, perSecond)
-			late, naiveLate := slowAnswers(f), slowAnswers(n)
-			t.Logf("slow answers %d of %d, naive %d; p99 %v, naive %v; part after it %.3f",
-				late, len(f.waits), naiveLate, quantile(f.waits, 0.99), quantile(n.waits, 0.99), part)
-			assert.Assert(t, late*3 < naiveLate)
+			n, _ := simulateSlowHost(newRandomRouter, perSecond)
+			f, part := simulateSlowHost(newPlanRouter, perSecond)
+			slow, randomSlow := slowAnswers(f), slowAnswers(n)
+			t.Logf("slow answers %d of %d, random %d; p99 %v, random %v; share afterwards %.3f",
+				slow, len(f.waits), randomSlow, quantile(f.waits, 0.99), quantile(n.waits, 0.99), part)
+			assert.Assert(t, slow*3 < randomSlow)
 			assert.Assert(t, part > 0.13, "the host is not let back in")
 		})
 	}
 }
 
-// playSlow returns the play and the slow host's part of the requests that came
-// 90 s after its slow time.
-func playSlow(make func(int) router, perSecond float64) (p *play, part float64) {
-	p = newPlay(3, 6, 6, make)
-	p.hosts[2].slow = func(at time.Time) float64 {
+// simulateSlowHost returns the finished simulation and the slow host's share of
+// the requests that were answered from 90 s after its slow period on.
+func simulateSlowHost(make func(int) router, perSecond float64) (p *simulation, share float64) {
+	p = newSimulation(3, 6, 6, make)
+	p.hosts[2].slowdown = func(at time.Time) float64 {
 		if s := at.Sub(t0); s > 20*time.Second && s < 60*time.Second {
 			return 10
 		}
 		return 1
 	}
 	var served, all int
-	p.at(t0.Add(150*time.Second), func(time.Time) { served, all = p.hosts[2].served, len(p.waits) })
-	p.stream(1, perSecond, 3*time.Minute, tenth)
+	p.schedule(t0.Add(150*time.Second), func(time.Time) { served, all = p.hosts[2].served, len(p.waits) })
+	p.stream(1, perSecond, 3*time.Minute, hundredMilliseconds)
 	p.run()
 	return p, float64(p.hosts[2].served-served) / float64(len(p.waits)-all)
 }
 
-func slowAnswers(p *play) int {
-	late := 0
+func slowAnswers(p *simulation) int {
+	slow := 0
 	for _, w := range p.waits {
 		if w >= 900*time.Millisecond {
-			late++
+			slow++
 		}
 	}
-	return late
+	return slow
 }
 
-// One in ten requests takes twenty times as long. By chance a random router puts
-// short ones behind several long ones while other hosts have room.
+// One in ten requests takes twenty times as long. A random router sometimes
+// puts short requests behind several long ones while other hosts have free
+// slots.
 func TestLongAmongShort(t *testing.T) {
-	mix := func(make func(int) router) *play {
-		p := newPlay(3, 6, 6, make)
+	simulate := func(make func(int) router) *simulation {
+		p := newSimulation(3, 6, 6, make)
 		p.stream(2, 55, 2*time.Minute, func(rng *rand.Rand, _ *core.Request) time.Duration {
 			if rng.IntN(10) == 0 {
 				return 2 * time.Second
@@ -120,28 +121,28 @@
 		p.run()
 		return p
 	}
-	f, n := mix(ours), mix(naive)
-	t.Logf("short p99 %v, naive %v", quantile(f.short, 0.99), quantile(n.short, 0.99))
+	f, n := simulate(newPlanRouter), simulate(newRandomRouter)
+	t.Logf("short p99 %v, random %v", quantile(f.short, 0.99), quantile(n.short, 0.99))
 	assert.Assert(t, quantile(f.short, 0.99)*3 < quantile(n.short, 0.99))
 }
 
-// The only holder gets three times what it can do. Waiting there soon takes
-// longer than a load on the second granted host; a router that only goes to
-// holders never uses it, and one that goes anywhere loads all four.
+// The only holder gets about three times its capacity. Waiting there soon takes
+// longer than a load on another granted host. A router that uses only holders
+// never loads there, and one that uses any host loads on all four.
 func TestSaturationSpills(t *testing.T) {
-	saturate := func(make func(int) router, rate float64) *play {
-		p := newPlay(3, 4, 1, make)
-		p.stream(3, rate, 2*time.Minute, tenth)
+	simulate := func(make func(int) router, rate float64) *simulation {
+		p := newSimulation(3, 4, 1, make)
+		p.stream(3, rate, 2*time.Minute, hundredMilliseconds)
 		p.run()
 		return p
 	}
 	t.Run("not below saturation", func(t *testing.T) {
-		f, n := saturate(ours, 30), saturate(naive, 30)
+		f, n := simulate(newPlanRouter, 30), simulate(newRandomRouter, 30)
 		assert.Equal(t, f.loads(), 0)
 		assert.Assert(t, n.loads() > 0)
 	})
 	t.Run("when the wait outlasts a load", func(t *testing.T) {
-		f := saturate(ours, 110)
+		f := simulate(newPlanRouter, 110)
 		last := f.waits[len(f.waits)*9/10:]
 		t.Logf("loads %d, median wait of the last tenth %v", f.loads(), last[len(last)/2])
 		assert.Assert(t, f.loads() >= 2, "three hosts are needed")
@@ -149,12 +150,12 @@
 	})
 }
 
-// Nine in ten requests begin with the same prompt. Its host must not drown, and
-// the forty other conversations must still find their caches, which together
-// hold them once and not six times.
+// Nine in ten requests begin with the same prompt. Its host must not be
+// overloaded, and the forty other conversations must still find their prefixes
+// cached. All caches together hold each prefix about once, but not six times.
 func TestFewPromptsTakeMost(t *testing.T) {
-	few := func(make func(int) router) (p *play, others int) {
-		p = newPlay(3, 6, 6, make)
+	simulate := func(make func(int) router) (p *simulation, others int) {
+		p = newSimulation(3, 6, 6, make)
 		p.stream(4, 120, 2*time.Minute, func(rng *rand.Rand, r *core.Request) time.Duration {
 			r.Prefixes = []uint64{1, 1000 + uint64(rng.IntN(5))}
 			if rng.IntN(10) == 0 {
@@ -167,25 +168,25 @@
 		p.run()
 		return p, others
 	}
-	f, others := few(ours)
-	n, _ := few(naive)
+	f, others := simulate(newPlanRouter)
+	n, _ := simulate(newRandomRouter)
 	most := 0
 	for _, h := range f.hosts {
 		most = max(most, h.served)
 	}
 	mean := len(f.waits) / len(f.hosts)
-	found, naiveFound := otherHits(f), otherHits(n)
-	t.Logf("of %d others %d found, naive %d; fullest %d, mean %d; p99 %v, naive %v", others, found, naiveFound,
+	found, randomFound := otherHits(f), otherHits(n)
+	t.Logf("of %d others %d found, random %d; most loaded %d, mean %d; p99 %v, random %v", others, found, randomFound,
 		most, mean, quantile(f.waits, 0.99), quantile(n.waits, 0.99))
 	assert.Assert(t, found*10 > others*6)
-	assert.Assert(t, naiveFound*10 < others*4)
+	assert.Assert(t, randomFound*10 < others*4)
 	assert.Assert(t, quantile(f.waits, 0.99) < 250*time.Millisecond)
 	assert.Assert(t, most*2 < mean*3)
 }
 
-func otherHits(p *play) int {
+func otherHits(p *simulation) int {
 	n := 0
-	for first, found := range p.found {
+	for first, found := range p.prefixHits {
 		if first != 1 {
 			n += found
 		}
--- a/core/route/option.go
+++ b/core/route/option.go
@@ -9,37 +9,40 @@
 )
 
 const (
-	// fresh is the age up to which a load report is taken as it is. Answers
-	// carry reports, so a busy host's is younger; 200 ms is about two round trips
-	// between data centres plus the time an engine takes for a few tokens.
-	fresh = 100 * time.Millisecond
-	// halving is the age by which an old report loses half of its weight.
-	halving = 2 * time.Second
-	// unknownService stands in for the service time while none was measured.
-	unknownService = time.Second
+	// maxFreshAge is the age up to which a load report counts in full. It
+	// covers about two round trips between data centres and the time that an
+	// engine takes for a few tokens. Reports of busy hosts are younger because
+	// answers carry them.
+	maxFreshAge = 100 * time.Millisecond
+	// reportHalfLife is the age by which a stale report loses half of its
+	// weight.
+	reportHalfLife = 2 * time.Second
+	// defaultServiceTime is used while no service time has been measured.
+	defaultServiceTime = time.Second
 )
 
-// option is a candidate with what the decision derives from it.
+// option is a candidate with the values that a plan derives from it.
 type option struct {
 	Candidate
 	reason Reason
-	// load is the assumed number of requests at the host.
+	// load is the estimated number of requests at the host.
 	load float64
-	// wait is how long until a request handed over now starts.
+	// wait is the expected time until a request sent now starts.
 	wait time.Duration
-	// cold is the part of wait that loading takes.
-	cold  time.Duration
-	age   time.Duration
-	stale bool
-	aside bool
-	here  bool
-	// tight tells that the host has to unload something to make room.
-	tight bool
-	// rank orders equals: by request among holders, by target among the rest.
+	// loadTime is the part of wait that loading the target takes.
+	loadTime time.Duration
+	age      time.Duration
+	stale    bool
+	setAside bool
+	local    bool
+	// needsEviction is set if the host has to unload something to make room.
+	needsEviction bool
+	// rank breaks ties. It depends on the request for holders and on the target
+	// for other hosts.
 	rank uint64
 }
 
-// options derives the options of all candidates that may get work.
+// options returns the options of all candidates that may get the request.
 func (r *Router) options(now time.Time, q Query) []option {
 	list := make([]option, 0, len(q.Candidates))
 	for _, c := range q.Candidates {
@@ -52,16 +55,16 @@
 }
 
 func (r *Router) option(now time.Time, q Query, c Candidate) option {
-	o := option{Candidate: c, here: c.DataCentre == q.Here}
+	o := option{Candidate: c, local: c.DataCentre == q.Here}
 	o.age, o.stale = reportAge(now, c.Load)
-	o.load = assumedLoad(c, o.age)
-	o.cold = coldStart(now, q, c.Load)
-	o.wait = o.cold + r.queueWait(q.Request.Target, c, o.load)
-	o.tight = o.cold > 0 && c.Load.Free < q.Need && !c.Load.At.IsZero()
-	o.aside = c.Health == Suspect || r.setAside(now, q.Request, c.Host)
-	o.rank = score(r.Seed, string(q.Request.ID), string(c.Host))
-	if o.cold > 0 {
-		o.rank = score(0, q.Request.Target.Name(), string(c.Host))
+	o.load = estimatedLoad(c, o.age)
+	o.loadTime = targetLoadTime(now, q, c.Load)
+	o.wait = o.loadTime + r.queueWait(q.Request.Target, c, o.load)
+	o.needsEviction = o.loadTime > 0 && c.Load.Free < q.Need && !c.Load.At.IsZero()
+	o.setAside = c.Health == Suspect || r.isSetAside(now, q.Request, c.Host)
+	o.rank = rendezvousScore(r.Seed, string(q.Request.ID), string(c.Host))
+	if o.loadTime > 0 {
+		o.rank = rendezvousScore(0, q.Request.Target.Name(), string(c.Host))
 	}
 	return o
 }
@@ -71,41 +74,42 @@
 		return 0, true
 	}
 	age := max(0, now.Sub(l.At))
-	return age, age > fresh
+	return age, age > maxFreshAge
 }
 
-// assumedLoad counts the requests at a host: what it reported, which loses
-// weight with age, and what this process has sent since. Its own requests in
-// flight are certain, however old the report is.
-func assumedLoad(c Candidate, age time.Duration) float64 {
+// estimatedLoad returns the number of requests at a host: those that it
+// reported, with a weight that falls with age, and those that this process has
+// sent since. The process's own requests in flight count in full, whatever the
+// age of the report.
+func estimatedLoad(c Candidate, age time.Duration) float64 {
 	own := float64(c.InFlight)
 	if c.Load.At.IsZero() {
 		return own
 	}
 	reported := float64(c.Load.Running + c.Load.Queued)
 	weight := 1.0
-	if age > fresh {
-		weight = math.Exp2(-float64(age-fresh) / float64(halving))
+	if age > maxFreshAge {
+		weight = math.Exp2(-float64(age-maxFreshAge) / float64(reportHalfLife))
 	}
 	return max(own, reported*weight+float64(c.Sent))
 }
 
-// coldStart foresees how long the target's load takes before it can run.
-func coldStart(now time.Time, q Query, l Load) time.Duration {
+// targetLoadTime estimates how long it takes until the target is loaded.
+func targetLoadTime(now time.Time, q Query, l Load) time.Duration {
 	if q.Request.Target.Model == "" {
 		return 0
 	}
-	cold := itemStart(now, l.Item, q.Costs.Item)
+	total := itemLoadTime(now, l.Item, q.Costs.Item)
 	if q.Request.Target.Base != "" {
-		cold += itemStart(now, l.Base, q.Costs.Base)
+		total += itemLoadTime(now, l.Base, q.Costs.Base)
 	}
-	return cold
+	return total
 }
 
-// itemStart is the time until one item is loaded. A load that is past its time
-// is taken to need a tenth of a whole one more, as is one without a time; it
-// still goes before a load that has not begun.
-func itemStart(now time.Time, i Item, costs [3]time.Duration) time.Duration {
+// itemLoadTime returns the time until one item is loaded. A load that is
+// overdue or has no expected end is assumed to need another tenth of a whole
+// load, so it is still preferred to a load that has not begun.
+func itemLoadTime(now time.Time, i Item, costs [3]time.Duration) time.Duration {
 	whole := max(time.Millisecond, costs[min(int(i.Tier), len(costs)-1)])
 	switch i.State {
 	case core.Loaded:
@@ -117,9 +121,9 @@
 	}
 }
 
-// queueWait foresees how long a request waits behind others at a host. While the
-// number of requests that the host runs at once is not known, one that reports
-// no queue is taken to have as much room again as it uses.
+// queueWait estimates how long a request waits behind others at a host. While
+// the number of requests that the host runs at once is unknown, a host that
+// reports no queue is assumed to have as many free slots as it uses.
 func (r *Router) queueWait(t core.Target, c Candidate, load float64) time.Duration {
 	if c.Load.At.IsZero() {
 		return 0
@@ -129,13 +133,13 @@
 	if ahead <= 0 {
 		return 0
 	}
-	return time.Duration(ahead / slots * float64(r.service(t)))
+	return time.Duration(ahead / slots * float64(r.meanServiceTime(t)))
 }
 
-// slots returns how many requests a host runs at once: what it ran when it last
-// reported a queue, or twice what it runs now where it never did.
+// slots returns how many requests a host runs at once: the number it ran when
+// it last reported a queue, or twice the number it runs now if it never did.
 func (r *Router) slots(c Candidate) int {
-	known, ok := r.widths.get(c.Host)
+	known, ok := r.knownSlots.get(c.Host)
 	switch {
 	case c.Load.Queued > 0 && c.Load.Running > 0:
 		known = c.Load.Running
@@ -146,6 +150,6 @@
 	default:
 		return max(1, 2*c.Load.Running)
 	}
-	r.widths.put(c.Host, known)
+	r.knownSlots.put(c.Host, known)
 	return known
 }
--- a/core/route/order.go
+++ b/core/route/order.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// crowd is how far above the mean of the holders the load of the host with
-	// the cached prefix may be. A quarter keeps the longest queue near the mean
-	// (consistent hashing with bounded loads); crowdSlack lets a nearly idle set
-	// follow the cache, where a quarter of the mean is less than one request.
-	crowd      = 1.25
-	crowdSlack = 2.0
-	// near is the difference in load below which two hosts count as equal, so
-	// that entries with the same report spread over both.
-	near = 1.0
-	// spillFactor is how much sooner another host must be able to start before a
-	// request leaves the holders: the foreseen wait errs, and a load that was
-	// not needed keeps an accelerator busy for nobody.
+	// boundFactor limits the load of the host with the cached prefix, relative
+	// to the mean of the holders. A quarter above the mean keeps the longest
+	// queue near the mean (consistent hashing with bounded loads). boundSlack,
+	// in requests, lets nearly idle holders follow the cache, where a quarter
+	// of the mean is less than one request.
+	boundFactor = 1.25
+	boundSlack  = 2.0
+	// loadTolerance is the difference in load up to which two hosts count as
+	// equal, so that entries with the same report spread over both.
+	loadTolerance = 1.0
+	// spillFactor is how much sooner another host must be able to start before
+	// a request leaves the holders. The estimate of the wait has errors, and an
+	// unnecessary load occupies an accelerator.
 	spillFactor = 1.5
 )
 
-// groups are the options by how they may serve.
+// groups holds the options by the way in which they may serve.
 type groups struct {
-	spilled, holders, cold, aside []option
+	spilled, holders, cold, setAside []option
 }
 
-func split(options []option) groups {
+func group(options []option) groups {
 	var g groups
 	for _, o := range options {
 		switch {
-		case o.aside:
-			g.aside = append(g.aside, o)
-		case o.cold == 0:
+		case o.setAside:
+			g.setAside = append(g.setAside, o)
+		case o.loadTime == 0:
 			g.holders = append(g.holders, o)
 		default:
 			g.cold = append(g.cold, o)
@@ -44,8 +45,8 @@
 	return g
 }
 
-// orderHolders puts the host to try first in front, and the others behind it by
-// load.
+// orderHolders moves the host to try first to the front and orders the others
+// by load.
 func (r *Router) orderHolders(now time.Time, q Query, list []option) {
 	slices.SortFunc(list, byLoad)
 	for i := range list {
@@ -54,34 +55,35 @@
 	if len(list) == 0 {
 		return
 	}
-	if at, ok := r.cached(now, q, list); ok {
-		lead(list, at, Cached)
+	if at, ok := r.cachedHolder(now, q, list); ok {
+		moveToFront(list, at, Cached)
 		return
 	}
 	if !anyStale(list) {
-		lead(list, leastLoaded(list), LeastLoaded)
+		moveToFront(list, leastLoaded(list), LeastLoaded)
 		return
 	}
 	orderStale(q, list)
 }
 
-// orderStale orders holders of which some reports are old. It takes them two by
-// two in the order of their rank, which is random for each request. A pair whose
-// loads are not known is put in front to be asked; of a pair that is known the
-// better one is taken, if it can start the request at once, and the next pair is
-// looked at otherwise. Two choices are enough while most hosts have room; near
-// saturation both are often full while another host is not.
+// orderStale orders holders of which some reports are stale. It goes through
+// them in pairs, in the order of their rank, which is random for each request.
+// A pair with unknown load moves to the front to be probed. Of a pair with
+// known load the better host is taken if it can start the request at once;
+// otherwise the next pair is examined. Two choices are enough while most hosts
+// have free slots; near saturation both are often full while another host is
+// not.
 func orderStale(q Query, list []option) {
 	ranked := byRank(list)
-	ranked = ranked[:min(mostAsked, len(ranked))]
-	for pair := range slices.Chunk(ranked, mostProbes) {
+	ranked = ranked[:min(maxProbed, len(ranked))]
+	for pair := range slices.Chunk(ranked, maxProbes) {
 		best := slices.Min(pair)
-		if askable(list, pair, q.Asked) || list[best].wait == 0 {
-			leadPair(list, pair)
+		if needsProbe(list, pair, q.Asked) || list[best].wait == 0 {
+			movePairToFront(list, pair)
 			return
 		}
 	}
-	lead(list, slices.Min(ranked), OfTwo)
+	moveToFront(list, slices.Min(ranked), OfTwo)
 }
 
 // byRank returns the indices of the options, the highest rank first.
@@ -94,27 +96,29 @@
 	return ranked
 }
 
-// askable reports whether one of the pair has an old report and was not asked.
-func askable(list []option, pair []int, asked []core.HostName) bool {
+// needsProbe reports whether a host of the pair has a stale report and has not
+// been probed.
+func needsProbe(list []option, pair []int, probed []core.HostName) bool {
 	return slices.ContainsFunc(pair, func(i int) bool {
-		return list[i].stale && !slices.Contains(asked, list[i].Host)
+		return list[i].stale && !slices.Contains(probed, list[i].Host)
 	})
 }
 
-// leadPair moves a pair to the front, the better one first. The list is in the
-// order of load.
-func leadPair(list []option, pair []int) {
+// movePairToFront moves a pair to the front, the better host first. The list is
+// ordered by load.
+func movePairToFront(list []option, pair []int) {
 	best, other := slices.Min(pair), slices.Max(pair)
 	if best == other {
-		lead(list, best, LeastLoaded)
+		moveToFront(list, best, LeastLoaded)
 		return
 	}
-	lead(list, other, OfTwo)
-	lead(list, best+1, OfTwo)
+	moveToFront(list, other, OfTwo)
+	moveToFront(list, best+1, OfTwo)
 }
 
-// lead moves an option to the front and keeps the order of the others.
-func lead(list []option, at int, why Reason) {
+// moveToFront moves an option to the front, sets its reason and keeps the order
+// of the others.
+func moveToFront(list []option, at int, why Reason) {
 	first := list[at]
 	first.reason = why
 	copy(list[1:at+1], list[:at])
@@ -125,35 +129,36 @@
 	return slices.ContainsFunc(list, func(o option) bool { return o.stale })
 }
 
-// leastLoaded chooses among all options that are as good as the best: in this
-// data centre if one is, and then by the request's rank.
+// leastLoaded chooses among all options that are about as good as the best: one
+// in this data centre if there is one, and otherwise the one with the highest
+// rank.
 func leastLoaded(list []option) int {
 	best := 0
 	least := list[0]
 	for i, o := range list {
-		if o.load > least.load+near || o.wait > least.wait {
+		if o.load > least.load+loadTolerance || o.wait > least.wait {
 			continue
 		}
-		if wanted(o, list[best]) {
+		if preferred(o, list[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-func wanted(o, than option) bool {
-	if o.here != than.here {
-		return o.here
+func preferred(o, than option) bool {
+	if o.local != than.local {
+		return o.local
 	}
 	return o.rank > than.rank
 }
 
-// byLoad orders by foreseen wait, load, data centre and rank.
+// byLoad orders by expected wait, load, data centre and rank.
 func byLoad(a, b option) int {
 	return cmp.Or(
 		cmp.Compare(a.wait, b.wait),
 		cmp.Compare(a.load, b.load),
-		cmpBool(b.here, a.here),
+		cmpBool(b.local, a.local),
 		cmp.Compare(b.rank, a.rank),
 		cmp.Compare(a.Host, b.Host),
 	)
@@ -170,15 +175,15 @@
 	}
 }
 
-// orderCold puts loads under way first and then the cheapest loads, those on
-// crowded hosts last. Equals are ordered by target, not by request: the first
-// requests of an evening session reach several entries at once, and all of them
-// must wake the same host.
+// orderCold orders loads in progress before the cheapest loads, and hosts that
+// are crowded last. Ties are broken by target rather than by request: the first
+// requests for a target may reach several entries at once, and all of them must
+// choose the same host.
 func orderCold(list []option) {
 	for i, o := range list {
 		list[i].reason = Cold
 		if o.Load.Item.State == core.Loading {
-			list[i].reason = Arriving
+			list[i].reason = Loading
 		}
 	}
 	slices.SortFunc(list, byColdStart)
@@ -188,7 +193,7 @@
 	return cmp.Or(
 		cmp.Compare(a.reason, b.reason),
 		cmpBool(a.crowded(), b.crowded()),
-		cmp.Compare(a.cold, b.cold),
+		cmp.Compare(a.loadTime, b.loadTime),
 		cmp.Compare(b.rank, a.rank),
 		cmp.Compare(a.Host, b.Host),
 	)
@@ -196,11 +201,11 @@
 
 // crowded reports whether waiting for other work at the host would take longer
 // than the load itself, or the host has to unload something first.
-func (o option) crowded() bool { return o.tight || o.wait-o.cold > o.cold }
+func (o option) crowded() bool { return o.needsEviction || o.wait-o.loadTime > o.loadTime }
 
-// orderAside puts the hosts that are set aside in an order for when nothing else
-// is left: holders before others, suspects last.
-func orderAside(list []option) {
+// orderSetAside orders the hosts that are set aside, which are used only if no
+// other is left: suspects last, then by load.
+func orderSetAside(list []option) {
 	for i := range list {
 		list[i].reason = SetAside
 	}
@@ -209,9 +214,9 @@
 	})
 }
 
-// spill puts a host that would have to load in front of the holders, where the
-// request would start there sooner even so. A load that is under way is paid for
-// already, so it only has to be sooner.
+// spill moves one host that would have to load in front of the holders if the
+// request would still start there sooner by spillFactor. A load in progress
+// costs nothing more, so there it only has to be sooner.
 func (g *groups) spill() {
 	if len(g.holders) == 0 || len(g.cold) == 0 {
 		return
@@ -219,7 +224,7 @@
 	least := slices.MinFunc(g.holders, byLoad).wait
 	first := &g.cold[0]
 	factor := spillFactor
-	if first.reason == Arriving {
+	if first.reason == Loading {
 		factor = 1
 	}
 	if float64(least) <= factor*float64(first.wait) {
@@ -230,9 +235,9 @@
 	g.cold = g.cold[1:]
 }
 
-// all returns the options in the order of the plan.
-func (g *groups) all() []option {
-	return slices.Concat(g.spilled, g.holders, g.cold, g.aside)
+// ordered returns the options in the order of the plan.
+func (g *groups) ordered() []option {
+	return slices.Concat(g.spilled, g.holders, g.cold, g.setAside)
 }
 
 func choices(now time.Time, list []option) []Choice {
@@ -246,47 +251,48 @@
 }
 
 const (
-	// mostProbes is how many hosts one plan asks for their load. Two choices take
-	// most of the imbalance that one leaves.
-	mostProbes = 2
-	// mostAsked is how many hosts one request asks in all when those it asked are
-	// busy. Each round costs a call, about a millisecond; when half of the hosts
-	// are full, six asked leave one request in 64 without one that has room.
-	mostAsked = 6
-	// lookAgain is the age from which the report of a host without the target is
-	// asked for anew. Another entry may have had it loaded there; until this one
-	// knows, it uses the other holders only.
-	lookAgain = 10 * time.Second
+	// maxProbes is how many hosts one plan probes for their load. Two choices
+	// remove most of the imbalance of one.
+	maxProbes = 2
+	// maxProbed is how many hosts are probed for one request in total if the
+	// probed ones are busy. Each round costs a call, about a millisecond. When
+	// half of the hosts are full, six probes leave one request in 64 without a
+	// host that has a free slot.
+	maxProbed = 6
+	// reprobeAge is the age from which a host without the target is probed
+	// again. Another entry may have loaded the target there; until this entry
+	// learns of it, it uses the other holders only.
+	reprobeAge = 10 * time.Second
 )
 
-// probes returns the hosts whose load to ask for before the plan is followed.
-// Where the plan would start a load, they are hosts of which nothing is known:
-// one of them may hold the target, and a call costs a thousandth of a load.
-// Otherwise they are those in front whose reports are old, and beside them
-// hosts that may have come to hold the target by another entry's requests.
-func probes(list []option, asked []core.HostName) []core.HostName {
-	if list[0].cold > 0 {
-		if out := pick(nil, list, asked, option.unknown); len(out) > 0 {
+// hostsToProbe returns the hosts to probe before the plan is followed. If the
+// plan would start a load, these are hosts without a report: one of them may
+// hold the target, and a call costs a thousandth of a load. Otherwise they are
+// the first hosts with stale reports, and hosts that may have come to hold the
+// target through requests of another entry.
+func hostsToProbe(list []option, probed []core.HostName) []core.HostName {
+	if list[0].loadTime > 0 {
+		if out := pickHosts(nil, list, probed, option.noReport); len(out) > 0 {
 			return out
 		}
 	}
-	front := list[:min(mostProbes, len(list))]
-	out := pick(nil, front, asked, func(o option) bool { return o.stale })
-	if len(asked) < mostAsked {
-		out = pick(out, list, asked, option.changed)
+	front := list[:min(maxProbes, len(list))]
+	out := pickHosts(nil, front, probed, func(o option) bool { return o.stale })
+	if len(probed) < maxProbed {
+		out = pickHosts(out, list, probed, option.mayHold)
 	}
 	return out
 }
 
-func (o option) unknown() bool { return o.Load.At.IsZero() }
+func (o option) noReport() bool { return o.Load.At.IsZero() }
 
-// changed reports whether a host that did not hold the target when it last
+// mayHold reports whether a host that did not hold the target when it last
 // reported may hold it now.
-func (o option) changed() bool { return o.cold > 0 && (o.unknown() || o.age > lookAgain) }
+func (o option) mayHold() bool { return o.loadTime > 0 && (o.noReport() || o.age > reprobeAge) }
 
-func pick(out []core.HostName, list []option, asked []core.HostName, want func(option) bool) []core.HostName {
+func pickHosts(out []core.HostName, list []option, probed []core.HostName, want func(option) bool) []core.HostName {
 	for _, o := range list {
-		if want(o) && !slices.Contains(out, o.Host) && !o.aside && !slices.Contains(asked, o.Host) && len(out) < mostProbes {
+		if want(o) && !slices.Contains(out, o.Host) && !o.setAside && !slices.Contains(probed, o.Host) && len(out) < maxProbes {
 			out = append(out, o.Host)
 		}
 	}
--- a/core/route/play_test.go
+++ b/core/route/play_test.go
@@ -12,7 +12,7 @@
 	"radishwell/core/route"
 )
 
-// t0 is when all plays begin.
+// t0 is the start of all simulations.
 var t0 = time.Date(2030, 1, 1, 20, 0, 0, 0, time.UTC)
 
 var ledger = core.Target{Service: "qalam", Model: "ledger"}
@@ -21,16 +21,17 @@
 	Item: [3]time.Duration{500 * time.Millisecond, 4 * time.Second, 20 * time.Second},
 }
 
-// router is a router under test: it names the host for a request.
+// router is a router under test. It chooses the host for a request.
 type router interface {
 	choose(now time.Time, q route.Query, probe func(core.HostName) route.Load) core.HostName
 	observe(now time.Time, r route.Report)
 }
 
-// real is the router, which asks for fresh loads as a shell does.
-type real struct{ r *route.Router }
+// planRouter follows the plans of a Router and probes hosts in the way an entry
+// does.
+type planRouter struct{ r *route.Router }
 
-func (s real) choose(now time.Time, q route.Query, probe func(core.HostName) route.Load) core.HostName {
+func (s planRouter) choose(now time.Time, q route.Query, probe func(core.HostName) route.Load) core.HostName {
 	plan := s.r.Plan(now, q)
 	for len(plan.Probe) > 0 {
 		for _, h := range plan.Probe {
@@ -44,56 +45,59 @@
 	return plan.Hosts[0].Host
 }
 
-func (s real) observe(now time.Time, r route.Report) { s.r.Observe(now, r) }
+func (s planRouter) observe(now time.Time, r route.Report) { s.r.Observe(now, r) }
 
-// random is the naive router.
-type random struct{ rng *rand.Rand }
+// randomRouter chooses a host at random.
+type randomRouter struct{ rng *rand.Rand }
 
-func (s random) choose(_ time.Time, q route.Query, _ func(core.HostName) route.Load) core.HostName {
+func (s randomRouter) choose(_ time.Time, q route.Query, _ func(core.HostName) route.Load) core.HostName {
 	return q.Candidates[s.rng.IntN(len(q.Candidates))].Host
 }
 
-func (s random) observe(time.Time, route.Report) {}
+func (s randomRouter) observe(time.Time, route.Report) {}
 
-// oldest is the other naive router: least loaded by the last report.
-type oldest struct{}
+// leastReported chooses the host with the least load in its last report.
+type leastReported struct{}
 
-func (oldest) choose(_ time.Time, q route.Query, _ func(core.HostName) route.Load) core.HostName {
+func (leastReported) choose(_ time.Time, q route.Query, _ func(core.HostName) route.Load) core.HostName {
 	return slices.MinFunc(q.Candidates, func(a, b route.Candidate) int {
 		return a.Load.Running + a.Load.Queued - b.Load.Running - b.Load.Queued
 	}).Host
 }
 
-func (oldest) observe(time.Time, route.Report) {}
+func (leastReported) observe(time.Time, route.Report) {}
 
-// job is a request in the play.
-type job struct {
+// simRequest is a request in the simulation.
+type simRequest struct {
 	core.Request
 	entry int
 	sent  time.Time
 	took  time.Duration
 }
 
-// host is an upstream with slots and one model.
-type host struct {
+// simHost is an upstream with slots and one model.
+type simHost struct {
 	name    core.HostName
 	slots   int
 	running int
-	queue   []job
-	// ready is when the model is loaded; zero while it is not asked for.
+	queue   []simRequest
+	// ready is when the model is loaded; zero before a load is requested.
 	ready  time.Time
 	loads  int
 	served int
 	cache  []uint64
-	// slow multiplies the times of requests that start at a time.
-	slow func(time.Time) float64
+	// slowdown returns the factor by which requests that start at a time are
+	// slower.
+	slowdown func(time.Time) float64
 }
 
-// cacheSize is how many prefixes an engine keeps, the last used.
+// cacheSize is how many prefixes an engine keeps, evicting the least recently
+// used.
 const cacheSize = 32
 
-// find looks a prefix up in the host's cache, which holds it from now on.
-func (h *host) find(prefix uint64) int {
+// find returns 1 if the prefix is in the host's cache and 0 otherwise, and
+// makes it the most recently used.
+func (h *simHost) find(prefix uint64) int {
 	at := slices.Index(h.cache, prefix)
 	if at >= 0 {
 		h.cache = append(slices.Delete(h.cache, at, at+1), prefix)
@@ -104,7 +108,7 @@
 	return 0
 }
 
-func (h *host) load(now time.Time) route.Load {
+func (h *simHost) load(now time.Time) route.Load {
 	item := route.Item{Tier: core.TierStore, Running: h.running, Queued: len(h.queue)}
 	switch {
 	case h.ready.IsZero():
@@ -116,64 +120,65 @@
 	return route.Load{At: now, Running: h.running, Queued: len(h.queue), Item: item}
 }
 
-// entry is one entry host with what it knows.
-type entry struct {
+// simEntry is one entry with its routing state.
+type simEntry struct {
 	router   router
 	known    map[core.HostName]route.Load
 	inFlight map[core.HostName]int
 	sent     map[core.HostName]int
 }
 
-// play is a fleet of entries and hosts in fake time.
-type play struct {
-	hosts   []*host
-	entries []*entry
+// simulation runs entries and hosts in simulated time.
+type simulation struct {
+	hosts   []*simHost
+	entries []*simEntry
 	events  agenda.Agenda[func(now time.Time)]
-	// waits are the times to the whole answer, in the order of the answers; short
-	// those of the requests of 100 ms.
+	// waits are the times from arrival to the end of the answer, in the order
+	// of the answers; short are those of the requests of 100 ms.
 	waits, short []time.Duration
-	good         int
-	// found counts the requests that found their longest prefix at their host, by
-	// their shortest prefix.
-	found map[uint64]int
+	inTime       int
+	// prefixHits counts the requests that found their longest prefix cached at
+	// their host, by their shortest prefix.
+	prefixHits map[uint64]int
 }
 
-func newPlay(entries, hosts, loaded int, make func(entry int) router) *play {
-	p := &play{found: map[uint64]int{}}
+func newSimulation(entries, hosts, loaded int, make func(entry int) router) *simulation {
+	p := &simulation{prefixHits: map[uint64]int{}}
 	for i := range hosts {
-		h := &host{name: core.HostName("h" + strconv.Itoa(i)), slots: 4}
-		h.slow = func(time.Time) float64 { return 1 }
+		h := &simHost{name: core.HostName("h" + strconv.Itoa(i)), slots: 4}
+		h.slowdown = func(time.Time) float64 { return 1 }
 		if i < loaded {
 			h.ready = t0.Add(-time.Hour)
 		}
 		p.hosts = append(p.hosts, h)
 	}
 	for i := range entries {
-		e := &entry{router: make(i), known: map[core.HostName]route.Load{}}
+		e := &simEntry{router: make(i), known: map[core.HostName]route.Load{}}
 		e.inFlight, e.sent = map[core.HostName]int{}, map[core.HostName]int{}
 		p.entries = append(p.entries, e)
 	}
 	return p
 }
 
-func ours(entry int) router { return real{&route.Router{Seed: uint64(entry)}} }
+func newPlanRouter(entry int) router { return planRouter{&route.Router{Seed: uint64(entry)}} }
 
-func naive(entry int) router { return random{rand.New(rand.NewPCG(uint64(entry), 3))} }
+func newRandomRouter(entry int) router { return randomRouter{rand.New(rand.NewPCG(uint64(entry), 3))} }
 
-func oldReport(int) router { return oldest{} }
+func newLeastReported(int) router { return leastReported{} }
 
-func (p *play) at(t time.Time, do func(now time.Time)) {
+func (p *simulation) schedule(t time.Time, do func(now time.Time)) {
 	p.events.Put(t, do)
 }
 
-func (p *play) run() {
+func (p *simulation) run() {
 	for p.events.Len() > 0 {
 		now, do := p.events.Take()
 		do(now)
 	}
 }
 
-// request is a request of 100 ms with a patience.
+// request returns a request for the ledger model with a deadline patience after
+// its arrival.
 func request(n int, at time.Time, patience time.Duration, prefixes ...uint64) core.Request {
 	return core.Request{
 		ID: core.RequestID(fmt.Sprint("r", n)), Target: ledger, Arrived: at,
@@ -181,12 +186,12 @@
 	}
 }
 
-// send lets a request arrive at an entry.
-func (p *play) send(r core.Request, e int, took time.Duration) {
-	p.at(r.Arrived, func(now time.Time) { p.route(now, job{Request: r, entry: e, took: took}) })
+// send schedules the arrival of a request at an entry.
+func (p *simulation) send(r core.Request, e int, took time.Duration) {
+	p.schedule(r.Arrived, func(now time.Time) { p.route(now, simRequest{Request: r, entry: e, took: took}) })
 }
 
-func (p *play) route(now time.Time, j job) {
+func (p *simulation) route(now time.Time, j simRequest) {
 	e := p.entries[j.entry]
 	q := route.Query{Request: j.Request, Costs: costs}
 	for _, h := range p.hosts {
@@ -201,41 +206,42 @@
 	e.inFlight[name]++
 	e.sent[name]++
 	j.sent = now
-	p.take(now, p.host(name), j)
+	p.receive(now, p.host(name), j)
 }
 
-func (p *play) host(name core.HostName) *host {
-	return p.hosts[slices.IndexFunc(p.hosts, func(h *host) bool { return h.name == name })]
+func (p *simulation) host(name core.HostName) *simHost {
+	return p.hosts[slices.IndexFunc(p.hosts, func(h *simHost) bool { return h.name == name })]
 }
 
-// take is a request's arrival at a host, which loads the model if it must.
-func (p *play) take(now time.Time, h *host, j job) {
+// receive handles a request's arrival at a host, which loads the model if
+// necessary.
+func (p *simulation) receive(now time.Time, h *simHost, j simRequest) {
 	for _, x := range j.Prefixes {
 		hit := h.find(x)
 		if x == j.Prefixes[len(j.Prefixes)-1] {
-			p.found[j.Prefixes[0]] += hit
+			p.prefixHits[j.Prefixes[0]] += hit
 		}
 	}
 	if h.ready.IsZero() {
 		h.loads++
 		h.ready = now.Add(costs.Item[core.TierStore])
-		p.at(h.ready, func(now time.Time) { p.start(now, h) })
+		p.schedule(h.ready, func(now time.Time) { p.start(now, h) })
 	}
 	h.queue = append(h.queue, j)
 	p.start(now, h)
 }
 
-func (p *play) start(now time.Time, h *host) {
+func (p *simulation) start(now time.Time, h *simHost) {
 	for !h.ready.After(now) && h.running < h.slots && len(h.queue) > 0 {
 		j := h.queue[0]
 		h.queue = h.queue[1:]
 		h.running++
-		took := time.Duration(float64(j.took) * h.slow(now))
-		p.at(now.Add(took), func(now time.Time) { p.answer(now, h, j) })
+		took := time.Duration(float64(j.took) * h.slowdown(now))
+		p.schedule(now.Add(took), func(now time.Time) { p.answer(now, h, j) })
 	}
 }
 
-func (p *play) answer(now time.Time, h *host, j job) {
+func (p *simulation) answer(now time.Time, h *simHost, j simRequest) {
 	h.running--
 	h.served++
 	p.start(now, h)
@@ -248,7 +254,7 @@
 		p.short = append(p.short, now.Sub(j.Arrived))
 	}
 	if !now.After(j.Deadline) {
-		p.good++
+		p.inTime++
 	}
 }
 
@@ -257,7 +263,7 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-func (p *play) loads() int {
+func (p *simulation) loads() int {
 	n := 0
 	for _, h := range p.hosts {
 		n += h.loads
@@ -265,8 +271,8 @@
 	return n
 }
 
-// stream sends requests with exponential gaps through the entries in turn.
-func (p *play) stream(seed uint64, perSecond float64, span time.Duration, each func(rng *rand.Rand, r *core.Request) time.Duration) {
+// stream sends a Poisson stream of requests through the entries in turn.
+func (p *simulation) stream(seed uint64, perSecond float64, span time.Duration, each func(rng *rand.Rand, r *core.Request) time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	at := t0
 	for n := 0; ; n++ {
--- a/core/route/recent.go
+++ b/core/route/recent.go
@@ -1,17 +1,17 @@
 package route
 
-// recent is a map that forgets: it keeps the entries that were put or found
-// during the last most/2 to most puts, in two generations. It bounds memory for
-// hints, which may be lost at any time.
-type recent[K comparable, V any] struct {
+// recentMap is a map that evicts old entries. It keeps the entries that were
+// put or found during the last recentSize/2 to recentSize puts, in two
+// generations. It bounds the memory for hints, which may be lost at any time.
+type recentMap[K comparable, V any] struct {
 	young, old map[K]V
 }
 
-// mostRecent is how many entries a recent keeps. For prefixes that is some
-// thousand conversations of a dozen blocks; it takes about 3 MB.
-const mostRecent = 1 << 16
+// recentSize is how many entries a recentMap keeps. For prefixes that is some
+// thousand conversations of a dozen blocks, in about 3 MB.
+const recentSize = 1 << 16
 
-func (m *recent[K, V]) get(k K) (V, bool) {
+func (m *recentMap[K, V]) get(k K) (V, bool) {
 	if v, ok := m.young[k]; ok {
 		return v, true
 	}
@@ -22,17 +22,17 @@
 	return v, ok
 }
 
-func (m *recent[K, V]) put(k K, v V) {
+func (m *recentMap[K, V]) put(k K, v V) {
 	if m.young == nil {
 		m.young = make(map[K]V)
 	}
-	if len(m.young) >= mostRecent/2 {
+	if len(m.young) >= recentSize/2 {
 		m.old, m.young = m.young, make(map[K]V)
 	}
 	m.young[k] = v
 }
 
-func (m *recent[K, V]) cut(k K) {
+func (m *recentMap[K, V]) remove(k K) {
 	delete(m.young, k)
 	delete(m.old, k)
 }
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -6,94 +6,104 @@
 	"radishwell/core"
 )
 
-// Health is what membership says of a host.
+// Health is the state of a host according to membership.
 type Health uint8
 
-// Healths. Leaving hosts get no new work; suspects only when no other is left.
+// The values of Health. Leaving hosts get no new work, and suspects only if no
+// other host is left.
 const (
 	Live Health = iota
 	Suspect
 	Leaving
 )
 
-// Item is what a host reports of one model or adapter.
+// Item is a host's report on one model or adapter.
 type Item struct {
 	State core.ItemState
 	// Running and Queued count the item's requests at the host.
 	Running, Queued int
 	// Tier is where the host finds the checkpoint.
 	Tier core.Tier
-	// Ready is when a load under way should end.
+	// Ready is the expected end of a load in progress.
 	Ready time.Time
 }
 
-// Load is a host's load as it reported it.
+// Load is a host's report on its load.
 type Load struct {
-	// At is when the report was taken; zero where there is none.
+	// At is when the report was made; zero if there is none.
 	At time.Time
 	// Running and Queued count all requests at the host.
 	Running, Queued int
-	// Free is the unpromised memory of the accelerator that has most.
+	// Free is the largest unreserved memory of any one accelerator.
 	Free core.Bytes
-	// Item is the target's state, Base that of the model an adapter needs.
+	// Item is the state of the target, and Base that of the model that an
+	// adapter needs.
 	Item, Base Item
 }
 
-// Candidate is a host that may serve the target: for a model or adapter a holder
-// of an active grant, for a plain service any of its hosts.
+// Candidate is a host that may serve the target. For a model or adapter it
+// holds an active grant, which is the permission to serve it; for a plain
+// service it is any of the service's hosts.
 type Candidate struct {
 	Host       core.HostName
 	DataCentre core.DataCentre
 	Health     Health
 	Load       Load
-	// InFlight counts the requests that this process has at the host now, Sent
-	// those that it has handed over since Load.At.
+	// InFlight counts the requests that this process has at the host now, and
+	// Sent those that it has sent since Load.At.
 	InFlight, Sent int
 }
 
-// Costs are the measured times of a cold start, by where the checkpoint is.
+// Costs are the measured times of a cold start by the tier of the checkpoint.
 type Costs struct {
-	// Item is the target's, Base the base model's, which counts where an adapter
-	// is asked for and its base is not loaded.
+	// Item is the time of the target, and Base that of the base model, which
+	// counts if an adapter is requested and its base is not loaded.
 	Item, Base [3]time.Duration
 }
 
-// Query is one request to be routed.
+// Query describes one request to be routed.
 type Query struct {
 	Request core.Request
 	// Here is this process's data centre.
 	Here       core.DataCentre
 	Candidates []Candidate
 	Costs      Costs
-	// Need is the memory the target takes on one accelerator; zero where unknown.
+	// Need is the memory that the target takes on one accelerator; zero if
+	// unknown.
 	Need core.Bytes
-	// Tried are hosts that this request has been at; they are left out.
+	// Tried lists hosts that this request has been sent to. They are excluded.
 	Tried []core.HostName
-	// Asked are hosts that were probed for this request; no plan names them for
-	// a probe again. A host that did not answer its probe is a Suspect.
+	// Asked lists hosts that were probed for this request. No plan names them
+	// for a probe again. The caller sets the health of a host that did not
+	// answer its probe to Suspect.
 	Asked []core.HostName
 }
 
 // Reason says why a host has its place in a plan.
 type Reason uint8
 
-// Reasons, the most wanted first.
+// The values of Reason, the most preferred first.
 const (
-	// Cached: holds the target, and the prompt's prefix is likely cached there.
+	// Cached means that the host holds the target and likely has the prompt's
+	// prefix cached.
 	Cached Reason = iota
-	// LeastLoaded: holds the target with the least foreseen wait.
+	// LeastLoaded means that the host holds the target and has the shortest
+	// expected wait.
 	LeastLoaded
-	// OfTwo: the better of two holders, since their load state is old.
+	// OfTwo means that the host is the better of two holders, chosen because
+	// reports are stale.
 	OfTwo
-	// Spill: would load the target, sooner than the busy holders get to it.
+	// Spill means that the host would load the target and still start sooner
+	// than the busy holders.
 	Spill
-	// Resident: another holder, to be tried later.
+	// Resident means that the host is another holder, to be tried later.
 	Resident
-	// Arriving: is loading the target.
-	Arriving
-	// Cold: would have to load the target.
+	// Loading means that the host is loading the target.
+	Loading
+	// Cold means that the host would have to load the target.
 	Cold
-	// SetAside: was slow or failing of late, or is suspected of being gone.
+	// SetAside means that the host was slow or failing recently, or is
+	// suspected of having failed.
 	SetAside
 	reasonCount
 )
@@ -102,7 +112,7 @@
 	"cached", "least-loaded", "of-two", "spill", "resident", "loading", "cold", "set-aside",
 }
 
-// String returns the reason's name as explain prints it.
+// String returns the reason's name as the explain command prints it.
 func (r Reason) String() string {
 	if r >= reasonCount {
 		return "unknown"
@@ -114,55 +124,55 @@
 type Choice struct {
 	Host   core.HostName
 	Reason Reason
-	// Start is when the request should start there.
+	// Start is when the request is expected to start there.
 	Start time.Time
-	// Load is the load assumed, in requests; Age that of the report behind it,
-	// zero where there is none.
+	// Load is the estimated load in requests, and Age is the age of the report
+	// behind it, zero if there is none.
 	Load float64
 	Age  time.Duration
 }
 
 // Plan is the answer to a Query.
 type Plan struct {
-	// Hosts are in the order in which to try them; empty where none may serve.
+	// Hosts are in the order in which to try them; empty if none may serve.
 	Hosts []Choice
-	// Probe are hosts whose load should be asked for, two at the most; Plan is
-	// then called again with their answers, until it names none.
+	// Probe lists at most two hosts whose load should be probed. Plan is then
+	// called again with their answers, until it names none.
 	Probe []core.HostName
-	// Wait tells that the answers are worth waiting for before the plan is
-	// followed: it would start a load, and a host to be asked may hold the target.
-	// A new entry knows of no holder, and without the wait its first requests
-	// would load a second replica and wait for that.
+	// Wait is set if the probes should be awaited before the plan is followed,
+	// because it would start a load and a probed host may hold the target.
+	// Otherwise the first requests of a new entry, which knows of no holder,
+	// would load a second replica and wait for it.
 	Wait bool
 }
 
-// Router holds what was learnt about hosts and prompts. Its exported fields are
-// set before use. It needs no lock of its own; its owner calls it from one
-// goroutine at a time.
+// Router records the performance of hosts and the prefixes in their caches. The
+// exported fields are set before use. It is not safe for concurrent use.
 type Router struct {
-	// Seed enters all pseudo-random choices but those that all entries must make
-	// alike.
+	// Seed varies the pseudo-random choices between entries, except those that
+	// all entries must make alike.
 	Seed uint64
 
-	sets     map[core.ServiceName]*set
-	speeds   recent[string, speed]
-	prefixes recent[uint64, holder]
-	// widths are how many requests hosts run at once.
-	widths recent[core.HostName, int]
+	hostSets map[core.ServiceName]*hostSet
+	speeds   recentMap[string, targetSpeed]
+	prefixes recentMap[uint64, prefixHost]
+	// knownSlots is how many requests hosts run at once.
+	knownSlots recentMap[core.HostName, int]
 }
 
-// Plan orders the candidates for a request. Equal inputs give equal plans.
+// Plan orders the candidates for a request. The same state, time and query give
+// the same plan.
 func (r *Router) Plan(now time.Time, q Query) Plan {
 	options := r.options(now, q)
 	if len(options) == 0 {
 		return Plan{}
 	}
-	g := split(options)
+	g := group(options)
 	r.orderHolders(now, q, g.holders)
 	orderCold(g.cold)
-	orderAside(g.aside)
+	orderSetAside(g.setAside)
 	g.spill()
-	all := g.all()
-	ask := probes(all, q.Asked)
-	return Plan{Hosts: choices(now, all), Probe: ask, Wait: len(ask) > 0 && all[0].cold > 0}
+	all := g.ordered()
+	toProbe := hostsToProbe(all, q.Asked)
+	return Plan{Hosts: choices(now, all), Probe: toProbe, Wait: len(toProbe) > 0 && all[0].loadTime > 0}
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -14,17 +14,19 @@
 	"radishwell/core/route"
 )
 
-// holding returns a candidate that holds the target and runs n requests.
-func holding(name string, n int) route.Candidate {
+// holderCandidate returns a candidate that holds the target and runs n
+// requests.
+func holderCandidate(name string, n int) route.Candidate {
 	return route.Candidate{
 		Host: core.HostName(name), DataCentre: "lac-deux",
 		Load: route.Load{At: t0, Running: n, Item: route.Item{State: core.Loaded}},
 	}
 }
 
-// without returns a candidate that has a copy of the target in a tier.
-func without(name string, tier core.Tier) route.Candidate {
-	c := holding(name, 0)
+// coldCandidate returns a candidate that has a copy of the target in a tier but
+// has not loaded it.
+func coldCandidate(name string, tier core.Tier) route.Candidate {
+	c := holderCandidate(name, 0)
 	c.Load.Item = route.Item{State: core.Absent, Tier: tier}
 	return c
 }
@@ -44,32 +46,32 @@
 }
 
 func TestOrder(t *testing.T) {
-	loading := without("loading", core.TierStore)
+	loading := coldCandidate("loading", core.TierStore)
 	loading.Load.Item.State, loading.Load.Item.Ready = core.Loading, t0.Add(19*time.Second)
 	t.Run("holder, loading, cheapest load", func(t *testing.T) {
-		p := planFor(without("store", core.TierStore), without("memory", core.TierMemory),
-			without("disk", core.TierDisk), loading, holding("holder", 3))
+		p := planFor(coldCandidate("store", core.TierStore), coldCandidate("memory", core.TierMemory),
+			coldCandidate("disk", core.TierDisk), loading, holderCandidate("holder", 3))
 		wantOrder(t, p, "holder", "loading", "memory", "disk", "store")
-		assert.Equal(t, p.Hosts[1].Reason, route.Arriving)
+		assert.Equal(t, p.Hosts[1].Reason, route.Loading)
 		assert.Equal(t, p.Hosts[0].Reason, route.LeastLoaded)
 		assert.Assert(t, p.Hosts[3].Start.Equal(t0.Add(4*time.Second)))
 	})
 	t.Run("least loaded holder", func(t *testing.T) {
-		wantOrder(t, planFor(holding("a", 9), holding("b", 2), holding("c", 5)), "b", "c", "a")
+		wantOrder(t, planFor(holderCandidate("a", 9), holderCandidate("b", 2), holderCandidate("c", 5)), "b", "c", "a")
 	})
 	t.Run("leaving and tried hosts are left out, suspects last", func(t *testing.T) {
-		leaving, suspect := holding("leaving", 0), holding("suspect", 0)
+		leaving, suspect := holderCandidate("leaving", 0), holderCandidate("suspect", 0)
 		leaving.Health, suspect.Health = route.Leaving, route.Suspect
 		r := &route.Router{}
 		p := r.Plan(t0, route.Query{
 			Request: request(1, t0, time.Minute), Tried: []core.HostName{"tried"}, Costs: costs,
-			Candidates: []route.Candidate{suspect, leaving, holding("tried", 0), without("cold", core.TierStore)},
+			Candidates: []route.Candidate{suspect, leaving, holderCandidate("tried", 0), coldCandidate("cold", core.TierStore)},
 		})
 		wantOrder(t, p, "cold", "suspect")
 	})
 	t.Run("same data centre among equals", func(t *testing.T) {
 		for n := range 20 {
-			far, near := holding("far", 1), holding("near", 1)
+			far, near := holderCandidate("far", 1), holderCandidate("near", 1)
 			near.DataCentre = "ariana"
 			r := &route.Router{Seed: uint64(n)}
 			p := r.Plan(t0, route.Query{
@@ -79,7 +81,7 @@
 		}
 	})
 	t.Run("a load that needs another's memory comes last", func(t *testing.T) {
-		tight, roomy := without("tight", core.TierMemory), without("roomy", core.TierStore)
+		tight, roomy := coldCandidate("tight", core.TierMemory), coldCandidate("roomy", core.TierStore)
 		roomy.Load.Free = 10 * core.GiB
 		r := &route.Router{}
 		p := r.Plan(t0, route.Query{
@@ -89,7 +91,7 @@
 		wantOrder(t, p, "roomy", "tight")
 	})
 	t.Run("adapter without its base", func(t *testing.T) {
-		bare, based := without("bare", core.TierMemory), without("based", core.TierDisk)
+		bare, based := coldCandidate("bare", core.TierMemory), coldCandidate("based", core.TierDisk)
 		based.Load.Base.State = core.Loaded
 		q := route.Query{Request: request(1, t0, time.Minute), Costs: costs, Candidates: []route.Candidate{bare, based}}
 		q.Request.Target = core.Target{Service: "qalam", Model: "dues", Base: "ledger"}
@@ -98,7 +100,7 @@
 	})
 }
 
-// Entries that know the same choose the same host to load on, whatever the
+// Entries with the same reports choose the same host to load on, whatever the
 // request, but spread requests over the holders.
 func TestEntriesAgreeOnColdHosts(t *testing.T) {
 	first := func(make func(string) route.Candidate) map[core.HostName]int {
@@ -113,12 +115,12 @@
 		}
 		return chosen
 	}
-	assert.Equal(t, len(first(func(h string) route.Candidate { return without(h, core.TierDisk) })), 1)
-	assert.Equal(t, len(first(func(h string) route.Candidate { return holding(h, 1) })), 4)
+	assert.Equal(t, len(first(func(h string) route.Candidate { return coldCandidate(h, core.TierDisk) })), 1)
+	assert.Equal(t, len(first(func(h string) route.Candidate { return holderCandidate(h, 1) })), 4)
 }
 
-// An entry that has just started knows none of the hosts. It must ask until it
-// finds the holder, or its first caller waits for a load that nobody needs.
+// An entry that has just started has no reports. It must probe until it finds
+// the holder, or its first caller waits for an unnecessary load.
 func TestNewEntryFindsTheHolder(t *testing.T) {
 	for holder := range 7 {
 		r := &route.Router{}
@@ -130,9 +132,9 @@
 		for ; p.Wait; p = r.Plan(t0, q) {
 			for _, h := range p.Probe {
 				at := slices.IndexFunc(q.Candidates, func(c route.Candidate) bool { return c.Host == h })
-				q.Candidates[at] = without(string(h), core.TierStore)
+				q.Candidates[at] = coldCandidate(string(h), core.TierStore)
 				if at == holder {
-					q.Candidates[at] = holding(string(h), 1)
+					q.Candidates[at] = holderCandidate(string(h), 1)
 				}
 			}
 			q.Asked = append(q.Asked, p.Probe...)
@@ -141,18 +143,20 @@
 	}
 }
 
-// The host with the prompt's cache runs far more than the others.
+// A host with the prompt's prefix cached is not chosen if its load is far above
+// that of the others.
 func TestCacheDoesNotCrowd(t *testing.T) {
 	r := &route.Router{}
 	q := route.Query{Request: request(1, t0, time.Minute, 7)}
 	r.Sent(t0, q.Request, "a")
-	q.Candidates = []route.Candidate{holding("a", 4), holding("b", 1), holding("c", 1)}
+	q.Candidates = []route.Candidate{holderCandidate("a", 4), holderCandidate("b", 1), holderCandidate("c", 1)}
 	assert.Equal(t, r.Plan(t0, q).Hosts[0].Reason, route.Cached)
-	q.Candidates[0] = holding("a", 9)
+	q.Candidates[0] = holderCandidate("a", 9)
 	assert.Assert(t, r.Plan(t0, q).Hosts[0].Host != "a")
 }
 
-// Nothing was reported yet: what this process has in flight still counts.
+// Without any reports, the requests that this process has in flight still
+// count.
 func TestOwnRequestsCount(t *testing.T) {
 	for n := range 20 {
 		busy := route.Candidate{Host: "busy", InFlight: 5}
@@ -162,13 +166,13 @@
 	}
 }
 
-// Cache events come late and with gaps: an eviction told by one host must not
-// undo what is known of another, and a repeated event changes nothing.
+// Cache events arrive late and with gaps. An eviction reported by one host must
+// not remove the record of another.
 func TestCacheEvents(t *testing.T) {
 	r := &route.Router{}
 	q := route.Query{
 		Request:    request(1, t0, time.Minute, 7, 8),
-		Candidates: []route.Candidate{holding("a", 1), holding("b", 1), holding("c", 1)},
+		Candidates: []route.Candidate{holderCandidate("a", 1), holderCandidate("b", 1), holderCandidate("c", 1)},
 	}
 	first := func(now time.Time) core.HostName {
 		for i := range q.Candidates {
@@ -181,14 +185,15 @@
 	r.CacheEvent(t0, ledger, other, 8, true)
 	assert.Equal(t, first(t0), other)
 	r.CacheEvent(t0, ledger, byHash, 8, false)
-	assert.Equal(t, first(t0), other, "an eviction elsewhere")
-	assert.Equal(t, first(t0.Add(time.Hour)), byHash, "a belief of an hour ago")
+	assert.Equal(t, first(t0), other, "an eviction at another host")
+	assert.Equal(t, first(t0.Add(time.Hour)), byHash, "a record of an hour ago")
 	r.CacheEvent(t0, ledger, other, 8, false)
-	assert.Equal(t, first(t0), byHash, "an eviction there")
+	assert.Equal(t, first(t0), byHash, "an eviction at the host")
 }
 
-// A host that fails every call answers fast, so that the least loaded is always
-// the broken one. It must be set aside, but never more than a third of a set.
+// A host that fails every call answers fast and so always seems the least
+// loaded. It must be set aside, but never more than a third of the hosts at
+// once.
 func TestFailingHosts(t *testing.T) {
 	r := &route.Router{}
 	for n := range 400 {
@@ -210,9 +215,9 @@
 	assert.Assert(t, r.AsideUntil("qalam", "h0").IsZero())
 }
 
-// Whatever is known, a plan names every candidate that may get work once and no
-// other, asks two at the most, ends after a bounded number of rounds, and is the
-// same when it is made again.
+// For any reports, a plan names every candidate that may get work exactly once,
+// probes at most two hosts, ends after a bounded number of rounds, and is the
+// same when it is computed again.
 func TestPlanProperties(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -267,7 +272,7 @@
 			r := &route.Router{}
 			q := route.Query{Request: request(1, t0, time.Minute, 1, 2, 3), Costs: costs}
 			for i := range n {
-				q.Candidates = append(q.Candidates, holding(fmt.Sprint("host-", i), i%5))
+				q.Candidates = append(q.Candidates, holderCandidate(fmt.Sprint("host-", i), i%5))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/core/route/slow.go
+++ b/core/route/slow.go
@@ -9,249 +9,254 @@
 )
 
 const (
-	// leastSamples is how many reports a verdict needs. One slow answer is often
-	// a long prompt; five in a row rarely are.
-	leastSamples = 5
-	// slowFactor is how far above the median of its set a host's pace must be.
-	// Batching alone makes a factor of two between a full and an empty engine.
+	// minSamples is how many reports are needed to judge a host. One slow
+	// answer often has a long prompt; five in a row rarely do.
+	minSamples = 5
+	// slowFactor is how far above the median of its set the relative time of a
+	// slow host lies. Batching alone makes a factor of two between a full and
+	// an empty engine.
 	slowFactor = 3
-	// failing is the share of failures above which a host is set aside.
-	failing = 0.5
-	// sampleWeight is how much of an average one report replaces.
+	// maxFailureRate is the share of failures above which a host is set aside.
+	maxFailureRate = 0.5
+	// sampleWeight is the weight of a new report in an average.
 	sampleWeight = 1.0 / 8
-	// asideStep is how long a host is set aside the first time; each further time
-	// adds as much, up to asideMost. Ten seconds pass a short disturbance; the
-	// growth keeps a host that stays slow from meeting callers every time.
+	// asideStep is how long a host is set aside the first time. Each further
+	// time adds as much, up to asideMax. Ten seconds cover a short disturbance,
+	// and the growth keeps callers away from a host that stays slow.
 	asideStep = 10 * time.Second
-	asideMost = 5 * time.Minute
-	// ramp is how long a host that comes back takes to get its whole part of the
-	// requests, rampFirst the part it begins with. A host whose caches are empty
-	// would be slow again if it got all of it at once.
-	ramp      = 30 * time.Second
-	rampFirst = 0.1
-	// pardon is how long a host must do well before it counts as never aside.
-	pardon = 10 * time.Minute
-	// mostAside is the share of a set that may be aside at once. If more are
-	// slow, the cause is load or the request, and setting hosts aside would put
-	// the load of all on the few that remain.
-	mostAside = 1.0 / 3
-	// medianAge is how long a median is used before it is taken anew.
-	medianAge = time.Second
+	asideMax  = 5 * time.Minute
+	// rampTime is the time in which a host that returns grows from the share
+	// rampStart to its full share of the requests. A host with empty caches
+	// would be slow again if it got its full share at once.
+	rampTime  = 30 * time.Second
+	rampStart = 0.1
+	// forgiveAfter is the time without being set aside after which earlier
+	// times are no longer counted.
+	forgiveAfter = 10 * time.Minute
+	// maxAsideShare is the share of a set that may be set aside at once. If
+	// more hosts are slow, the cause is the load or the requests, and setting
+	// hosts aside would move all load to the few that remain.
+	maxAsideShare = 1.0 / 3
+	// medianInterval is how long a median is used before it is computed again.
+	medianInterval = time.Second
 )
 
-// Result is how an attempt went, as far as the host's health goes.
+// Result is the outcome of an attempt as far as the host's health is concerned.
 type Result uint8
 
-// Results. Refusals of a host that is full or may not serve are no failures.
+// The values of Result. Refusals by a host that is full or may not serve are
+// not failures.
 const (
-	// Served: the whole answer came.
+	// Served means that the complete answer arrived.
 	Served Result = iota
-	// Broken: contact was lost, or the upstream failed.
+	// Broken means that the connection was lost or the upstream failed.
 	Broken
-	// Overdue: no answer yet after Patience; Took is the time so far.
+	// Overdue means that no answer has arrived by the time that Patience
+	// returned. Took is the time so far.
 	Overdue
 )
 
-// Report is what an attempt tells of its host. Attempts that waited for a load
-// are not reported, nor those that the caller cancelled.
+// Report is the outcome of an attempt at a host. Attempts that waited for a
+// load or were cancelled by the caller are not reported.
 type Report struct {
 	Host   core.HostName
 	Target core.Target
 	Result Result
 	Took   time.Duration
-	// Cost is the work of the request, as in queue.Item; one where unknown.
+	// Cost is the work of the request as in queue.Item; one if unknown.
 	Cost int64
 }
 
-// speed is how fast a target is served over all its hosts.
-type speed struct {
-	// request is the mean time of a request, in seconds.
-	request float64
-	// unit is the mean logarithm of the seconds for a unit of cost. Logarithms
-	// keep one long request among short ones from looking like a slow host.
-	unit float64
+// targetSpeed is the speed at which a target is served over all its hosts.
+type targetSpeed struct {
+	// meanSeconds is the mean time of a request.
+	meanSeconds float64
+	// logUnitSeconds is the mean logarithm of the seconds per unit of cost.
+	// Logarithms keep one long request among short ones from looking like a
+	// slow host.
+	logUnitSeconds float64
 }
 
-// set is the hosts of one service.
-type set struct {
-	hosts  map[core.HostName]*health
+// hostSet holds the hosts of one service.
+type hostSet struct {
+	hosts  map[core.HostName]*hostStats
 	median float64
-	// taken is when median was taken.
-	taken time.Time
+	// medianAt is when median was computed.
+	medianAt time.Time
 }
 
-// health is what was seen of one host.
-type health struct {
-	// pace is the smoothed logarithm of the time per unit of cost over that of
-	// the target; fails is the smoothed share of failures.
-	pace    float64
-	fails   float64
-	samples int
-	// until is when the host may get requests again, times how often it was set
-	// aside without a pardon.
-	until time.Time
-	times int
+// hostStats is the recent performance of one host.
+type hostStats struct {
+	// logRatio is the smoothed logarithm of the host's time per unit of cost
+	// relative to that of the target. failureRate is the smoothed share of
+	// failures.
+	logRatio    float64
+	failureRate float64
+	samples     int
+	// asideUntil is when the host may get requests again, and asideCount is how
+	// often it was set aside without forgiveAfter passing in between.
+	asideUntil time.Time
+	asideCount int
 }
 
-// Observe takes a report in.
+// Observe records a report.
 func (r *Router) Observe(now time.Time, p Report) {
-	s := r.set(p.Target.Service)
+	s := r.hostSet(p.Target.Service)
 	h, ok := s.hosts[p.Host]
 	if !ok {
-		h = &health{}
+		h = &hostStats{}
 		s.hosts[p.Host] = h
 	}
-	if h.times > 0 && now.Sub(h.until) > pardon {
-		h.times = 0
+	if h.asideCount > 0 && now.Sub(h.asideUntil) > forgiveAfter {
+		h.asideCount = 0
 	}
-	r.sample(h, p)
-	if now.Sub(s.taken) >= medianAge {
-		s.median, s.taken = medianPace(s.hosts), now
+	r.addSample(h, p)
+	if now.Sub(s.medianAt) >= medianInterval {
+		s.median, s.medianAt = medianLogRatio(s.hosts), now
 	}
-	if h.bad(s.median) && s.mayLose(now) {
+	if h.unhealthy(s.median) && s.maySetAside(now) {
 		h.setAside(now)
 	}
 }
 
-func (r *Router) set(name core.ServiceName) *set {
-	if r.sets == nil {
-		r.sets = make(map[core.ServiceName]*set)
+func (r *Router) hostSet(name core.ServiceName) *hostSet {
+	if r.hostSets == nil {
+		r.hostSets = make(map[core.ServiceName]*hostSet)
 	}
-	s, ok := r.sets[name]
+	s, ok := r.hostSets[name]
 	if !ok {
-		s = &set{hosts: make(map[core.HostName]*health)}
-		r.sets[name] = s
+		s = &hostSet{hosts: make(map[core.HostName]*hostStats)}
+		r.hostSets[name] = s
 	}
 	return s
 }
 
-// sample folds a report into the averages of the host and of the target.
-func (r *Router) sample(h *health, p Report) {
+// addSample adds a report to the averages of the host and of the target.
+func (r *Router) addSample(h *hostStats, p Report) {
 	h.samples++
 	if p.Result == Broken {
-		h.fails += (1 - h.fails) * sampleWeight
+		h.failureRate += (1 - h.failureRate) * sampleWeight
 		return
 	}
-	h.fails -= h.fails * sampleWeight
+	h.failureRate -= h.failureRate * sampleWeight
 	took := max(time.Microsecond, p.Took).Seconds()
 	unit := math.Log(took / float64(max(1, p.Cost)))
 	known, ok := r.speeds.get(p.Target.Name())
 	if !ok {
-		known = speed{request: took, unit: unit}
+		known = targetSpeed{meanSeconds: took, logUnitSeconds: unit}
 	}
-	h.pace += (unit - known.unit - h.pace) * sampleWeight
+	h.logRatio += (unit - known.logUnitSeconds - h.logRatio) * sampleWeight
 	if p.Result == Served {
-		known.request += (took - known.request) * sampleWeight
-		known.unit += (unit - known.unit) * sampleWeight
+		known.meanSeconds += (took - known.meanSeconds) * sampleWeight
+		known.logUnitSeconds += (unit - known.logUnitSeconds) * sampleWeight
 	}
 	r.speeds.put(p.Target.Name(), known)
 }
 
-func (h *health) bad(median float64) bool {
-	if h.samples < leastSamples {
+func (h *hostStats) unhealthy(median float64) bool {
+	if h.samples < minSamples {
 		return false
 	}
-	return h.fails > failing || h.pace > median+math.Log(slowFactor)
+	return h.failureRate > maxFailureRate || h.logRatio > median+math.Log(slowFactor)
 }
 
-// medianPace is the median over the hosts that have enough reports; zero, which
-// is the pace of the target, where there are fewer than two.
-func medianPace(hosts map[core.HostName]*health) float64 {
-	paces := make([]float64, 0, len(hosts))
+// medianLogRatio returns the median over the hosts that have enough reports.
+// With fewer than two of them it returns zero, the ratio of the target itself.
+func medianLogRatio(hosts map[core.HostName]*hostStats) float64 {
+	ratios := make([]float64, 0, len(hosts))
 	for _, h := range hosts {
-		if h.samples >= leastSamples {
-			paces = append(paces, h.pace)
+		if h.samples >= minSamples {
+			ratios = append(ratios, h.logRatio)
 		}
 	}
-	if len(paces) < 2 {
+	if len(ratios) < 2 {
 		return 0
 	}
-	slices.Sort(paces)
-	return paces[(len(paces)-1)/2]
+	slices.Sort(ratios)
+	return ratios[(len(ratios)-1)/2]
 }
 
-// mayLose reports whether one more host may be set aside.
-func (s *set) mayLose(now time.Time) bool {
+// maySetAside reports whether one more host may be set aside.
+func (s *hostSet) maySetAside(now time.Time) bool {
 	aside := 0
 	for _, h := range s.hosts {
-		if h.until.After(now) {
+		if h.asideUntil.After(now) {
 			aside++
 		}
 	}
-	return float64(aside+1) <= max(1, mostAside*float64(len(s.hosts))) && len(s.hosts) > 1
+	return float64(aside+1) <= max(1, maxAsideShare*float64(len(s.hosts))) && len(s.hosts) > 1
 }
 
-// setAside begins a time without requests, after which the host is judged by
-// what it does then.
-func (h *health) setAside(now time.Time) {
-	h.times++
-	h.until = now.Add(min(asideMost, asideStep*time.Duration(h.times)))
-	h.samples, h.fails, h.pace = 0, 0, 0
+// setAside sets the host aside and discards its samples, so that it is judged
+// afterwards by new ones only.
+func (h *hostStats) setAside(now time.Time) {
+	h.asideCount++
+	h.asideUntil = now.Add(min(asideMax, asideStep*time.Duration(h.asideCount)))
+	h.samples, h.failureRate, h.logRatio = 0, 0, 0
 }
 
-// setAside reports whether a host is kept from this request. While it comes back
-// it gets a growing part of the requests, chosen by their ids.
-func (r *Router) setAside(now time.Time, q core.Request, host core.HostName) bool {
-	s, ok := r.sets[q.Target.Service]
+// isSetAside reports whether a host is kept from this request. A host that
+// returns gets a growing share of the requests, chosen by their IDs.
+func (r *Router) isSetAside(now time.Time, q core.Request, host core.HostName) bool {
+	s, ok := r.hostSets[q.Target.Service]
 	if !ok {
 		return false
 	}
 	h, ok := s.hosts[host]
-	if !ok || h.until.IsZero() {
+	if !ok || h.asideUntil.IsZero() {
 		return false
 	}
-	back := now.Sub(h.until)
-	if back < 0 {
+	sinceReturn := now.Sub(h.asideUntil)
+	if sinceReturn < 0 {
 		return true
 	}
-	if back >= ramp {
+	if sinceReturn >= rampTime {
 		return false
 	}
-	part := rampFirst + (1-rampFirst)*back.Seconds()/ramp.Seconds()
-	draw := float64(score(r.Seed+1, string(q.ID), string(host))>>11) / (1 << 53)
-	return draw >= part
+	share := rampStart + (1-rampStart)*sinceReturn.Seconds()/rampTime.Seconds()
+	draw := float64(rendezvousScore(r.Seed+1, string(q.ID), string(host))>>11) / (1 << 53)
+	return draw >= share
 }
 
-// AsideUntil returns until when a host gets no requests; zero where it was never
-// set aside.
+// AsideUntil returns until when a host is or was set aside; zero if it never was.
 func (r *Router) AsideUntil(service core.ServiceName, host core.HostName) time.Time {
-	if s, ok := r.sets[service]; ok {
+	if s, ok := r.hostSets[service]; ok {
 		if h, ok := s.hosts[host]; ok {
-			return h.until
+			return h.asideUntil
 		}
 	}
 	return time.Time{}
 }
 
-// Patience returns when a request handed over at from should be reported as
-// Overdue if it has not ended, zero while the target's speed is unknown. Without
-// such reports a host that hangs is noticed only when its requests end.
+// Patience returns when a request sent at from should be reported as Overdue if
+// it has not ended, or zero while the target's speed is unknown. Without such
+// reports a host that hangs is noticed only when its requests end.
 func (r *Router) Patience(from time.Time, t core.Target, cost int64) time.Time {
 	known, ok := r.speeds.get(t.Name())
 	if !ok {
 		return time.Time{}
 	}
-	each := math.Exp(known.unit) * float64(max(1, cost))
+	each := math.Exp(known.logUnitSeconds) * float64(max(1, cost))
 	return from.Add(time.Duration(slowFactor * each * float64(time.Second)))
 }
 
-// Forget drops what is known of a host that is gone.
+// Forget discards the record of a host that has left.
 func (r *Router) Forget(service core.ServiceName, host core.HostName) {
-	s, ok := r.sets[service]
+	s, ok := r.hostSets[service]
 	if !ok {
 		return
 	}
 	delete(s.hosts, host)
 	if len(s.hosts) == 0 {
-		delete(r.sets, service)
+		delete(r.hostSets, service)
 	}
 }
 
-// service returns how long a request for the target takes.
-func (r *Router) service(t core.Target) time.Duration {
+// meanServiceTime returns the mean time of a request for the target.
+func (r *Router) meanServiceTime(t core.Target) time.Duration {
 	known, ok := r.speeds.get(t.Name())
-	if !ok || known.request == 0 {
-		return unknownService
+	if !ok || known.meanSeconds == 0 {
+		return defaultServiceTime
 	}
-	return time.Duration(known.request * float64(time.Second))
+	return time.Duration(known.meanSeconds * float64(time.Second))
 }
