--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -3,52 +3,54 @@
 import "radishwell/core"
 
 const (
-	// perRetry is how many first attempts pay for one retry: retries add a tenth
-	// to the load when they go on and on. At two hops that both retry it is a
-	// fifth.
-	perRetry = 10
-	// reserve is how many retries a budget holds at the most and begins with, so
-	// that a set with few requests can still retry: ten are a burst that any set
-	// bears.
-	reserve = 10
-	// mostSets bounds the budgets kept. A set whose budget is whole is dropped.
-	mostSets = 4096
+	// attemptsPerRetry is how many first attempts pay for one retry. Sustained
+	// retries then add a tenth to the load, or about a fifth over two hops that
+	// both retry.
+	attemptsPerRetry = 10
+	// maxRetries is how many retries a budget holds at most and starts with, so
+	// that a set with few requests can still retry. Any set can bear a burst of
+	// ten.
+	maxRetries = 10
+	// maxSets bounds the number of budgets kept. A set whose budget is full is
+	// dropped.
+	maxSets = 4096
 )
 
-// Budgets are the retry budgets of sets of upstream hosts. The zero value is
-// ready for use; it needs no lock of its own.
+// Budgets holds the retry budgets of sets of upstream hosts; a set is the hosts
+// of one service. The zero value is ready for use. It is not safe for
+// concurrent use.
 type Budgets struct {
-	// owed is how many first attempts each set is short of a whole reserve.
-	owed map[core.ServiceName]int
+	// debt is how many first attempts each set lacks for a full budget.
+	debt map[core.ServiceName]int
 }
 
-// First pays in for the first attempt of a request.
+// First adds the first attempt of a request to the budget of its set.
 func (b *Budgets) First(set core.ServiceName) {
-	owed, ok := b.owed[set]
+	debt, ok := b.debt[set]
 	if !ok {
 		return
 	}
-	if owed == 1 {
-		delete(b.owed, set)
+	if debt == 1 {
+		delete(b.debt, set)
 		return
 	}
-	b.owed[set] = owed - 1
+	b.debt[set] = debt - 1
 }
 
-// Left returns how many retries the set can pay for at present.
+// Left returns how many retries the budget of a set still allows.
 func (b *Budgets) Left(set core.ServiceName) int {
-	return (reserve*perRetry - b.owed[set]) / perRetry
+	return (maxRetries*attemptsPerRetry - b.debt[set]) / attemptsPerRetry
 }
 
-// draw takes one retry out and reports whether there was one.
-func (b *Budgets) draw(set core.ServiceName) bool {
-	_, known := b.owed[set]
-	if b.Left(set) == 0 || !known && len(b.owed) >= mostSets {
+// spend takes one retry from the budget and reports whether there was one.
+func (b *Budgets) spend(set core.ServiceName) bool {
+	_, known := b.debt[set]
+	if b.Left(set) == 0 || !known && len(b.debt) >= maxSets {
 		return false
 	}
-	if b.owed == nil {
-		b.owed = make(map[core.ServiceName]int)
+	if b.debt == nil {
+		b.debt = make(map[core.ServiceName]int)
 	}
-	b.owed[set] += perRetry
+	b.debt[set] += attemptsPerRetry
 	return true
 }
--- a/core/retry/pause.go
+++ b/core/retry/pause.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// mostDoublings keeps pauses in range.
-const mostDoublings = 10
+// maxDoublings keeps the shifted duration within its range.
+const maxDoublings = 10
 
-// Pause returns the pause after a failure that followed so many others in a row: the
-// first, doubled for each of those, and never more than the longest.
-func Pause(first, longest time.Duration, before int) time.Duration {
-	return min(longest, first<<min(before, mostDoublings))
+// Pause returns the exponential backoff after a failure that follows the given
+// number of consecutive failures: first, doubled for each of them, and at most
+// longest.
+func Pause(first, longest time.Duration, failures int) time.Duration {
+	return min(longest, first<<min(failures, maxDoublings))
 }
--- a/core/retry/play_test.go
+++ b/core/retry/play_test.go
@@ -13,24 +13,25 @@
 	"radishwell/core/retry"
 )
 
-// decider is what is under test: the budgets or the naive retries.
-type decider interface {
+// policy is a retry policy under test: budgets or naive retries.
+type policy interface {
 	first(set core.ServiceName)
 	decide(now time.Time, c retry.Case, r *rand.Rand) retry.Decision
 }
 
-type budgeted struct{ b retry.Budgets }
+type budgetPolicy struct{ b retry.Budgets }
 
-func (b *budgeted) first(set core.ServiceName) { b.b.First(set) }
-func (b *budgeted) decide(now time.Time, c retry.Case, r *rand.Rand) retry.Decision {
+func (b *budgetPolicy) first(set core.ServiceName) { b.b.First(set) }
+func (b *budgetPolicy) decide(now time.Time, c retry.Case, r *rand.Rand) retry.Decision {
 	return b.b.Decide(now, c, r)
 }
 
-// stubborn tries again at once, everywhere, until the deadline.
-type stubborn struct{}
+// naivePolicy retries after 10 ms until the deadline, at any host and without a
+// budget.
+type naivePolicy struct{}
 
-func (stubborn) first(core.ServiceName) {}
-func (stubborn) decide(now time.Time, c retry.Case, _ *rand.Rand) retry.Decision {
+func (naivePolicy) first(core.ServiceName) {}
+func (naivePolicy) decide(now time.Time, c retry.Case, _ *rand.Rand) retry.Decision {
 	at := now.Add(10 * time.Millisecond)
 	if !at.Before(c.Request.Deadline) {
 		return retry.Decision{Action: retry.GiveUp, Refusal: c.Attempts[len(c.Attempts)-1].Refusal}
@@ -38,120 +39,125 @@
 	return retry.Decision{Action: retry.Later, At: at}
 }
 
-// upstream is hosts that each get through some work a second. An attempt costs
-// work even when it is refused, as parsing and queueing do; a host that is down
-// loses all that reaches it.
-type upstream struct {
+// upstreamModel is a set of hosts with limited capacity. An attempt costs work
+// even if it is refused, as parsing and queueing do. A host that is down loses
+// every attempt that reaches it.
+type upstreamModel struct {
 	hosts int
-	// run and refuse are the work of an answer and of a refusal, in seconds.
-	run, refuse float64
-	// down tells when a host loses what reaches it, after it was held for a while.
-	down func(host int, at time.Time) bool
-	held time.Duration
-	// busy is until when each host has work.
-	busy []time.Time
+	// runWork and refuseWork are the work of an answer and of a refusal, in
+	// seconds.
+	runWork, refuseWork float64
+	// down reports whether a host loses the attempts that reach it at a time.
+	// They fail after holdTime.
+	down     func(host int, at time.Time) bool
+	holdTime time.Duration
+	// busyUntil is when each host finishes its present work.
+	busyUntil []time.Time
 }
 
-// attempt returns when the attempt ends and how.
-func (u *upstream) attempt(now time.Time, host int, r *rand.Rand) (time.Time, *core.Refusal) {
+// attempt returns when the attempt ends and its refusal, or nil if it succeeds.
+func (u *upstreamModel) attempt(now time.Time, host int, r *rand.Rand) (time.Time, *core.Refusal) {
 	if u.down(host, now) {
-		return now.Add(u.held), core.Refuse(core.CodeUpstreamLost, "")
+		return now.Add(u.holdTime), core.Refuse(core.CodeUpstreamLost, "")
 	}
-	if u.busy[host].Before(now) {
-		u.busy[host] = now
+	if u.busyUntil[host].Before(now) {
+		u.busyUntil[host] = now
 	}
-	work, ref := u.run*2*r.Float64(), (*core.Refusal)(nil)
-	if u.busy[host].Sub(now) > 300*time.Millisecond {
-		work, ref = u.refuse, core.Refuse(core.CodeQueueFull, "")
+	work, ref := u.runWork*2*r.Float64(), (*core.Refusal)(nil)
+	if u.busyUntil[host].Sub(now) > 300*time.Millisecond {
+		work, ref = u.refuseWork, core.Refuse(core.CodeQueueFull, "")
 	}
-	u.busy[host] = u.busy[host].Add(time.Duration(work * float64(time.Second)))
+	u.busyUntil[host] = u.busyUntil[host].Add(time.Duration(work * float64(time.Second)))
 	if ref != nil {
 		return now.Add(5 * time.Millisecond), ref
 	}
-	return u.busy[host], nil
+	return u.busyUntil[host], nil
 }
 
-// sum is what callers got and what it took.
-type sum struct{ sent, good, late, refused, attempts int }
+// totals counts the outcomes of the requests and the attempts made for them.
+type totals struct{ sent, good, late, refused, attempts int }
 
-type play struct {
-	up    *upstream
-	by    decider
-	rng   *rand.Rand
-	steps agenda.Agenda[func(now time.Time)]
-	sum   sum
+type simulation struct {
+	upstream *upstreamModel
+	policy   policy
+	rng      *rand.Rand
+	events   agenda.Agenda[func(now time.Time)]
+	totals   totals
 }
 
-func run(by decider, up *upstream, perSecond func(time.Time) float64, span time.Duration) sum {
-	up.busy = make([]time.Time, up.hosts)
-	p := &play{up: up, by: by, rng: rand.New(rand.NewPCG(3, 3))}
+func run(pol policy, upstream *upstreamModel, rate func(time.Time) float64, span time.Duration) totals {
+	upstream.busyUntil = make([]time.Time, upstream.hosts)
+	p := &simulation{upstream: upstream, policy: pol, rng: rand.New(rand.NewPCG(3, 3))}
 	for at := t0; at.Sub(t0) < span; {
-		at = at.Add(time.Duration(p.rng.ExpFloat64() / perSecond(at) * float64(time.Second)))
-		c := failed("", core.NotRun)
+		at = at.Add(time.Duration(p.rng.ExpFloat64() / rate(at) * float64(time.Second)))
+		c := failedCase("", core.NotRun)
 		c.Attempts = nil
 		c.Request.ID = core.RequestID(fmt.Sprint(at))
 		c.Request.Arrived, c.Request.Deadline = at, at.Add(time.Second)
-		p.steps.Put(at, func(now time.Time) {
-			p.sum.sent++
-			p.by.first("qalam")
-			p.try(now, c, p.rng.IntN(up.hosts))
+		p.events.Put(at, func(now time.Time) {
+			p.totals.sent++
+			p.policy.first("qalam")
+			p.try(now, c, p.rng.IntN(upstream.hosts))
 		})
 	}
-	for p.steps.Len() > 0 {
-		now, do := p.steps.Take()
+	for p.events.Len() > 0 {
+		now, do := p.events.Take()
 		do(now)
 	}
-	return p.sum
+	return p.totals
 }
 
-func (p *play) try(now time.Time, c retry.Case, host int) {
-	p.sum.attempts++
-	end, ref := p.up.attempt(now, host, p.rng)
-	p.steps.Put(end, func(now time.Time) {
+func (p *simulation) try(now time.Time, c retry.Case, host int) {
+	p.totals.attempts++
+	end, ref := p.upstream.attempt(now, host, p.rng)
+	p.events.Put(end, func(now time.Time) {
 		if ref == nil {
 			p.answer(now, c)
 			return
 		}
 		c.Attempts = append(c.Attempts, retry.Attempt{Refusal: ref})
-		c.HostsLeft = max(0, p.up.hosts-len(c.Attempts))
-		p.again(now, c, (host+1)%p.up.hosts)
+		c.HostsLeft = max(0, p.upstream.hosts-len(c.Attempts))
+		p.retryOrStop(now, c, (host+1)%p.upstream.hosts)
 	})
 }
 
-func (p *play) answer(now time.Time, c retry.Case) {
+func (p *simulation) answer(now time.Time, c retry.Case) {
 	if now.After(c.Request.Deadline) {
-		p.sum.late++
+		p.totals.late++
 		return
 	}
-	p.sum.good++
+	p.totals.good++
 }
 
-func (p *play) again(now time.Time, c retry.Case, host int) {
-	d := p.by.decide(now, c, p.rng)
+func (p *simulation) retryOrStop(now time.Time, c retry.Case, host int) {
+	d := p.policy.decide(now, c, p.rng)
 	switch d.Action {
 	case retry.GiveUp:
-		p.sum.refused++
+		p.totals.refused++
 	case retry.Again:
 		p.try(now, c, host)
 	case retry.Later:
-		p.steps.Put(d.At, func(now time.Time) { p.try(now, c, host) })
+		p.events.Put(d.At, func(now time.Time) { p.try(now, c, host) })
 	}
 }
 
 func healthy(int, time.Time) bool { return false }
 
-func steady(perSecond float64) func(time.Time) float64 {
-	return func(time.Time) float64 { return perSecond }
+func steady(rate float64) func(time.Time) float64 {
+	return func(time.Time) float64 { return rate }
 }
 
-// Four hosts that each answer 50 requests a second get 600. Naive retries ask
-// all of them again until the deadlines, and refusing takes the time in which
-// the hosts would have answered: goodput falls to a fraction.
+// Four hosts that each answer 50 requests a second get 600 in total. Naive
+// policies retry all refused requests until their deadlines, and refusing them
+// takes the time in which the hosts could have answered, so goodput falls to a
+// fraction.
 func TestSaturation(t *testing.T) {
-	fleet := func() *upstream { return &upstream{hosts: 4, run: 0.02, refuse: 0.0005, down: healthy} }
-	at1 := run(&budgeted{}, fleet(), steady(200), time.Minute)
-	at3 := run(&budgeted{}, fleet(), steady(600), time.Minute)
-	naive := run(stubborn{}, fleet(), steady(600), 3*time.Second)
+	fleet := func() *upstreamModel {
+		return &upstreamModel{hosts: 4, runWork: 0.02, refuseWork: 0.0005, down: healthy}
+	}
+	at1 := run(&budgetPolicy{}, fleet(), steady(200), time.Minute)
+	at3 := run(&budgetPolicy{}, fleet(), steady(600), time.Minute)
+	naive := run(naivePolicy{}, fleet(), steady(600), 3*time.Second)
 	t.Logf("1x %+v", at1)
 	t.Logf("3x %+v", at3)
 	t.Logf("3x naive %+v", naive)
@@ -160,24 +166,26 @@
 	assert.Assert(t, float64(at3.attempts) <= 1.11*float64(at3.sent))
 }
 
-// One host of ten loses everything for half a minute, at once or only after
-// holding it for a while. Another serves what may be repeated; callers should
-// hardly notice, and long requests are not begun anew too late to end.
+// One host of ten loses every request for half a minute, either at once or
+// after holding it for a while. Another host serves what may be retried. Few
+// callers should notice, and requests must not be retried too late to end in
+// time.
 func TestBrokenHost(t *testing.T) {
-	for _, held := range []time.Duration{time.Millisecond, 400 * time.Millisecond} {
-		t.Run(held.String(), func(t *testing.T) {
-			u := &upstream{hosts: 10, run: 0.02, refuse: 0.0005, held: held, down: func(host int, at time.Time) bool {
+	for _, holdTime := range []time.Duration{time.Millisecond, 400 * time.Millisecond} {
+		t.Run(holdTime.String(), func(t *testing.T) {
+			u := &upstreamModel{hosts: 10, runWork: 0.02, refuseWork: 0.0005, holdTime: holdTime, down: func(host int, at time.Time) bool {
 				return host == 1 && at.Sub(t0) > 10*time.Second && at.Sub(t0) < 40*time.Second
 			}}
-			s := run(&budgeted{}, u, steady(250), time.Minute)
+			s := run(&budgetPolicy{}, u, steady(250), time.Minute)
 			t.Logf("%+v", s)
 			assert.Assert(t, s.good*1000 >= s.sent*990)
 		})
 	}
 }
 
-// After a burst of a second the load is half of what the hosts bear. Naive
-// retries keep the hosts busy with refusals long after the burst.
+// After a burst of one second the load is about three quarters of the capacity
+// of the hosts. Naive retries keep the hosts busy with refusals long after the
+// burst.
 func TestBurstPasses(t *testing.T) {
 	rate := func(at time.Time) float64 {
 		if s := at.Sub(t0); s > 2*time.Second && s < 3*time.Second {
@@ -185,11 +193,13 @@
 		}
 		return 150
 	}
-	fleet := func() *upstream { return &upstream{hosts: 4, run: 0.02, refuse: 0.001, down: healthy} }
-	f := run(&budgeted{}, fleet(), rate, 8*time.Second)
-	n := run(stubborn{}, fleet(), rate, 8*time.Second)
-	t.Logf("%+v", f)
-	t.Logf("naive %+v", n)
-	assert.Assert(t, f.good > n.good)
-	assert.Assert(t, n.attempts > 3*f.attempts)
+	fleet := func() *upstreamModel {
+		return &upstreamModel{hosts: 4, runWork: 0.02, refuseWork: 0.001, down: healthy}
+	}
+	budgeted := run(&budgetPolicy{}, fleet(), rate, 8*time.Second)
+	naive := run(naivePolicy{}, fleet(), rate, 8*time.Second)
+	t.Logf("%+v", budgeted)
+	t.Logf("naive %+v", naive)
+	assert.Assert(t, budgeted.good > naive.good)
+	assert.Assert(t, naive.attempts > 3*budgeted.attempts)
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -8,64 +8,66 @@
 )
 
 const (
-	// mostAttempts bounds the attempts at one request, the first included. With
-	// three hosts that lost it or turned it away, a fourth rarely differs, and a
-	// caller is better served by an answer.
-	mostAttempts = 4
-	// mostInAll bounds them together with those that met a host which did no work:
-	// one that is being restarted, say. At the pause that such refusals ask for it
-	// is longer than a restart takes, so that a model with one replica is there
-	// again; a host that stays away costs each request a dozen refused connections.
-	mostInAll = 12
-	// mostLost bounds the attempts of a repeatable request that may have run and
-	// were lost. A request that crashes engines takes one engine with each.
-	mostLost = 2
-	// pauseFirst is the first pause where no other host is left and the refusal
-	// names no time; it doubles with each attempt, up to pauseMost.
-	pauseFirst = 100 * time.Millisecond
-	pauseMost  = 2 * time.Second
-	// jitter is the part of a pause that is drawn at random. Without it all
-	// requests that were refused together come back together.
+	// maxAttempts bounds the attempts at one request, including the first.
+	// After three hosts that lost or refused a request, a fourth rarely behaves
+	// differently, and the caller is better served by an answer.
+	maxAttempts = 4
+	// maxAttemptsTotal also counts the attempts at hosts that did no work, such
+	// as a host that is restarting. With the backoff that such refusals ask
+	// for, that many attempts take longer than a restart, so a model with one
+	// replica is available again. A host that stays down costs each request a
+	// dozen refused connections.
+	maxAttemptsTotal = 12
+	// maxLost bounds the attempts of a repeatable request that were lost and
+	// may have run. A request that crashes engines takes down one engine with
+	// each.
+	maxLost = 2
+	// minBackoff is the first backoff if no other host is left and the refusal
+	// names no time. It doubles with each attempt, up to maxBackoff.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// jitter is the random part of a backoff. Without it all requests that were
+	// refused together would return together.
 	jitter = 0.5
 )
 
 // Attempt is one finished attempt at a request.
 type Attempt struct {
 	Host core.HostName
-	// Refusal is how it ended; attempts that succeeded are not kept.
+	// Refusal is how the attempt ended. Successful attempts are not recorded.
 	Refusal *core.Refusal
 }
 
 // Case is a request whose last attempt failed.
 type Case struct {
 	Request core.Request
-	// Attempts are all attempts so far, the last one last.
+	// Attempts lists all attempts so far in order.
 	Attempts []Attempt
-	// Begun tells that a byte of an answer has gone to the caller.
+	// Begun is set if a byte of an answer has been sent to the caller.
 	Begun bool
-	// HostsLeft counts the hosts of the present plan that were not tried.
+	// HostsLeft counts the hosts of the current plan that have not been tried.
 	HostsLeft int
-	// Service is how long the request should run, zero where unknown.
+	// Service is the expected service time of the request; zero if unknown.
 	Service time.Duration
 }
 
-// Action is what to do next.
+// Action is what to do after a failed attempt.
 type Action uint8
 
-// Actions.
+// The values of Action.
 const (
-	// GiveUp: answer the caller with Decision.Refusal now.
+	// GiveUp means to answer the caller with Decision.Refusal now.
 	GiveUp Action = iota
-	// Again: hand the request to another host now.
+	// Again means to send the request to another host now.
 	Again
-	// Later: ask again for a plan at Decision.At, with all hosts in it.
+	// Later means to compute a new plan at Decision.At, with all hosts in it.
 	Later
 )
 
-// Why names the rule behind a decision, for explain.
+// Why names the rule behind a decision, for the explain command.
 type Why uint8
 
-// Rules.
+// The values of Why.
 const (
 	WhyFinal Why = iota
 	WhyBegun
@@ -83,7 +85,7 @@
 	"no time before the deadline", "retry budget used up", "another host", "pause",
 }
 
-// String returns the rule in words.
+// String returns a description of the rule.
 func (w Why) String() string {
 	if w >= whyCount {
 		return "unknown"
@@ -91,27 +93,28 @@
 	return whyNames[w]
 }
 
-// Decision is the answer to a Case.
+// Decision is the result of Decide.
 type Decision struct {
 	Action Action
-	// At is when to go on, for Later.
+	// At is the time of the next attempt if Action is Later.
 	At time.Time
-	// Refusal is the caller's answer, for GiveUp.
+	// Refusal is the answer to the caller if Action is GiveUp.
 	Refusal *core.Refusal
 	Why     Why
 }
 
-// Decide says what to do after a failed attempt. A retry that it allows is taken
-// from the budget. rng is the source of jitter.
+// Decide returns what to do after a failed attempt. A retry that it allows is
+// taken from the budget, unless the last host did no work for the request. rng
+// is the source of the jitter.
 func (b *Budgets) Decide(now time.Time, c Case, rng *rand.Rand) Decision {
 	if why, ok := c.final(); ok {
 		return c.giveUp(why)
 	}
-	at, why := c.next(now, rng)
-	if !c.fits(at) {
+	at, why := c.nextAttempt(now, rng)
+	if !c.canFinish(at) {
 		return c.giveUp(WhyDeadline)
 	}
-	if c.costs() && !b.draw(c.Request.Target.Service) {
+	if c.chargesBudget() && !b.spend(c.Request.Target.Service) {
 		return c.giveUp(WhyBudget)
 	}
 	if why == WhyOtherHost {
@@ -122,7 +125,7 @@
 
 func (c *Case) last() *core.Refusal { return c.Attempts[len(c.Attempts)-1].Refusal }
 
-// final reports the rules that forbid another attempt at any time.
+// final returns the rule that forbids any further attempt, if there is one.
 func (c *Case) final() (Why, bool) {
 	switch {
 	case c.Begun:
@@ -131,15 +134,15 @@
 		return WhyFinal, true
 	case c.outcome() != core.NotRun && !c.Request.Repeatable:
 		return WhyMayHaveRun, true
-	case c.worked() >= mostAttempts, len(c.Attempts) >= mostInAll, c.lost() >= mostLost:
+	case c.workedAttempts() >= maxAttempts, len(c.Attempts) >= maxAttemptsTotal, c.lostAttempts() >= maxLost:
 		return WhyAttempts, true
 	}
 	return 0, false
 }
 
-// retryable reports whether another attempt can end otherwise. What is wrong
-// with the request itself, or counted for the owner as a whole, is the same at
-// every host.
+// retryable reports whether another attempt may have another outcome. A fault
+// of the request itself, or a limit that applies to the owner as a whole, is
+// the same at every host.
 func retryable(code core.Code) bool {
 	switch code {
 	case core.CodeNoHost, core.CodeNoMemory, core.CodeNotGranted, core.CodeLoadFailed,
@@ -152,15 +155,16 @@
 	}
 }
 
-// costs reports whether the retry draws on the budget. A host that is leaving or
-// holds no grant did no work, and says so to many requests at once when hosts
-// are stopped one after the other; a budget would fail requests there that the
-// stop must not cut. Such retries are bounded by mostAttempts.
-func (c *Case) costs() bool { return !idle(c.last().Code) }
+// chargesBudget reports whether the retry is taken from the budget. A host that
+// is leaving or holds no grant did no work, and it refuses many requests at
+// once when hosts are stopped one after the other. A budget would fail requests
+// that such a stop must not interrupt. These retries are bounded by
+// maxAttemptsTotal.
+func (c *Case) chargesBudget() bool { return !noWork(c.last().Code) }
 
-// idle reports whether a refusal comes of a host that did no work for the
+// noWork reports whether a code means that the host did no work for the
 // request.
-func idle(code core.Code) bool {
+func noWork(code core.Code) bool {
 	switch code {
 	case core.CodeLeaving, core.CodeNotGranted, core.CodeNoHost, core.CodeSealed, core.CodeUnreached:
 		return true
@@ -169,19 +173,19 @@
 	}
 }
 
-// worked counts the attempts that a host did work for.
-func (c *Case) worked() int {
+// workedAttempts counts the attempts for which a host did work.
+func (c *Case) workedAttempts() int {
 	n := 0
 	for _, a := range c.Attempts {
-		if !idle(a.Refusal.Code) {
+		if !noWork(a.Refusal.Code) {
 			n++
 		}
 	}
 	return n
 }
 
-// lost counts the attempts that may have run.
-func (c *Case) lost() int {
+// lostAttempts counts the attempts that may have run.
+func (c *Case) lostAttempts() int {
 	n := 0
 	for _, a := range c.Attempts {
 		if a.Refusal.Outcome != core.NotRun {
@@ -191,39 +195,41 @@
 	return n
 }
 
-// outcome is what is known over all attempts: not-run only if none can have run.
+// outcome returns the outcome over all attempts: not-run only if none can have
+// run.
 func (c *Case) outcome() core.Outcome {
-	if c.lost() > 0 {
+	if c.lostAttempts() > 0 {
 		return core.MayHaveRun
 	}
 	return core.NotRun
 }
 
-// next returns when the next attempt can be made.
-func (c *Case) next(now time.Time, rng *rand.Rand) (time.Time, Why) {
+// nextAttempt returns when the next attempt can be made.
+func (c *Case) nextAttempt(now time.Time, rng *rand.Rand) (time.Time, Why) {
 	if c.HostsLeft > 0 {
 		return now, WhyOtherHost
 	}
-	pause := min(pauseMost, pauseFirst<<(len(c.Attempts)-1))
+	backoff := min(maxBackoff, minBackoff<<(len(c.Attempts)-1))
 	from := now
 	if at := c.last().RetryAt; at.After(now) {
 		from = at
 	} else {
-		from = from.Add(time.Duration(float64(pause) * (1 - jitter)))
+		from = from.Add(time.Duration(float64(backoff) * (1 - jitter)))
 	}
-	return from.Add(time.Duration(rng.Float64() * jitter * float64(pause))), WhyPause
+	return from.Add(time.Duration(rng.Float64() * jitter * float64(backoff))), WhyPause
 }
 
-// fits reports whether an attempt made then can end in time.
-func (c *Case) fits(at time.Time) bool {
+// canFinish reports whether an attempt at the given time can finish before the
+// deadline.
+func (c *Case) canFinish(at time.Time) bool {
 	if c.Request.Deadline.IsZero() {
 		return true
 	}
 	return at.Add(c.Service).Before(c.Request.Deadline)
 }
 
-// giveUp returns the final refusal: the last attempt's, with the outcome over
-// all attempts.
+// giveUp returns the final refusal, which is that of the last attempt with the
+// outcome over all attempts.
 func (c *Case) giveUp(why Why) Decision {
 	ref := *c.last()
 	if out := c.outcome(); ref.Outcome == core.NotRun && out != core.NotRun {
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -15,8 +15,8 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// failed is a case with one attempt that ended so, and another host left.
-func failed(code core.Code, out core.Outcome) retry.Case {
+// failedCase returns a case with one failed attempt and one host left.
+func failedCase(code core.Code, out core.Outcome) retry.Case {
 	return retry.Case{
 		Request: core.Request{
 			ID: "1", Target: core.Target{Service: "qalam"}, Arrived: t0, Deadline: t0.Add(10 * time.Second),
@@ -76,7 +76,7 @@
 		}, retry.GiveUp, core.NotRun, retry.WhyAttempts},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			in := failed(core.CodeOverload, core.NotRun)
+			in := failedCase(core.CodeOverload, core.NotRun)
 			c.change(&in)
 			d := (&retry.Budgets{}).Decide(t0, in, rng())
 			if c.action == retry.GiveUp {
@@ -89,10 +89,11 @@
 	}
 }
 
-// The first host loses a request that may be repeated, the second says "not
-// run". The caller must not be told "not run": the first may have run it.
+// The first host loses a repeatable request and the second refuses it as not
+// run. The refusal sent to the caller must not say not-run, because the first
+// host may have run the request.
 func TestOutcomeCoversAllAttempts(t *testing.T) {
-	c := failed(core.CodeUpstreamLost, core.MayHaveRun)
+	c := failedCase(core.CodeUpstreamLost, core.MayHaveRun)
 	c.Request.Repeatable = true
 	c.Attempts = append(c.Attempts, retry.Attempt{Host: "b", Refusal: core.Refuse(core.CodeQuarantined, "")})
 	wantGiveUp(t, (&retry.Budgets{}).Decide(t0, c, rng()), core.MayHaveRun, retry.WhyFinal)
@@ -100,7 +101,7 @@
 }
 
 func TestPauses(t *testing.T) {
-	c := failed(core.CodeNoHost, core.NotRun)
+	c := failedCase(core.CodeNoHost, core.NotRun)
 	c.HostsLeft = 0
 	r := rng()
 	seen := make(map[time.Time]bool)
@@ -114,24 +115,25 @@
 	assert.Assert(t, !(&retry.Budgets{}).Decide(t0, c, r).At.Before(t0.Add(3*time.Second)))
 }
 
-// A rolling stop makes one host after the other say "leaving" to whatever
-// reaches it. Those requests go elsewhere, however many they are.
+// During a rolling stop one host after the other refuses all requests as
+// leaving. All of those requests go to other hosts, and the budget does not
+// limit their number.
 func TestLeavingIsFree(t *testing.T) {
 	b := &retry.Budgets{}
 	for range 1000 {
-		assert.Equal(t, b.Decide(t0, failed(core.CodeLeaving, core.NotRun), rng()).Action, retry.Again)
+		assert.Equal(t, b.Decide(t0, failedCase(core.CodeLeaving, core.NotRun), rng()).Action, retry.Again)
 	}
 	assert.Equal(t, b.Left("qalam"), 10)
 }
 
 func TestBudgetsAreSeparate(t *testing.T) {
 	b := &retry.Budgets{}
-	in := failed(core.CodeOverload, core.NotRun)
+	in := failedCase(core.CodeOverload, core.NotRun)
 	for range 10 {
 		assert.Equal(t, b.Decide(t0, in, rng()).Action, retry.Again)
 	}
 	wantGiveUp(t, b.Decide(t0, in, rng()), core.NotRun, retry.WhyBudget)
-	other := failed(core.CodeOverload, core.NotRun)
+	other := failedCase(core.CodeOverload, core.NotRun)
 	other.Request.Target.Service = "sijill"
 	assert.Equal(t, b.Decide(t0, other, rng()).Action, retry.Again)
 	for range 10 {
@@ -143,7 +145,7 @@
 
 func BenchmarkDecide(b *testing.B) {
 	budgets := &retry.Budgets{}
-	in := failed(core.CodeOverload, core.NotRun)
+	in := failedCase(core.CodeOverload, core.NotRun)
 	r := rng()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -2,59 +2,61 @@
 
 import "time"
 
-// windowSlots is how finely a Window keeps its past.
-const windowSlots = 20
-
-// Window is a retry budget over a sliding time: a ratio of the first
-// attempts in it and a fixed number besides. It answers the load in which many
-// requests fail together: without it each is sent several times, and what is
-// left of the upstream drowns in repeats. Platforms that count the retries of
-// all processes together give each a part of the fixed number.
+// windowBuckets is the number of buckets into which a Window divides its span.
+const windowBuckets = 20
+
+// Window is a retry budget over a sliding window: a ratio of the first attempts
+// in the window plus a fixed number. Without a budget, requests that fail
+// together are each sent several times, and the repeats take up the remaining
+// capacity of the upstream. A platform that counts the retries of all processes
+// together gives each process a part of the fixed number.
 //
-// Set the exported fields before use. It is not safe for use by several
-// goroutines.
+// The exported fields are set before use. A Window is not safe for concurrent
+// use.
 type Window struct {
-	// Ratio is retries for each first attempt, Spare the retries beyond.
+	// Ratio is the number of retries per first attempt, and Spare the fixed
+	// number of further retries.
 	Ratio, Spare float64
-	// Span is the time that slides.
+	// Span is the length of the window.
 	Span time.Duration
 
-	firsts, repeats [windowSlots]float64
-	// slot is the number of the newest slot, counted from the zero time.
-	slot int64
+	attempts, retries [windowBuckets]float64
+	// newest is the number of the newest bucket, counted from the Unix epoch.
+	newest int64
 }
 
-// First notes a first attempt.
-func (w *Window) First(now time.Time) { w.firsts[w.turn(now)]++ }
+// First records a first attempt.
+func (w *Window) First(now time.Time) { w.attempts[w.advance(now)]++ }
 
-// Draw takes one retry from the budget, and tells whether it had one.
+// Draw takes one retry from the budget and reports whether there was one.
 func (w *Window) Draw(now time.Time) bool {
-	i := w.turn(now)
+	i := w.advance(now)
 	if w.Left(now) < 1 {
 		return false
 	}
-	w.repeats[i]++
+	w.retries[i]++
 	return true
 }
 
-// Left returns the retries that may still be made now.
+// Left returns the number of retries that the budget allows now.
 func (w *Window) Left(now time.Time) float64 {
-	w.turn(now)
-	firsts, repeats := 0.0, 0.0
-	for i := range windowSlots {
-		firsts += w.firsts[i]
-		repeats += w.repeats[i]
+	w.advance(now)
+	attempts, retries := 0.0, 0.0
+	for i := range windowBuckets {
+		attempts += w.attempts[i]
+		retries += w.retries[i]
 	}
-	return w.Ratio*firsts + w.Spare - repeats
+	return w.Ratio*attempts + w.Spare - retries
 }
 
-// turn empties the slots that have left the window and returns the newest.
-func (w *Window) turn(now time.Time) int {
-	slot := now.UnixNano() / int64(w.Span/windowSlots)
-	for n := 0; w.slot < slot && n < windowSlots; n++ {
-		w.slot++
-		w.firsts[w.slot%windowSlots], w.repeats[w.slot%windowSlots] = 0, 0
+// advance empties the buckets that have left the window and returns the index
+// of the newest one.
+func (w *Window) advance(now time.Time) int {
+	bucket := now.UnixNano() / int64(w.Span/windowBuckets)
+	for n := 0; w.newest < bucket && n < windowBuckets; n++ {
+		w.newest++
+		w.attempts[w.newest%windowBuckets], w.retries[w.newest%windowBuckets] = 0, 0
 	}
-	w.slot = max(w.slot, slot)
-	return int(w.slot % windowSlots)
+	w.newest = max(w.newest, bucket)
+	return int(w.newest % windowBuckets)
 }
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -9,8 +9,8 @@
 	"radishwell/core/retry"
 )
 
-// An upstream fails all it gets. Without a budget each request is sent
-// again and the upstream gets twice the load that it fails under already.
+// An upstream fails every request. Without a budget each request is sent again,
+// which doubles the load under which the upstream fails already.
 func TestWindowBoundsRepeats(t *testing.T) {
 	w := &retry.Window{Ratio: 0.2, Spare: 5, Span: 10 * time.Second}
 	start := time.Unix(5000, 0)
