--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -6,34 +6,35 @@
 	"radishwell/core"
 )
 
-// sweepEach is how many idle records each Take looks at. Two is more than the
-// one request that Take adds, so the idle records shrink while requests come.
-const sweepEach = 2 * int(scopeCount)
+// sweepCount is how many idle records each Take examines. It is twice the
+// number of records that the request of a Take can add, so the number of idle
+// records shrinks while requests arrive.
+const sweepCount = 2 * int(scopeCount)
 
-// Admit holds the counts of all names that have requests waiting or running. The
-// zero value is ready for use. It needs no lock of its own; its owner calls it
-// from one goroutine at a time.
+// Admit enforces limits by counting the waiting and running requests of each
+// name. The zero value is ready for use. It is not safe for concurrent use.
 type Admit struct {
-	records map[key]*record
-	holds   map[core.RequestID]*hold
+	records  map[key]*record
+	requests map[core.RequestID]*heldRequest
 	// idle lists records that hold no request but whose bucket may not be full.
 	idle []*record
-	// next is where the next sweep of idle starts.
-	next int
+	// nextSweep is the index in idle at which the next sweep starts.
+	nextSweep int
 }
 
-// hold is what one request occupies.
-type hold struct {
+// heldRequest is a request that waits or runs, with the records that count it.
+type heldRequest struct {
 	records [scopeCount]*record
 	size    core.Bytes
 	// started is zero while the request waits.
 	started time.Time
 }
 
-// Check returns why the limits turn the request away, nil where they have room.
-// The refusal's outcome is not-run, and its RetryAt is when the limit in the way
-// has room again by what has been measured. Where several limits are in the way
-// it is the one that stays longest, for the caller must pass them all.
+// Check returns the refusal that the limits give the request, or nil if they
+// admit it. The refusal's outcome is not-run, and its RetryAt is when the limit
+// that refuses it is expected to admit it. If several limits refuse it, Check
+// returns the refusal with the latest RetryAt, because the request must pass
+// them all.
 func (a *Admit) Check(now time.Time, r core.Request, b Bounds) *core.Refusal {
 	var worst *core.Refusal
 	limits := b.limits()
@@ -41,7 +42,7 @@
 		if k.name == "" {
 			continue
 		}
-		ref := a.look(now, k, limits[i], b.Share).check(now, r)
+		ref := a.lookup(now, k, limits[i], b.Share).check(now, r)
 		if ref != nil && (worst == nil || ref.RetryAt.After(worst.RetryAt)) {
 			worst = ref
 		}
@@ -49,22 +50,22 @@
 	return worst
 }
 
-// Take counts the request as waiting and takes its tokens, without a check. A
-// request that is held already is left as it is.
+// Take counts the request as waiting and takes its tokens without checking the
+// limits. It does nothing for a request that is held already.
 func (a *Admit) Take(now time.Time, r core.Request, b Bounds) {
-	if _, ok := a.holds[r.ID]; ok {
+	if _, ok := a.requests[r.ID]; ok {
 		return
 	}
-	if a.holds == nil {
-		a.holds = make(map[core.RequestID]*hold)
+	if a.requests == nil {
+		a.requests = make(map[core.RequestID]*heldRequest)
 	}
-	h := &hold{size: r.Size}
+	h := &heldRequest{size: r.Size}
 	limits := b.limits()
 	for i, k := range keysOf(r) {
 		if k.name == "" {
 			continue
 		}
-		c := a.keep(now, k, limits[i], b.Share)
+		c := a.retain(now, k, limits[i], b.Share)
 		c.waiting++
 		c.bytes += r.Size
 		if c.bucket != nil {
@@ -72,11 +73,11 @@
 		}
 		h.records[i] = c
 	}
-	a.holds[r.ID] = h
-	a.sweep(now)
+	a.requests[r.ID] = h
+	a.sweepIdle(now)
 }
 
-// Offer is Check and, where it refuses nothing, Take.
+// Offer calls Check and, if the request is not refused, Take.
 func (a *Admit) Offer(now time.Time, r core.Request, b Bounds) *core.Refusal {
 	if ref := a.Check(now, r, b); ref != nil {
 		return ref
@@ -85,29 +86,29 @@
 	return nil
 }
 
-// CanStart reports whether every concurrency limit has room for the waiting
-// request. It is false for one that is not held or has started.
+// CanStart reports whether every concurrency limit admits the waiting request.
+// It returns false for a request that is not held or has started.
 func (a *Admit) CanStart(id core.RequestID) bool {
-	h, ok := a.holds[id]
+	h, ok := a.requests[id]
 	if !ok || !h.started.IsZero() {
 		return false
 	}
-	_, held := h.blocked()
-	return !held
+	_, blocked := h.blockingScope()
+	return !blocked
 }
 
-// Blocked returns the widest scope whose concurrency limit keeps a waiting
-// request from starting: all of its owner's, target's or service's requests
-// wait then, or else all of its caller's. It is false where none does.
+// Blocked returns the widest scope whose concurrency limit keeps a request from
+// starting. It covers all requests of the service, target or owner, or else
+// those of the caller. The result is false if no limit does so.
 func (a *Admit) Blocked(id core.RequestID) (Scope, bool) {
-	h, ok := a.holds[id]
+	h, ok := a.requests[id]
 	if !ok {
 		return 0, false
 	}
-	return h.blocked()
+	return h.blockingScope()
 }
 
-func (h *hold) blocked() (Scope, bool) {
+func (h *heldRequest) blockingScope() (Scope, bool) {
 	for _, s := range [scopeCount]Scope{Service, Target, Owner, Caller} {
 		if c := h.records[s]; c != nil && !c.mayStart() {
 			return s, true
@@ -117,9 +118,9 @@
 }
 
 // Start moves a waiting request to running. It reports whether the request was
-// waiting; the limits are for CanStart to check.
+// waiting. It does not check the limits; see CanStart.
 func (a *Admit) Start(now time.Time, id core.RequestID) bool {
-	h, ok := a.holds[id]
+	h, ok := a.requests[id]
 	if !ok || !h.started.IsZero() {
 		return false
 	}
@@ -128,64 +129,66 @@
 		if c == nil {
 			continue
 		}
-		c.leave(now, h.size)
+		c.removeWaiting(now, h.size)
 		c.running++
 	}
 	return true
 }
 
-// Done releases what the request holds, whether it waited or ran. It reports
-// whether anything was held; a second call does nothing.
+// Done releases what the request holds, whether it waits or runs. It reports
+// whether the request was held, so a second call does nothing.
 func (a *Admit) Done(now time.Time, id core.RequestID) bool {
-	h, ok := a.holds[id]
+	h, ok := a.requests[id]
 	if !ok {
 		return false
 	}
-	delete(a.holds, id)
+	delete(a.requests, id)
 	for _, c := range h.records {
 		if c == nil {
 			continue
 		}
 		c.release(now, h)
-		if c.held() == 0 {
-			a.rest(now, c)
+		if c.total() == 0 {
+			a.retire(now, c)
 		}
 	}
 	return true
 }
 
-func (c *record) release(now time.Time, h *hold) {
+func (c *record) release(now time.Time, h *heldRequest) {
 	if h.started.IsZero() {
-		c.leave(now, h.size)
+		c.removeWaiting(now, h.size)
 		return
 	}
 	c.running--
-	c.service = smooth(c.service, now.Sub(h.started))
+	c.serviceTime = smooth(c.serviceTime, now.Sub(h.started))
 }
 
-// leave takes one request out of the waiting ones and measures how fast they go.
-// A gap counts only while others still wait: time without a queue says nothing
-// of how fast a queue drains.
-func (c *record) leave(now time.Time, size core.Bytes) {
-	if c.waiting > 1 && !c.left.IsZero() {
-		c.gap = smooth(c.gap, now.Sub(c.left))
+// removeWaiting removes one request from the waiting ones and measures the
+// interval between such removals. An interval counts only while other requests
+// wait, because the time without a queue does not show how fast a queue drains.
+func (c *record) removeWaiting(now time.Time, size core.Bytes) {
+	if c.waiting > 1 && !c.lastLeft.IsZero() {
+		c.leaveInterval = smooth(c.leaveInterval, now.Sub(c.lastLeft))
 	}
 	c.waiting--
 	c.bytes -= size
-	c.left = now
+	c.lastLeft = now
 	if c.waiting == 0 {
-		c.left = time.Time{}
+		c.lastLeft = time.Time{}
 	}
 }
 
-// Use tells how much of its limits a name uses, for explain and metrics.
+// Use is how much of its limits a name uses, for the explain command and
+// metrics.
 type Use struct {
 	Waiting, Running int
 	Bytes            core.Bytes
 	Limits           core.Limits
 }
 
-// Use returns the use of an owner, caller (within owner), model or service.
+// Use returns the use of an owner, a caller within owner, a model or a service.
+// It ignores owner for the other scopes.
 func (a *Admit) Use(s Scope, owner core.OwnerName, name string) Use {
 	if s != Caller {
 		owner = ""
@@ -197,16 +200,16 @@
 	return Use{Waiting: c.waiting, Running: c.running, Bytes: c.bytes, Limits: c.limits}
 }
 
-// Set puts changed limits in force for a name that is in use; for any other the
-// next Check or Take brings them.
+// Set applies changed limits to a name in use. For other names the next Check
+// or Take does so.
 func (a *Admit) Set(now time.Time, s Scope, owner core.OwnerName, name string, l core.Limits, sh Share) {
 	if s != Caller {
 		owner = ""
 	}
 	if c, ok := a.records[key{scope: s, owner: owner, name: name}]; ok {
-		c.set(now, l, sh)
+		c.setLimits(now, l, sh)
 	}
 }
 
 // Len returns the number of requests held.
-func (a *Admit) Len() int { return len(a.holds) }
+func (a *Admit) Len() int { return len(a.requests) }
--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -150,9 +150,9 @@
 	})
 }
 
-// Three entries enforce one owner's limits without talking to each other. What
-// they let through together must stay within the whole limit, and no entry may
-// be left without any.
+// Three entries enforce the limits of one owner without communicating. Together
+// they must not admit more than the limit, or one request per entry if that is
+// more, and no entry may be left without a share.
 func TestShares(t *testing.T) {
 	for _, c := range []struct{ limit, entries, want int }{
 		{10, 3, 10}, {9, 3, 9}, {1, 3, 3}, {2, 400, 400}, {1000, 400, 1000}, {5, 1, 5},
@@ -184,8 +184,8 @@
 	})
 }
 
-// Names that fell silent must not stay in memory: a scan over many callers would
-// otherwise grow an entry without bound.
+// Names that are no longer in use must not stay in memory. Otherwise a scan
+// over many callers would grow an entry without bound.
 func TestSilentNamesAreForgotten(t *testing.T) {
 	a := &admit.Admit{}
 	b := admit.Bounds{Caller: core.Limits{Rate: 1, Burst: 2}}
@@ -199,8 +199,8 @@
 	assert.Assert(t, admit.Records(a) < 500, "%d records", admit.Records(a))
 }
 
-// Whatever comes in whatever order, the counts are those of a plain recount, and
-// none is left at the end.
+// For any order of calls the counts equal those of a plain recount, and nothing
+// is left at the end.
 func TestCounts(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 2))
--- a/core/admit/bench_test.go
+++ b/core/admit/bench_test.go
@@ -9,7 +9,8 @@
 	"radishwell/core/admit"
 )
 
-// BenchmarkTake is the admission of one request at a keeper with the parts of all entries.
+// BenchmarkTake measures the admission of one request at a keeper that holds
+// the shares of all entries.
 func BenchmarkTake(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n, " entries"), func(b *testing.B) {
@@ -18,7 +19,7 @@
 			for i := 1; i < n; i++ {
 				k.Renew(now, core.HostName(fmt.Sprintf("e-%03d", i)), now.Add(time.Hour))
 			}
-			limit := limitOf(1e12)
+			limit := allowanceOf(1e12)
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Microsecond)
--- a/core/admit/check.go
+++ b/core/admit/check.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// unknownDrain is what a refusal foresees while no departure has been
-	// measured: long enough to keep a client from hammering, short enough for a
-	// person to wait.
-	unknownDrain = time.Second
-	// longestDrain caps what a measured gap can foresee: after it the measure is
-	// older than the load it came from.
-	longestDrain = time.Minute
-	// margin is the part of a foreseen wait that is added to it. The wait is a
-	// mean: taken as it is, half of the requests let in at the edge would end
-	// after their deadlines, and what they took is lost to all.
-	margin = 8
+	// defaultDrainTime is the expected wait for a place in the queue while no
+	// interval has been measured. It is long enough to keep a client from
+	// retrying in a tight loop and short enough for a person to wait.
+	defaultDrainTime = time.Second
+	// maxWait caps estimated waits. After a longer time the measurement no
+	// longer describes the present load.
+	maxWait = time.Minute
+	// marginDivisor sets the margin added to an estimated wait, an eighth of
+	// it. The wait is a mean. Without the margin half of the requests that are
+	// only just admitted would end after their deadlines, and the work spent on
+	// them would be lost.
+	marginDivisor = 8
 )
 
-// check returns the refusal that the record's limits give, nil where they have
-// room. It changes nothing.
+// check returns the refusal that the record's limits give, or nil if they admit
+// the request. It changes nothing.
 func (c *record) check(now time.Time, r core.Request) *core.Refusal {
 	if ref := c.checkRate(now); ref != nil {
 		return ref
@@ -48,45 +49,45 @@
 }
 
 func (c *record) checkQueue(now time.Time, r core.Request) *core.Refusal {
-	if !c.full(r.Size) {
+	if !c.queueFull(r.Size) {
 		return nil
 	}
 	return core.RefuseUntil(core.CodeQueueFull, "The queue of the "+c.key.scope.String()+" "+
-		c.key.name+" is full.", now.Add(c.drain()))
+		c.key.name+" is full.", now.Add(c.drainTime()))
 }
 
-// full reports whether a request of this size has no place in the queue. A
-// request larger than the whole allowance is let in when nothing else waits:
-// otherwise it would be told to come again and never pass. The entry's limit on
-// a single body bounds what that can hold.
-func (c *record) full(size core.Bytes) bool {
+// queueFull reports whether a request of this size has no place in the queue. A
+// request larger than the limit on bytes is admitted if nothing else waits;
+// otherwise it would be told to retry and never be admitted. The entry's limit
+// on the body of one request bounds the memory that it can hold.
+func (c *record) queueFull(size core.Bytes) bool {
 	if n := c.share.count(c.limits.Queue); n > 0 && c.waiting >= n {
 		return true
 	}
-	most := c.share.bytes(c.limits.QueueBytes)
-	return most > 0 && c.bytes > 0 && c.bytes+size > most
+	limit := c.share.bytes(c.limits.QueueBytes)
+	return limit > 0 && c.bytes > 0 && c.bytes+size > limit
 }
 
-// drain foresees when the next place in the queue is free.
-func (c *record) drain() time.Duration {
-	if c.gap == 0 {
-		return unknownDrain
+// drainTime estimates the time until the next place in the queue is free.
+func (c *record) drainTime() time.Duration {
+	if c.leaveInterval == 0 {
+		return defaultDrainTime
 	}
-	return min(c.gap, longestDrain)
+	return min(c.leaveInterval, maxWait)
 }
 
-// checkConcurrency refuses where the limit is in use and the requests already
-// waiting for it will, at the measured time each takes, hold it past the
-// deadline. Without it callers wait out their whole deadline behind their own
-// owner's backlog and get the same refusal later.
+// checkConcurrency refuses a request if the concurrency limit is in use and the
+// requests ahead of it are expected to occupy it past the request's deadline.
+// Without this check callers would wait until their deadline behind the backlog
+// of their own owner and get the same refusal later.
 func (c *record) checkConcurrency(now time.Time, r core.Request) *core.Refusal {
-	most := c.share.count(c.limits.Concurrency)
-	if most == 0 || c.held() < most || c.service == 0 {
+	limit := c.share.count(c.limits.Concurrency)
+	if limit == 0 || c.total() < limit || c.serviceTime == 0 {
 		return nil
 	}
-	ahead := c.held() - most + 1
-	wait := c.service * time.Duration(ahead) / time.Duration(most)
-	end := now.Add(wait + wait/margin + c.service)
+	ahead := c.total() - limit + 1
+	wait := c.serviceTime * time.Duration(ahead) / time.Duration(limit)
+	end := now.Add(wait + wait/marginDivisor + c.serviceTime)
 	if r.Deadline.IsZero() || !end.After(r.Deadline) {
 		return nil
 	}
@@ -96,8 +97,8 @@
 		" waiting; the deadline would pass first.", now.Add(late))
 }
 
-// mayStart reports whether the concurrency limit has room for one more.
+// mayStart reports whether the concurrency limit admits one more request.
 func (c *record) mayStart() bool {
-	most := c.share.count(c.limits.Concurrency)
-	return most == 0 || c.running < most
+	limit := c.share.count(c.limits.Concurrency)
+	return limit == 0 || c.running < limit
 }
--- a/core/admit/choose.go
+++ b/core/admit/choose.go
@@ -8,49 +8,51 @@
 )
 
 const (
-	// firstAside is how long an entry that did not answer is not asked again, and
-	// mostAside the longest after several times in a row.
-	firstAside = time.Second
-	mostAside  = 8 * time.Second
+	// minAside is how long an entry is set aside after its first failure to
+	// answer, and maxAside is the longest time after several failures in a row.
+	minAside = time.Second
+	maxAside = 8 * time.Second
 )
 
-// Chooser chooses the entry that an entry leaves its parts of the allowances with: the
-// first of an order that all share which answers. The zero Chooser is ready for use; it
-// is not safe for use by several goroutines.
+// Chooser chooses the keeper to which an entry delegates its shares of the
+// allowances: the first entry that answers, in an order that all entries have
+// in common. The zero value is ready for use. A Chooser is not safe for
+// concurrent use.
 type Chooser struct {
-	aside map[core.HostName]*aside
+	failed map[core.HostName]*failedEntry
 }
 
-// aside is an entry that did not answer.
-type aside struct {
-	until    time.Time
+// failedEntry is an entry that did not answer.
+type failedEntry struct {
+	retryAt  time.Time
 	failures int
 }
 
-// Choose returns the first of the entries that is not set aside, the last one where all
-// before it are. The list is in the shared order and ends with the asking entry itself.
+// Choose returns the first of the entries that is not set aside, or the last
+// one if all are. The list is in the common order and ends with this entry
+// itself.
 func (c *Chooser) Choose(now time.Time, ordered []core.HostName) core.HostName {
 	for _, name := range ordered {
-		if a := c.aside[name]; a == nil || !now.Before(a.until) {
+		if a := c.failed[name]; a == nil || !now.Before(a.retryAt) {
 			return name
 		}
 	}
 	return ordered[len(ordered)-1]
 }
 
-// Heard notes that an entry answered.
-func (c *Chooser) Heard(name core.HostName) { delete(c.aside, name) }
+// Heard records that an entry answered.
+func (c *Chooser) Heard(name core.HostName) { delete(c.failed, name) }
 
-// Failed notes that an entry did not answer.
+// Failed records that an entry did not answer.
 func (c *Chooser) Failed(now time.Time, name core.HostName) {
-	if c.aside == nil {
-		c.aside = map[core.HostName]*aside{}
+	if c.failed == nil {
+		c.failed = map[core.HostName]*failedEntry{}
 	}
-	a := c.aside[name]
+	a := c.failed[name]
 	if a == nil {
-		a = &aside{}
-		c.aside[name] = a
+		a = &failedEntry{}
+		c.failed[name] = a
 	}
-	a.until = now.Add(retry.Pause(firstAside, mostAside, a.failures))
+	a.retryAt = now.Add(retry.Pause(minAside, maxAside, a.failures))
 	a.failures++
 }
--- a/core/admit/choose_test.go
+++ b/core/admit/choose_test.go
@@ -10,7 +10,8 @@
 	"radishwell/core/admit"
 )
 
-// Guards against an entry that asks one keeper again and again that does not answer.
+// This test guards against an entry that repeatedly calls a keeper that does
+// not answer.
 func TestChooser(t *testing.T) {
 	now := time.Unix(1000, 0)
 	order := []core.HostName{"a", "b", "self"}
--- a/core/admit/doc.go
+++ b/core/admit/doc.go
@@ -1,20 +1,21 @@
-// Package admit holds requests to the limits in the catalogue: rate,
-// concurrency, queue length and queue bytes of an owner, of a caller within its
-// owner, of a model or adapter, and of a service.
+// Package admit enforces the limits of the catalogue: the rate, concurrency,
+// queue length and queue bytes of an owner, of a caller within its owner, of a
+// model or adapter, and of a service.
 //
-// It answers bursts and callers that take most of the load. Without it one
-// owner's backlog fills the shared queue, and every other owner waits behind
-// work that its own owner's limits would never have let run.
+// Without it a burst of one owner fills the shared queue, and all other owners
+// wait behind work that exceeds that owner's own limits.
 //
-// A request is checked once on arrival (Check, then Take, or both as Offer),
-// again when it could start (CanStart, Start), and released once (Done). What
-// is held for it is found by its id, so that a second Done does nothing.
+// A request is checked on arrival (Check and Take, or Offer for both), again
+// when it could start (CanStart and Start), and is released once (Done). Its
+// record is found by the request's ID, so a second Done does nothing.
 //
-// The limits of the catalogue have no counter shared between entries. Each entry holds
-// its own part of a limit (Share); the parts of all entries add up to the limit, or to
-// one for each entry where the limit is smaller than their number.
+// Entries share no counter for the limits of the catalogue. Each entry enforces
+// its own share of a limit (Share). The shares of all entries add up to the
+// limit, or to one per entry if the limit is smaller than the number of
+// entries.
 //
-// The allowances of a managed platform's customers are counted over all entries: each
-// leaves its parts with one Keeper, which all choose alike (Chooser), and has them back
-// when it reaches none.
+// The allowances of a managed platform's customers are counted over all
+// entries. Each entry delegates its shares to one Keeper, which all entries
+// choose in the same way (Chooser), and counts them itself while it reaches no
+// keeper.
 package admit
--- a/core/admit/idle.go
+++ b/core/admit/idle.go
@@ -6,65 +6,66 @@
 	"radishwell/core"
 )
 
-// look returns the record of a name with the limits given, for reading. A name
-// that has none gets a record of its own that is not kept, so that requests that
-// are refused leave nothing behind.
-func (a *Admit) look(now time.Time, k key, l core.Limits, s Share) *record {
+// lookup returns the record of a name with the given limits. If there is none,
+// it returns a new record without storing it, so that refused requests leave
+// nothing behind.
+func (a *Admit) lookup(now time.Time, k key, l core.Limits, s Share) *record {
 	c, ok := a.records[k]
 	if !ok {
-		c = &record{key: k, idle: -1}
+		c = &record{key: k, idleIndex: -1}
 	}
-	c.set(now, l, s)
+	c.setLimits(now, l, s)
 	return c
 }
 
-// keep returns the record of a name and stores it.
-func (a *Admit) keep(now time.Time, k key, l core.Limits, s Share) *record {
-	c := a.look(now, k, l, s)
+// retain returns the record of a name and stores it.
+func (a *Admit) retain(now time.Time, k key, l core.Limits, s Share) *record {
+	c := a.lookup(now, k, l, s)
 	if a.records == nil {
 		a.records = make(map[key]*record)
 	}
 	a.records[k] = c
-	if c.idle >= 0 {
-		a.wake(c)
+	if c.idleIndex >= 0 {
+		a.removeIdle(c)
 	}
 	return c
 }
 
-// rest drops a record that equals a fresh one, and lists it as idle otherwise.
-// Dropping it while its bucket is not full would hand its name a fresh burst.
-func (a *Admit) rest(now time.Time, c *record) {
-	if c.rested(now) {
+// retire deletes a record that equals a new one, and lists it as idle
+// otherwise. Deleting it before its bucket is full would give its name another
+// burst.
+func (a *Admit) retire(now time.Time, c *record) {
+	if c.isFresh(now) {
 		delete(a.records, c.key)
 		return
 	}
-	c.idle = len(a.idle)
+	c.idleIndex = len(a.idle)
 	a.idle = append(a.idle, c)
 }
 
-func (a *Admit) wake(c *record) {
+func (a *Admit) removeIdle(c *record) {
 	last := len(a.idle) - 1
 	moved := a.idle[last]
-	a.idle[c.idle] = moved
-	moved.idle = c.idle
+	a.idle[c.idleIndex] = moved
+	moved.idleIndex = c.idleIndex
 	a.idle[last] = nil
 	a.idle = a.idle[:last]
-	c.idle = -1
+	c.idleIndex = -1
 }
 
-// sweep drops a few idle records whose buckets have filled up, so that names
-// that fell silent do not stay in memory for ever.
-func (a *Admit) sweep(now time.Time) {
-	for range min(sweepEach, len(a.idle)) {
-		if a.next >= len(a.idle) {
-			a.next = 0
+// sweepIdle deletes some idle records whose buckets are full, so that names no
+// longer in use do not stay in memory.
+func (a *Admit) sweepIdle(now time.Time) {
+	for range min(sweepCount, len(a.idle)) {
+		if a.nextSweep >= len(a.idle) {
+			a.nextSweep = 0
 		}
-		c := a.idle[a.next]
-		if !c.rested(now) {
-			a.next++
+		c := a.idle[a.nextSweep]
+		if !c.isFresh(now) {
+			a.nextSweep++
 			continue
 		}
-		a.wake(c)
+		a.removeIdle(c)
 		delete(a.records, c.key)
 	}
 }
--- a/core/admit/keeper.go
+++ b/core/admit/keeper.go
@@ -10,141 +10,150 @@
 )
 
 const (
-	// owePart is the part of the allowances from which a keeper may let in a request that
-	// is larger than what it holds at once: no two keepers have as much.
-	owePart = 0.6
-	// takeover is by how many times the entries that leave their parts here become more
-	// when they come over from another keeper, whose counts are not known.
-	takeover = 1.5
-	// mostUnchecked is how long the number of parts kept here counts at the most.
-	mostUnchecked = time.Second
-	// gatherTime is for how long after a takeover entries that come over bring their part
-	// of the level at which counting begins.
-	gatherTime = time.Second
+	// debtShare is the share of an allowance from which a keeper may admit a
+	// request that is larger than its bucket. It is above one half, so no two
+	// keepers have such a share.
+	debtShare = 0.6
+	// takeoverFactor is the growth in the number of shares held here from which
+	// the entries must have moved over from another keeper, whose counts are
+	// unknown.
+	takeoverFactor = 1.5
+	// maxCountAge is how long the count of shares held here is reused.
+	maxCountAge = time.Second
+	// joinPeriod is the time after a takeover during which the share of each
+	// entry that moves over raises the level by its part of the initial level.
+	joinPeriod = time.Second
 )
 
-// Keeper counts what customers use at the entries that have left their parts of the
-// allowances with it.
+// Keeper counts the use of customers at the entries that have delegated their
+// shares of the allowances to it.
 //
-// Every entry owns an equal part of each allowance. It leaves its parts with the one
-// entry that it renews with, until a deadline, and that one lets in what comes at any of
-// them. It answers the load of a customer whose requests come unevenly: divided, each
-// part is too small for a burst at one entry while the others lie idle. An entry that
-// reaches no other has its own parts back once the deadline has passed, so that entries
-// which do not hear of each other never let in more than the whole together.
+// Every entry owns an equal share of each allowance. It delegates its shares to
+// one keeper under a lease, which it renews, and that keeper admits the
+// requests that arrive at any of these entries. Divided shares would be too
+// small for a customer whose requests arrive in bursts at one entry while the
+// other shares are unused. An entry that reaches no keeper gets its own shares
+// back when the lease has expired, so entries that cannot reach each other
+// never admit more than the whole allowance together.
 //
-// Set the exported fields before use. It is not safe for use by several goroutines.
+// The exported fields are set before use. A Keeper is not safe for concurrent
+// use.
 type Keeper struct {
 	Tolerance Tolerance
-	// Seed seeds the draws for requests that are larger than what is kept here.
+	// Seed seeds the random draws for requests that are larger than the bucket.
 	Seed uint64
-	// Since is when counting began here, at first the process's start. What was let in
-	// before is not known.
+	// Since is when counting began here, initially the start of the process.
+	// The units admitted before that are unknown.
 	Since time.Time
 
-	// until is by when each entry's parts are left here.
-	until   map[core.HostName]time.Time
+	// leases holds the end of the lease of each entry that delegates its shares
+	// to this keeper.
+	leases  map[core.HostName]time.Time
 	buckets map[core.OwnerName]*bucket
-	// paces count the requests to upstreams that name a rate limit.
-	paces map[core.HostName]*bucket
-	// kept is how many entries' parts were kept here last, and check when that has to be
-	// counted again.
-	kept  int
-	check time.Time
+	// paceBuckets count the requests to upstreams that name a rate limit.
+	paceBuckets map[core.HostName]*bucket
+	// lastCount is the number of entries whose shares were held here at the
+	// last count, and recountAt is when they have to be counted again.
+	lastCount int
+	recountAt time.Time
 }
 
-// Elsewhere notes that this entry has left its own parts with another until a deadline.
+// Elsewhere records that this entry has delegated its own shares to another
+// keeper until the given time.
 func (k *Keeper) Elsewhere(now, until time.Time) {
-	if k.count(now) > 1 {
-		return // others still count here
+	if k.countShares(now) > 1 {
+		return // Other entries still delegate to this one.
 	}
 	k.Since = until
 	clear(k.buckets)
-	clear(k.paces)
+	clear(k.paceBuckets)
 }
 
-// Renew has another entry's parts left here until a deadline.
+// Renew records that another entry delegates its shares to this keeper until
+// the given time.
 func (k *Keeper) Renew(now time.Time, from core.HostName, until time.Time) {
-	if k.until == nil {
-		k.until = map[core.HostName]time.Time{}
+	if k.leases == nil {
+		k.leases = map[core.HostName]time.Time{}
 	}
-	if k.until[from].Before(now) {
-		k.check = time.Time{}
+	if k.leases[from].Before(now) {
+		k.recountAt = time.Time{}
 	}
-	k.until[from] = until
-	k.count(now)
+	k.leases[from] = until
+	k.countShares(now)
 }
 
-// Leave gives an entry's parts back to it.
+// Leave ends the lease of an entry.
 func (k *Keeper) Leave(from core.HostName) {
-	delete(k.until, from)
-	k.check = time.Time{}
+	delete(k.leases, from)
+	k.recountAt = time.Time{}
 }
 
-// count returns how many entries' parts are kept here, this one's included.
-func (k *Keeper) count(now time.Time) int {
-	if now.Before(k.check) {
-		return k.kept
+// countShares returns the number of entries whose shares are held here,
+// including this one.
+func (k *Keeper) countShares(now time.Time) int {
+	if now.Before(k.recountAt) {
+		return k.lastCount
 	}
-	k.check = now.Add(mostUnchecked)
-	for name, until := range k.until {
+	k.recountAt = now.Add(maxCountAge)
+	for name, until := range k.leases {
 		switch {
 		case !now.Before(until):
-			delete(k.until, name)
-		case until.Before(k.check):
-			k.check = until
+			delete(k.leases, name)
+		case until.Before(k.recountAt):
+			k.recountAt = until
 		}
 	}
-	here := 1 + len(k.until)
-	if float64(here) > takeover*float64(max(1, k.kept)) && now.After(k.Since) {
+	count := 1 + len(k.leases)
+	if float64(count) > takeoverFactor*float64(max(1, k.lastCount)) && now.After(k.Since) {
 		k.Since = now
 	}
-	k.kept = here
-	return here
+	k.lastCount = count
+	return count
 }
 
-// part returns the part of all allowances that is kept here, given the number of
-// entries.
-func (k *Keeper) part(now time.Time, entries int) float64 {
-	return min(1, float64(k.count(now))/float64(max(1, entries)))
+// share returns the share of all allowances that is held here, given the number
+// of entries.
+func (k *Keeper) share(now time.Time, entries int) float64 {
+	return min(1, float64(k.countShares(now))/float64(max(1, entries)))
 }
 
-// Take takes units of a customer's allowance, given the number of entries. Otherwise it
-// returns when they should be there.
+// Take takes units of a customer's allowance, given the number of entries. If
+// they are not available, it returns when they should be.
 func (k *Keeper) Take(now time.Time, customer core.OwnerName, a Allowance, entries int, units float64) (at time.Time, ok bool) {
 	return k.bucket(now, customer, a, entries).take(now, units)
 }
 
-// Put gives units back that were not used.
+// Put returns units that were not used.
 func (k *Keeper) Put(now time.Time, customer core.OwnerName, a Allowance, entries int, units float64) {
-	k.bucket(now, customer, a, entries).put(now, units)
+	k.bucket(now, customer, a, entries).refund(now, units)
 }
 
-// bucket returns a customer's bucket, filled and shaped for the part that is kept here.
+// bucket returns a customer's bucket, refilled and shaped for the share that is
+// held here.
 func (k *Keeper) bucket(now time.Time, customer core.OwnerName, a Allowance, entries int) *bucket {
-	part := k.part(now, entries)
-	rate, depth, start := k.Tolerance.shape(a)
+	share := k.share(now, entries)
+	rate, depth, initial := k.Tolerance.bucketShape(a)
 	b := k.buckets[customer]
 	if b == nil {
 		counted := max(0, now.Sub(k.Since).Seconds())
-		b = k.newBucket(now, customer, (start+rate*counted)*part, part)
+		b = k.newBucket(now, customer, (initial+rate*counted)*share, share)
 	}
-	b.owes = part >= owePart
-	if part > b.part && now.Sub(k.Since) < gatherTime {
-		b.level += start * (part - b.part)
+	b.allowDebt = share >= debtShare
+	if share > b.share && now.Sub(k.Since) < joinPeriod {
+		b.level += initial * (share - b.share)
 	}
-	b.part = part
-	b.set(now, rate*part, depth*part)
+	b.share = share
+	b.reshape(now, rate*share, depth*share)
 	return b
 }
 
-func (k *Keeper) newBucket(now time.Time, customer core.OwnerName, level, part float64) *bucket {
+func (k *Keeper) newBucket(now time.Time, customer core.OwnerName, level, share float64) *bucket {
 	if k.buckets == nil {
 		k.buckets = map[core.OwnerName]*bucket{}
 	}
 	b := &bucket{
-		at: now, level: level, part: part,
-		draw: rand.New(rand.NewPCG(k.Seed, xxhash.Sum64String(string(customer)))),
+		at: now, level: level, share: share,
+		rng: rand.New(rand.NewPCG(k.Seed, xxhash.Sum64String(string(customer)))),
 	}
 	k.buckets[customer] = b
 	return b
--- a/core/admit/pace.go
+++ b/core/admit/pace.go
@@ -7,54 +7,57 @@
 )
 
 const (
-	// paceIdle is how long after its last use the count of an upstream is forgotten.
-	paceIdle = time.Minute
-	// MostAhead is how far ahead reservations are made. They are lost with callers who
-	// leave, and are not known to the next keeper.
+	// paceIdleTime is how long after its last use the bucket of an upstream is
+	// dropped.
+	paceIdleTime = time.Minute
+	// MostAhead is how far ahead reservations are made. They are lost if the
+	// caller leaves, and another keeper does not know them.
 	MostAhead = 300 * time.Millisecond
 )
 
-// Reserve makes the next reservation at an upstream that takes rate requests a second from
-// all entries together, if its time comes by a time. It returns that time.
+// Reserve makes the next reservation at an upstream that accepts rate requests
+// a second from all entries together, if its time is not after by. It returns
+// that time.
 //
-// It answers the load of an upstream in need that many entries send to. Each entry alone
-// would hold the rate and all together would send many times as much; divided, the parts
-// of entries without requests would lie idle.
+// If each entry enforced the rate on its own, all entries together would send
+// many times as much to an overloaded upstream. If the rate were divided, the
+// shares of entries without requests would be unused.
 func (k *Keeper) Reserve(now time.Time, upstream core.HostName, rate float64, entries int, by time.Time) (at time.Time, ok bool) {
-	if most := now.Add(MostAhead); by.After(most) {
-		by = most
+	if latest := now.Add(MostAhead); by.After(latest) {
+		by = latest
 	}
-	return k.pace(now, upstream, rate, entries).reserve(now, by)
+	return k.paceBucket(now, upstream, rate, entries).reserve(now, by)
 }
 
-// Release gives back reservations with which nothing was sent.
+// Release returns reservations with which nothing was sent.
 func (k *Keeper) Release(now time.Time, upstream core.HostName, rate float64, entries int, n float64) {
-	k.pace(now, upstream, rate, entries).put(now, n)
+	k.paceBucket(now, upstream, rate, entries).refund(now, n)
 }
 
-// pace returns the count of an upstream, shaped for the part of its rate that is kept
-// here. Each part comes with all reservations that another keeper may have made ahead.
-func (k *Keeper) pace(now time.Time, upstream core.HostName, rate float64, entries int) *bucket {
-	b := k.paces[upstream]
+// paceBucket returns the bucket of an upstream, shaped for the share of its
+// rate that is held here. Each added share lowers the level by the reservations
+// that another keeper may have made ahead for it.
+func (k *Keeper) paceBucket(now time.Time, upstream core.HostName, rate float64, entries int) *bucket {
+	b := k.paceBuckets[upstream]
 	if b == nil {
-		k.forgetPaces(now)
+		k.evictPaces(now)
 		b = &bucket{at: now}
-		k.paces[upstream] = b
+		k.paceBuckets[upstream] = b
 	}
-	part := k.part(now, entries)
-	b.set(now, rate*part, max(1, rate*part))
-	b.level -= rate * MostAhead.Seconds() * max(0, part-b.part)
-	b.part = part
+	share := k.share(now, entries)
+	b.reshape(now, rate*share, max(1, rate*share))
+	b.level -= rate * MostAhead.Seconds() * max(0, share-b.share)
+	b.share = share
 	return b
 }
 
-func (k *Keeper) forgetPaces(now time.Time) {
-	if k.paces == nil {
-		k.paces = map[core.HostName]*bucket{}
+func (k *Keeper) evictPaces(now time.Time) {
+	if k.paceBuckets == nil {
+		k.paceBuckets = map[core.HostName]*bucket{}
 	}
-	for name, b := range k.paces {
-		if now.Sub(b.at) > paceIdle {
-			delete(k.paces, name)
+	for name, b := range k.paceBuckets {
+		if now.Sub(b.at) > paceIdleTime {
+			delete(k.paceBuckets, name)
 		}
 	}
 }
--- a/core/admit/scope.go
+++ b/core/admit/scope.go
@@ -8,10 +8,10 @@
 	"radishwell/core"
 )
 
-// Scope is what a limit is kept for.
+// Scope is the kind of name to which a limit applies.
 type Scope uint8
 
-// Scopes of limits.
+// The scopes of limits.
 const (
 	Owner Scope = iota
 	Caller
@@ -30,8 +30,8 @@
 	return scopeNames[s]
 }
 
-// key names one record. Callers are unique only within their owner; the other
-// scopes leave owner empty.
+// key identifies a record. Callers are unique only within their owner; for the
+// other scopes owner is empty.
 type key struct {
 	scope Scope
 	owner core.OwnerName
@@ -56,26 +56,26 @@
 	key    key
 	limits core.Limits
 	share  Share
-	// bucket is nil while the name has no rate limit.
+	// bucket is nil if the name has no rate limit.
 	bucket  *rate.Limiter
 	waiting int
 	running int
 	bytes   core.Bytes
-	// service is the smoothed time from Start to Done; zero while unknown.
-	service time.Duration
-	// left is when a request last stopped waiting, gap the smoothed time between
-	// two such events; zero while unknown.
-	left time.Time
-	gap  time.Duration
-	// idle is the record's place in the list of records that hold nothing.
-	idle int
+	// serviceTime is the smoothed time from Start to Done; zero while unknown.
+	serviceTime time.Duration
+	// lastLeft is when a request last stopped waiting, and leaveInterval is the
+	// smoothed time between two such events. Both are zero while unknown.
+	lastLeft      time.Time
+	leaveInterval time.Duration
+	// idleIndex is the record's index in Admit.idle, or -1.
+	idleIndex int
 }
 
-func (c *record) held() int { return c.waiting + c.running }
+func (c *record) total() int { return c.waiting + c.running }
 
-// set puts limits in force. Tokens already in the bucket are kept, up to the
-// new burst, so that an edit of the catalogue gives nobody a fresh burst.
-func (c *record) set(now time.Time, l core.Limits, s Share) {
+// setLimits applies limits. The tokens in the bucket are kept, up to the new
+// burst, so that an edit of the catalogue gives no name another burst.
+func (c *record) setLimits(now time.Time, l core.Limits, s Share) {
 	if c.limits == l && c.share == s {
 		return
 	}
@@ -93,16 +93,16 @@
 	c.bucket.SetBurstAt(now, burst)
 }
 
-// rested reports whether the record equals a fresh one, so that it can go.
-func (c *record) rested(now time.Time) bool {
-	if c.held() > 0 {
+// isFresh reports whether the record equals a new one and can be deleted.
+func (c *record) isFresh(now time.Time) bool {
+	if c.total() > 0 {
 		return false
 	}
 	return c.bucket == nil || c.bucket.TokensAt(now) >= float64(c.bucket.Burst())
 }
 
-// smooth folds a sample into an average; each sample weighs an eighth, so that
-// about the last sixteen count.
+// smooth adds a sample to a moving average. A sample has a weight of one
+// eighth, so about the last sixteen count.
 func smooth(old, sample time.Duration) time.Duration {
 	if old == 0 {
 		return max(1, sample)
--- a/core/admit/share.go
+++ b/core/admit/share.go
@@ -6,25 +6,25 @@
 	"radishwell/core"
 )
 
-// Share says which part of the limits this process enforces.
+// Share is this process's share of the limits.
 type Share struct {
-	// Entries is the number of live entries that share the limits; values below
-	// one stand for one.
+	// Entries is the number of live entries that share the limits. Values below
+	// one count as one.
 	Entries int
-	// Rank is this entry's place, from zero, in the sorted list of live entries.
-	// The first entries of the list take what an even division leaves over.
+	// Rank is this entry's index in the sorted list of live entries. The first
+	// entries of the list get the remainder of an even division.
 	Rank int
 }
 
-// Bounds are the limits in force for one request.
+// Bounds are the limits that apply to one request.
 type Bounds struct {
 	Owner, Caller, Target, Service core.Limits
 	Share                          Share
 }
 
-// count returns the part of a limit that is a count. Zero stays "no limit". A
-// part is at least one: an entry that may let nothing through would refuse
-// callers for ever whose balancer sends them to it. So a limit L at E entries
+// count returns the share of a count limit. Zero means no limit. A share is at
+// least one, because an entry that admits nothing would refuse forever the
+// callers that a load balancer sends to it. A limit L over E entries therefore
 // adds up to max(L, E).
 func (s Share) count(limit int) int {
 	if limit <= 0 {
@@ -38,8 +38,8 @@
 	return max(1, part)
 }
 
-// bytes returns the part of a limit in bytes. One request larger than the part
-// still waits when nothing else does; see full.
+// bytes returns the share of a limit in bytes. A request larger than the share
+// may still wait if nothing else does; see queueFull.
 func (s Share) bytes(limit core.Bytes) core.Bytes {
 	if limit <= 0 {
 		return 0
@@ -47,7 +47,7 @@
 	return max(1, limit/core.Bytes(max(1, s.Entries)))
 }
 
-// rate returns the part of a rate in requests a second.
+// rate returns the share of a rate in requests per second.
 func (s Share) rate(limit float64) float64 {
 	if limit <= 0 {
 		return 0
@@ -55,8 +55,8 @@
 	return limit / float64(max(1, s.Entries))
 }
 
-// burst returns the part of a burst. A rate without a burst allows one second's
-// worth at once.
+// burst returns the share of a burst. A rate without a burst permits one
+// second's worth of requests at once.
 func (s Share) burst(l core.Limits) int {
 	whole := l.Burst
 	if whole <= 0 {
