--- a/core/slots/doc.go
+++ b/core/slots/doc.go
@@ -1,16 +1,21 @@
-// Package slots shares the weight store's limits over the fleet.
+// Package slots divides the limits of the weight store among the hosts of the
+// fleet.
 //
-// The store starts only so many loads a second and moves only so many at full
-// speed; beyond that each takes proportionally longer. If all hosts read at once
-// after an evening wake-up, every transfer takes as long as all of them
-// together, and nobody is served until nearly everybody is.
+// The store starts a limited number of loads per second and moves a limited
+// number of transfers at full speed; beyond that each transfer is
+// proportionally slower. If all hosts read at once after an evening wake-up,
+// every transfer takes as long as all of them together, and almost no request
+// is served until almost all models are loaded.
 //
-// The deciding entry has a Pool for models and one for adapters. An agent asks
-// it for a slot before it reads from the store, renews the slot while it reads
-// and releases it with the time taken. The pool lets in no more than helps: it
-// finds out from the times where the store's knee lies. A slot that isn't
-// renewed expires, so a host that died holds none for long.
+// The decider, which is the entry that makes such decisions for the fleet, has
+// one Pool for models and one for adapters. An agent requests a slot, which is
+// the permission to read from the store, before a load. It renews the slot
+// while it reads and releases it with the duration of the transfer. From these
+// durations the pool finds the number of transfers at which throughput stops
+// growing, the knee, and grants no more slots than that. A slot that is not
+// renewed expires, so a host that crashed does not hold it for long.
 //
-// An agent that can't reach the decider goes by Local: its share of the limits,
-// adapted to the transfer times it sees.
+// An agent that cannot reach the decider uses Local, which applies the agent's
+// share of the limits and adapts it to the transfer times that the agent
+// measures.
 package slots
--- a/core/slots/play_test.go
+++ b/core/slots/play_test.go
@@ -13,49 +13,50 @@
 
 var start = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
 
-// store is a weight store in fake time. Transfers share it: each moves at full
-// speed while no more than parallel are in flight, and in proportion slower
-// beyond that. With shared set, slowness takes from the whole; else from each.
-type store struct {
-	parallel int
-	speed    float64 // bytes a second of a transfer by itself
-	factor   float64 // 1 at full speed
-	shared   bool
-	moving   []*transfer
-	moved    time.Time
-	most     int
+// simStore is a weight store in simulated time. Each transfer moves at full
+// speed while at most parallel are in progress, and proportionally slower
+// beyond that. The slowdown factor applies to the total bandwidth if shared is
+// set, and to each transfer otherwise.
+type simStore struct {
+	parallel     int
+	speed        float64 // bytes per second of a single transfer
+	factor       float64 // 1 at full speed
+	shared       bool
+	transfers    []*transfer
+	updatedAt    time.Time
+	maxTransfers int
 }
 
 type transfer struct {
-	left float64
-	done func()
+	remaining float64
+	done      func()
 }
 
-// each returns the present speed of one transfer.
-func (s *store) each() float64 {
-	n := float64(len(s.moving))
+// transferSpeed returns the present speed of one transfer.
+func (s *simStore) transferSpeed() float64 {
+	n := float64(len(s.transfers))
 	if s.shared {
 		return s.speed * min(1, s.factor*float64(s.parallel)/n)
 	}
 	return s.speed * s.factor * min(1, float64(s.parallel)/n)
 }
 
-// play is a fleet of agents that load from one store under a pool, by their
-// local shares, or all at once.
-type play struct {
-	rng    *rand.Rand
-	now    time.Time
-	queue  agenda.Agenda[func()]
-	store  *store
-	pool   *Pool
-	locals []*Local
-	loads  map[string]*load
-	wakes  time.Time
-	epoch  int // of the store's next completion
-	done   []*load
+// simulation is a fleet of agents that load from one store with a pool, with
+// local shares, or without limits.
+type simulation struct {
+	rng      *rand.Rand
+	now      time.Time
+	events   agenda.Agenda[func()]
+	store    *simStore
+	pool     *Pool
+	locals   []*Local
+	loads    map[string]*simLoad
+	nextTick time.Time
+	epoch    int // of the store's next completion
+	done     []*simLoad
 }
 
-type load struct {
+type simLoad struct {
 	ask     Ask
 	agent   int
 	arrived time.Time
@@ -65,33 +66,33 @@
 	dead    bool
 }
 
-func newPlay(s *store, p *Pool) *play {
-	s.factor, s.moved = 1, start
+func newSimulation(s *simStore, p *Pool) *simulation {
+	s.factor, s.updatedAt = 1, start
 	if p != nil {
 		p.Begins = start.Add(-Lifetime)
 	}
-	return &play{rng: rand.New(rand.NewPCG(7, 7)), now: start, store: s, pool: p, loads: make(map[string]*load)}
+	return &simulation{rng: rand.New(rand.NewPCG(7, 7)), now: start, store: s, pool: p, loads: make(map[string]*simLoad)}
 }
 
-func (p *play) after(d time.Duration, do func()) {
-	p.queue.Put(p.now.Add(max(0, d)), do)
+func (p *simulation) schedule(d time.Duration, do func()) {
+	p.events.Put(p.now.Add(max(0, d)), do)
 }
 
-func (p *play) run(d time.Duration) {
+func (p *simulation) run(d time.Duration) {
 	end := p.now.Add(d)
-	for next, ok := p.queue.Next(); ok && !next.After(end); next, ok = p.queue.Next() {
+	for next, ok := p.events.Next(); ok && !next.After(end); next, ok = p.events.Next() {
 		var do func()
-		p.now, do = p.queue.Take()
+		p.now, do = p.events.Take()
 		do()
 	}
 	p.now = end
 }
 
-// want has an agent need a load.
-func (p *play) want(agent int, a Ask) *load {
+// request makes an agent request a load.
+func (p *simulation) request(agent int, a Ask) *simLoad {
 	a.ID = fmt.Sprintf("load-%05d", len(p.loads))
 	a.Host = core.HostName(fmt.Sprint("upstream-", agent))
-	l := &load{ask: a, agent: agent, arrived: p.now}
+	l := &simLoad{ask: a, agent: agent, arrived: p.now}
 	p.loads[a.ID] = l
 	switch {
 	case p.pool != nil:
@@ -99,122 +100,123 @@
 	case p.locals != nil:
 		p.tryLocal(l)
 	default:
-		p.read(l)
+		p.startTransfer(l)
 	}
 	return l
 }
 
-// renew asks for a slot or renews it, until the load has ended.
-func (p *play) renew(l *load) {
+// renew requests a slot or renews it until the load has ended.
+func (p *simulation) renew(l *simLoad) {
 	if l.dead || !l.ended.IsZero() || p.pool == nil {
 		return
 	}
 	l.ask.Holding = l.reading
-	p.grant(p.pool.Ask(p.now, l.ask))
-	p.after(RenewAfter, func() { p.renew(l) })
+	p.handleGrants(p.pool.Ask(p.now, l.ask))
+	p.schedule(RenewAfter, func() { p.renew(l) })
 }
 
-func (p *play) grant(grants []Grant) {
+func (p *simulation) handleGrants(grants []Grant) {
 	for _, g := range grants {
 		if l := p.loads[g.ID]; !l.reading && !l.dead && l.ended.IsZero() {
-			p.read(l)
+			p.startTransfer(l)
 		}
 	}
 	next := p.pool.Next(p.now)
-	if next.IsZero() || (p.wakes.After(p.now) && !next.Before(p.wakes)) {
+	if next.IsZero() || (p.nextTick.After(p.now) && !next.Before(p.nextTick)) {
 		return
 	}
-	p.wakes = next
-	p.after(next.Sub(p.now), func() {
+	p.nextTick = next
+	p.schedule(next.Sub(p.now), func() {
 		if p.pool != nil {
-			p.grant(p.pool.Tick(p.now))
+			p.handleGrants(p.pool.Tick(p.now))
 		}
 	})
 }
 
-func (p *play) tryLocal(l *load) {
+func (p *simulation) tryLocal(l *simLoad) {
 	again, ok := p.locals[l.agent].Start(p.now)
 	if ok {
-		p.read(l)
+		p.startTransfer(l)
 		return
 	}
-	p.after(again.Sub(p.now)+time.Millisecond, func() { p.tryLocal(l) })
+	p.schedule(again.Sub(p.now)+time.Millisecond, func() { p.tryLocal(l) })
 }
 
-// read starts the transfer of a load.
-func (p *play) read(l *load) {
+// startTransfer starts the transfer of a load.
+func (p *simulation) startTransfer(l *simLoad) {
 	l.reading, l.began = true, p.now
 	p.advance()
-	p.store.moving = append(p.store.moving, &transfer{left: float64(l.ask.Size), done: func() { p.end(l) }})
-	p.store.most = max(p.store.most, len(p.store.moving))
-	p.plan()
+	p.store.transfers = append(p.store.transfers, &transfer{remaining: float64(l.ask.Size), done: func() { p.finish(l) }})
+	p.store.maxTransfers = max(p.store.maxTransfers, len(p.store.transfers))
+	p.scheduleCompletion()
 }
 
-func (p *play) end(l *load) {
+func (p *simulation) finish(l *simLoad) {
 	l.ended, l.reading = p.now, false
 	p.done = append(p.done, l)
 	took := p.now.Sub(l.began)
 	switch {
 	case l.dead:
 	case p.pool != nil:
-		p.grant(p.pool.Release(p.now, l.ask.ID, took))
+		p.handleGrants(p.pool.Release(p.now, l.ask.ID, took))
 	case p.locals != nil:
 		p.locals[l.agent].End(l.ask.Size, took)
 	}
 }
 
-// advance moves all transfers on to the present.
-func (p *play) advance() {
+// advance moves all transfers on to the present time.
+func (p *simulation) advance() {
 	s := p.store
-	moved := s.each() * p.now.Sub(s.moved).Seconds()
-	s.moved = p.now
-	for _, t := range s.moving {
-		t.left -= moved
+	moved := s.transferSpeed() * p.now.Sub(s.updatedAt).Seconds()
+	s.updatedAt = p.now
+	for _, t := range s.transfers {
+		t.remaining -= moved
 	}
 }
 
-// plan sets the event of the next completion.
-func (p *play) plan() {
+// scheduleCompletion schedules the next completion of a transfer.
+func (p *simulation) scheduleCompletion() {
 	p.epoch++
 	epoch := p.epoch
 	least := math.Inf(1)
-	for _, t := range p.store.moving {
-		least = min(least, t.left)
+	for _, t := range p.store.transfers {
+		least = min(least, t.remaining)
 	}
-	if len(p.store.moving) == 0 {
+	if len(p.store.transfers) == 0 {
 		return
 	}
-	p.after(time.Duration(least/p.store.each()*1e9)+1, func() {
+	p.schedule(time.Duration(least/p.store.transferSpeed()*1e9)+1, func() {
 		if p.epoch == epoch {
 			p.complete()
 		}
 	})
 }
 
-func (p *play) complete() {
+func (p *simulation) complete() {
 	p.advance()
-	var over []*transfer
-	p.store.moving = slices.DeleteFunc(p.store.moving, func(t *transfer) bool {
-		if t.left > 0 {
+	var finished []*transfer
+	p.store.transfers = slices.DeleteFunc(p.store.transfers, func(t *transfer) bool {
+		if t.remaining > 0 {
 			return false
 		}
-		over = append(over, t)
+		finished = append(finished, t)
 		return true
 	})
-	p.plan()
-	for _, t := range over {
+	p.scheduleCompletion()
+	for _, t := range finished {
 		t.done()
 	}
 }
 
-func (p *play) slowTo(factor float64) {
+func (p *simulation) setSpeed(factor float64) {
 	p.advance()
 	p.store.factor = factor
-	p.plan()
+	p.scheduleCompletion()
 }
 
-// waits returns the times from wish to end of the loads that keep accepts.
-func waits(loads []*load, keep func(*load) bool) []time.Duration {
+// waits returns the sorted times from request to end of the loads that keep
+// accepts.
+func waits(loads []*simLoad, keep func(*simLoad) bool) []time.Duration {
 	var out []time.Duration
 	for _, l := range loads {
 		if keep(l) {
@@ -225,7 +227,7 @@
 	return out
 }
 
-func all(*load) bool { return true }
+func all(*simLoad) bool { return true }
 
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
--- a/core/slots/pool.go
+++ b/core/slots/pool.go
@@ -9,16 +9,18 @@
 )
 
 const (
-	// Lifetime is how long a slot is valid without renewal: the time for which a
-	// host that died keeps others from reading. Four renewals may be lost.
+	// Lifetime is how long a slot is valid without renewal, and so how long a
+	// crashed host keeps others from reading. Four renewals may be lost.
 	Lifetime = 4 * time.Second
-	// RenewAfter is how often holders and waiting agents ask again.
+	// RenewAfter is the interval at which agents renew their slots and their
+	// waiting requests.
 	RenewAfter = 800 * time.Millisecond
 )
 
-// Ask is an agent's request for a slot, or its renewal.
+// Ask is an agent's request for a slot, or the renewal of a slot or request.
 type Ask struct {
-	// ID identifies the load; asking again with it changes nothing.
+	// ID identifies the load. Repeating a request with the same ID only renews
+	// it.
 	ID    string
 	Host  core.HostName
 	Owner core.OwnerName
@@ -26,88 +28,93 @@
 	// Deadline is that of the most urgent request that waits for the load.
 	Deadline time.Time
 	Size     core.Bytes
-	// Holding tells that the agent has the slot already and is reading.
+	// Holding is set if the agent has the slot already and is reading.
 	Holding bool
 }
 
-// Grant is a slot given to an agent.
+// Grant is a slot granted to an agent.
 type Grant struct {
 	ID      string
 	Host    core.HostName
 	Expires time.Time
 }
 
-// Pool hands out the slots of one store limit at the decider. It is not safe
-// for concurrent use. Fields are set before the first call.
+// Pool grants the slots of one store limit at the decider. The exported fields
+// are set before the first call. A Pool is not safe for concurrent use.
 //
-// Each method returns the slots granted by the event, renewals included.
+// Each method that returns grants returns those that follow from the event,
+// including renewals.
 type Pool struct {
-	// Rate is the number of loads the store starts a second; zero for no limit.
+	// Rate is the number of loads that the store starts per second; zero means
+	// no limit.
 	Rate float64
 	// Parallel is the number of transfers that the store moves at full speed.
 	Parallel int
-	// Begins is when this decider took office. It grants nothing new until a
-	// slot's lifetime later: by then all holders of its predecessor's slots have
-	// renewed them here or lost them. Without the wait, a change of decider would
-	// double what is in flight.
+	// Begins is when this entry became the decider. The pool grants no new slot
+	// until one Lifetime later. By then all holders of slots of the previous
+	// decider have renewed them here or lost them. Without the wait, a change
+	// of decider would double the transfers in flight.
 	Begins time.Time
 
-	starts *rate.Limiter
-	held   map[string]*slot
-	line   line
-	knee   knee
-	// area is the number of slots held, integrated over time in seconds: the
-	// difference over a transfer gives how many ran beside it on average.
-	area   float64
-	areaAt time.Time
+	startLimiter *rate.Limiter
+	held         map[string]*slot
+	queue        waitQueue
+	knee         kneeFinder
+	// slotSeconds is the number of slots held, integrated over time. Its
+	// increase during a transfer, divided by the duration, is the mean number
+	// of slots held during it.
+	slotSeconds   float64
+	slotSecondsAt time.Time
 }
 
 type slot struct {
-	ask     Ask
-	expires time.Time
-	began   time.Time
-	// area is the pool's area when the slot was granted.
-	area float64
+	ask       Ask
+	expires   time.Time
+	grantedAt time.Time
+	// startSlotSeconds is the pool's slotSeconds when the slot was granted.
+	startSlotSeconds float64
 }
 
-// Ask takes a request or a renewal. A waiting request that isn't repeated for a
-// Lifetime is forgotten.
+// Ask handles a request or a renewal. A waiting request that is not renewed for
+// a Lifetime is dropped.
 func (p *Pool) Ask(now time.Time, a Ask) []Grant {
 	p.init()
 	if s := p.held[a.ID]; s != nil {
 		s.expires = now.Add(Lifetime)
-		return append(p.fill(now), Grant{ID: a.ID, Host: a.Host, Expires: s.expires})
+		return append(p.grantFree(now), Grant{ID: a.ID, Host: a.Host, Expires: s.expires})
 	}
 	if a.Holding {
-		p.line.remove(a.ID)
-		return append(p.fill(now), p.hold(now, a))
+		p.queue.remove(a.ID)
+		return append(p.grantFree(now), p.grant(now, a))
 	}
-	p.line.put(now, a)
-	return p.fill(now)
+	p.queue.add(now, a)
+	return p.grantFree(now)
 }
 
-// Release takes a slot back. Took is how long the transfer took; zero where it
-// failed or was given up, and also for a request that waits no more.
+// Release releases a slot or withdraws a waiting request. took is the duration
+// of the transfer; zero if it failed or was cancelled, and for a waiting
+// request.
 func (p *Pool) Release(now time.Time, id string, took time.Duration) []Grant {
 	p.init()
-	p.line.remove(id)
+	p.queue.remove(id)
 	if s := p.held[id]; s != nil {
-		p.integrate(now)
-		p.knee.measure(now, p.beside(now, s), s.ask.Size, took)
+		p.updateSlotSeconds(now)
+		p.knee.observe(now, p.meanConcurrency(now, s), s.ask.Size, took)
 		delete(p.held, id)
 	}
-	return p.fill(now)
+	return p.grantFree(now)
 }
 
-// Tick is called at the time that Next returns.
+// Tick grants slots that have become free. It is called at the time that Next
+// returns.
 func (p *Pool) Tick(now time.Time) []Grant {
 	p.init()
-	return p.fill(now)
+	return p.grantFree(now)
 }
 
-// Next returns when Tick is due; zero where nothing is waited for.
+// Next returns when Tick is due; zero if no request waits.
 func (p *Pool) Next(now time.Time) time.Time {
-	if p.line.len() == 0 {
+	if p.queue.len() == 0 {
 		return time.Time{}
 	}
 	next := now.Add(RenewAfter)
@@ -118,19 +125,19 @@
 		next = earlier(next, s.expires)
 	}
 	if p.Rate > 0 && len(p.held) < p.Limit(now) {
-		missing := max(0, 1-p.starts.TokensAt(now))
+		missing := max(0, 1-p.startLimiter.TokensAt(now))
 		next = earlier(next, now.Add(time.Duration(missing/p.Rate*float64(time.Second))+time.Millisecond))
 	}
 	return next
 }
 
-// Held returns the number of slots handed out.
+// Held returns the number of slots held.
 func (p *Pool) Held() int { return len(p.held) }
 
-// Waiting returns the number of requests without a slot.
-func (p *Pool) Waiting() int { return p.line.len() }
+// Waiting returns the number of requests that wait for a slot.
+func (p *Pool) Waiting() int { return p.queue.len() }
 
-// Limit returns the most slots that are handed out at present.
+// Limit returns the present limit of slots held at once.
 func (p *Pool) Limit(now time.Time) int { return p.knee.limit(now, p.Parallel) }
 
 func (p *Pool) init() {
@@ -142,55 +149,56 @@
 	if p.Rate > 0 {
 		limit = rate.Limit(p.Rate)
 	}
-	p.starts = rate.NewLimiter(limit, 1)
+	p.startLimiter = rate.NewLimiter(limit, 1)
 }
 
-// fill grants slots while there are any.
-func (p *Pool) fill(now time.Time) []Grant {
+// grantFree grants slots to waiting requests while any are free.
+func (p *Pool) grantFree(now time.Time) []Grant {
 	p.expire(now)
 	var out []Grant
 	if now.Before(p.Begins.Add(Lifetime)) {
 		return nil
 	}
-	for p.line.len() > 0 && len(p.held) < p.Limit(now) && p.starts.AllowN(now, 1) {
-		out = append(out, p.hold(now, p.line.pop()))
+	for p.queue.len() > 0 && len(p.held) < p.Limit(now) && p.startLimiter.AllowN(now, 1) {
+		out = append(out, p.grant(now, p.queue.pop()))
 	}
 	return out
 }
 
-func (p *Pool) hold(now time.Time, a Ask) Grant {
-	p.integrate(now)
-	s := &slot{ask: a, expires: now.Add(Lifetime), began: now, area: p.area}
+func (p *Pool) grant(now time.Time, a Ask) Grant {
+	p.updateSlotSeconds(now)
+	s := &slot{ask: a, expires: now.Add(Lifetime), grantedAt: now, startSlotSeconds: p.slotSeconds}
 	p.held[a.ID] = s
 	return Grant{ID: a.ID, Host: a.Host, Expires: s.expires}
 }
 
-// integrate brings the area up to now; it is called before the number of slots
-// held changes.
-func (p *Pool) integrate(now time.Time) {
-	if !p.areaAt.IsZero() {
-		p.area += float64(len(p.held)) * now.Sub(p.areaAt).Seconds()
+// updateSlotSeconds adds the time since the last update. It is called before
+// the number of held slots changes.
+func (p *Pool) updateSlotSeconds(now time.Time) {
+	if !p.slotSecondsAt.IsZero() {
+		p.slotSeconds += float64(len(p.held)) * now.Sub(p.slotSecondsAt).Seconds()
 	}
-	p.areaAt = now
+	p.slotSecondsAt = now
 }
 
-// beside returns how many slots were held on average while this one was.
-func (p *Pool) beside(now time.Time, s *slot) int {
-	seconds := now.Sub(s.began).Seconds()
+// meanConcurrency returns how many slots were held on average while this one
+// was, including itself.
+func (p *Pool) meanConcurrency(now time.Time, s *slot) int {
+	seconds := now.Sub(s.grantedAt).Seconds()
 	if seconds <= 0 {
 		return len(p.held)
 	}
-	return int((p.area-s.area)/seconds + 0.5)
+	return int((p.slotSeconds-s.startSlotSeconds)/seconds + 0.5)
 }
 
 func (p *Pool) expire(now time.Time) {
 	for id, s := range p.held {
 		if !now.Before(s.expires) {
-			p.integrate(now)
+			p.updateSlotSeconds(now)
 			delete(p.held, id)
 		}
 	}
-	p.line.expire(now)
+	p.queue.expire(now)
 }
 
 func earlier(a, b time.Time) time.Time {
