--- a/core/admit/choose.go
+++ b/core/admit/choose.go
@@ -53,6 +53,6 @@
 		a = &failedEntry{}
 		c.failed[name] = a
 	}
-	a.retryAt = now.Add(retry.Pause(minAside, maxAside, a.failures))
+	a.retryAt = now.Add(retry.Backoff(minAside, maxAside, a.failures))
 	a.failures++
 }
--- a/core/claims/journal.go
+++ b/core/claims/journal.go
@@ -308,7 +308,7 @@
 	if j.failing.IsZero() {
 		j.failing = now
 	}
-	j.retryAt = now.Add(retry.Pause(firstBackoff, maxBackoff, j.failed))
+	j.retryAt = now.Add(retry.Backoff(firstBackoff, maxBackoff, j.failed))
 	j.failed++
 }
 
--- a/core/follow/choose.go
+++ b/core/follow/choose.go
@@ -117,7 +117,7 @@
 // Failed notes that a member did not answer.
 func (c *Chooser) Failed(now time.Time, name core.HostName) {
 	o := c.other(name)
-	o.until = now.Add(retry.Pause(firstAside, mostAside, o.failures))
+	o.until = now.Add(retry.Backoff(firstAside, mostAside, o.failures))
 	o.failures++
 }
 
--- a/core/queue/choose.go
+++ b/core/queue/choose.go
@@ -54,7 +54,7 @@
 		if !ok {
 			break
 		}
-		found = c.track.classes[c.class].pick(q.May)
+		found = c.track.classes[c.class].pick(q.CheckHold)
 		if found == nil {
 			c.track.blocked[c.class] = true
 			c.track.drain.markHeld()
@@ -68,7 +68,7 @@
 }
 
 // bestCandidate returns the class and track to serve next. It does not consult
-// May.
+// CheckHold.
 func (q *Queue) bestCandidate(now time.Time, list []*track, free func(lane string) int) (candidate, bool) {
 	var best candidate
 	found := false
--- a/core/queue/hold_test.go
+++ b/core/queue/hold_test.go
@@ -16,7 +16,7 @@
 // is lifted.
 func TestHeldOwnersAreSkipped(t *testing.T) {
 	held := map[string]queue.Hold{"a/k": queue.HoldOwner, "b/k": queue.HoldCaller}
-	q := &queue.Queue{May: func(i queue.Item) queue.Hold { return held[string(i.Owner)+"/"+string(i.Caller)] }}
+	q := &queue.Queue{CheckHold: func(i queue.Item) queue.Hold { return held[string(i.Owner)+"/"+string(i.Caller)] }}
 	for n := range 5 {
 		mustPush(t, q, t0, item(fmt.Sprint("a", n), core.Interactive, "a", time.Hour))
 		mustPush(t, q, t0, item(fmt.Sprint("b", n), core.Interactive, "b", time.Hour))
@@ -43,7 +43,7 @@
 // owner's request would be refused for a wait that it does not have.
 func TestHeldOwnersDoNotSlowOthers(t *testing.T) {
 	running := 0
-	q := &queue.Queue{May: func(i queue.Item) queue.Hold {
+	q := &queue.Queue{CheckHold: func(i queue.Item) queue.Hold {
 		if i.Owner == "a" && running > 0 {
 			return queue.HoldOwner
 		}
--- a/core/queue/lane.go
+++ b/core/queue/lane.go
@@ -59,8 +59,8 @@
 	// activeIndex is the track's index in Queue.active, or -1 while the track
 	// is empty.
 	activeIndex int
-	// blocked marks the classes of which May let no item start. It is valid
-	// during one call of nextEntry.
+	// blocked marks the classes of which CheckHold let no item start. It is
+	// valid during one call of nextEntry.
 	blocked [core.ClassCount]bool
 }
 
--- a/core/queue/pace.go
+++ b/core/queue/pace.go
@@ -11,9 +11,10 @@
 	// Service times need fewer samples because each is a whole measurement.
 	drainWeight   = 1.0 / 16
 	serviceWeight = 1.0 / 8
-	// deviations is how many mean deviations above the mean an estimated service
-	// time lies. With two, some 5% of the work that starts at the last possible
-	// time misses its deadline if service times are exponentially distributed.
+	// deviations is how many mean deviations above the mean an estimated
+	// service time lies. With two, some 5% of the work that starts at the last
+	// possible time misses its deadline if service times are exponentially
+	// distributed.
 	deviations = 2
 	// staleAfter is how long the estimates of an idle lane are used to refuse
 	// requests before one request is admitted regardless. Without it, a lane
@@ -122,7 +123,8 @@
 // upstream hangs, nothing finishes and the sums do not change, so the open
 // interval since the last finish is counted as if a request of mean cost ended
 // now, once that gives the longer time. It is counted only while something
-// runs; otherwise the lane waits for a load, whose end is set by Queue.Ready.
+// runs; otherwise the lane waits for a load, whose end is set by
+// Queue.SetReady.
 func (d *drainEstimator) drainTime(now time.Time, cost int64, running int) time.Duration {
 	if cost <= 0 {
 		return 0
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -34,9 +34,9 @@
 	Shared bool
 	// Spare is how many slots overnight work leaves free.
 	Spare int
-	// May, if not nil, is called before an item is popped and reports whether a
-	// limit holds it.
-	May func(Item) Hold
+	// CheckHold, if not nil, is called before an item is popped and returns how
+	// far a limit holds it back.
+	CheckHold func(Item) Hold
 
 	load
 	classes [core.ClassCount]*classState
@@ -62,8 +62,8 @@
 	probe   bool
 }
 
-// Pushed is the result of Push.
-type Pushed struct {
+// PushResult is the result of Push.
+type PushResult struct {
 	// Refusal is nil if the item was queued.
 	Refusal *core.Refusal
 	// Displaced lists the items that were removed to make room. The caller of
@@ -74,18 +74,18 @@
 // Push queues an item, or refuses it with outcome not-run if its ID is in use
 // (internal), its deadline has passed, the expected wait is too long for its
 // deadline, or the queue is full of items that are worth at least as much.
-func (q *Queue) Push(now time.Time, i Item) Pushed {
+func (q *Queue) Push(now time.Time, i Item) PushResult {
 	q.init()
 	i = normalize(i)
 	if ref := q.checkDeadline(now, i); ref != nil {
-		return Pushed{Refusal: ref}
+		return PushResult{Refusal: ref}
 	}
 	displaced, ref := q.makeRoom(now, i)
 	if ref != nil {
-		return Pushed{Refusal: ref}
+		return PushResult{Refusal: ref}
 	}
 	q.insert(now, i)
-	return Pushed{Displaced: displaced}
+	return PushResult{Displaced: displaced}
 }
 
 func normalize(i Item) Item {
@@ -231,9 +231,9 @@
 	Failed
 )
 
-// Ready sets when the lane can start work, such as the expected end of a load.
-// A past or zero time means now.
-func (q *Queue) Ready(now time.Time, name string, at time.Time) {
+// SetReady sets when the lane can start work, such as the expected end of a
+// load. A past or zero time means now.
+func (q *Queue) SetReady(now time.Time, name string, at time.Time) {
 	q.init()
 	l := q.laneFor(name)
 	l.ready = at
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -167,7 +167,7 @@
 	})
 	t.Run("a lane that loads past the deadline", func(t *testing.T) {
 		q := &queue.Queue{}
-		q.Ready(t0, "m", t0.Add(30*time.Second))
+		q.SetReady(t0, "m", t0.Add(30*time.Second))
 		wantRefusal(t, q.Push(t0, item("a", core.Evening, "a", 20*time.Second)).Refusal, core.CodeWaitTooLong)
 		mustPush(t, q, t0, item("b", core.Evening, "a", 40*time.Second))
 	})
@@ -277,7 +277,7 @@
 
 func checkConservation(t *testing.T, rng *rand.Rand) {
 	q := &queue.Queue{Items: 50, Bytes: 3000, LaneItems: 20, Spare: rng.IntN(2), Shared: rng.IntN(2) == 0}
-	q.May = func(queue.Item) queue.Hold { return queue.Hold(max(0, rng.IntN(6)-2)) }
+	q.CheckHold = func(queue.Item) queue.Hold { return queue.Hold(max(0, rng.IntN(6)-2)) }
 	l := &tracker{t: t, waiting: make(map[core.RequestID]queue.Item)}
 	now := t0
 	for n := range 2000 {
@@ -294,12 +294,12 @@
 			l.wantNoneOverdue(now)
 		}
 		assert.Equal(t, q.Len(), len(l.waiting))
-		assert.Assert(t, q.Len() <= 50 && q.Held() <= 3000)
+		assert.Assert(t, q.Len() <= 50 && q.WaitingBytes() <= 3000)
 	}
 	l.refused(q.Expire(now.Add(time.Hour)))
 	assert.Equal(t, len(l.waiting), 0)
 	assert.Equal(t, q.Len(), 0)
-	assert.Equal(t, q.Held(), core.Bytes(0))
+	assert.Equal(t, q.WaitingBytes(), core.Bytes(0))
 }
 
 func randomItem(rng *rand.Rand, now time.Time, n int) queue.Item {
--- a/core/queue/rest.go
+++ b/core/queue/rest.go
@@ -85,10 +85,10 @@
 	Running int
 	// Ready is the earliest time at which the lane can start work.
 	Ready time.Time
-	// Service is the estimated service time of cost one, and Drain is the time
-	// in which the lane serves one unit of cost. Both refer to the short items
-	// of the lane and are zero while unknown.
-	Service, Drain time.Duration
+	// ServiceTime is the estimated service time of cost one, and DrainTime is
+	// the time in which the lane serves one unit of cost. Both refer to the
+	// short items of the lane and are zero while unknown.
+	ServiceTime, DrainTime time.Duration
 }
 
 // Depth returns the state of a lane.
@@ -100,13 +100,13 @@
 	all, short := l.load(), l.tracks[0]
 	return Depth{
 		Items: all.items, Cost: all.cost, Bytes: all.bytes, Running: l.running(), Ready: l.ready,
-		Service: short.drain.serviceTime(1), Drain: short.drain.drainTime(now, 1, short.running),
+		ServiceTime: short.drain.serviceTime(1), DrainTime: short.drain.drainTime(now, 1, short.running),
 	}
 }
 
-// Foresee returns when an item pushed now is expected to start and to end,
+// Estimate returns when an item pushed now is expected to start and to end,
 // according to the current estimates.
-func (q *Queue) Foresee(now time.Time, i Item) (start, end time.Time) {
+func (q *Queue) Estimate(now time.Time, i Item) (start, end time.Time) {
 	i = normalize(i)
 	l, ok := q.lanes[i.Lane]
 	if !ok {
@@ -128,5 +128,5 @@
 	return q.classes[c].items
 }
 
-// Held returns the memory held by the bodies of the waiting items.
-func (q *Queue) Held() core.Bytes { return q.bytes }
+// WaitingBytes returns the memory held by the bodies of the waiting items.
+func (q *Queue) WaitingBytes() core.Bytes { return q.bytes }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -24,8 +24,8 @@
 	debt map[core.ServiceName]int
 }
 
-// First adds the first attempt of a request to the budget of its set.
-func (b *Budgets) First(set core.ServiceName) {
+// RecordFirst adds the first attempt of a request to the budget of its set.
+func (b *Budgets) RecordFirst(set core.ServiceName) {
 	debt, ok := b.debt[set]
 	if !ok {
 		return
@@ -37,15 +37,15 @@
 	b.debt[set] = debt - 1
 }
 
-// Left returns how many retries the budget of a set still allows.
-func (b *Budgets) Left(set core.ServiceName) int {
+// Remaining returns how many retries the budget of a set still allows.
+func (b *Budgets) Remaining(set core.ServiceName) int {
 	return (maxRetries*attemptsPerRetry - b.debt[set]) / attemptsPerRetry
 }
 
 // spend takes one retry from the budget and reports whether there was one.
 func (b *Budgets) spend(set core.ServiceName) bool {
 	_, known := b.debt[set]
-	if b.Left(set) == 0 || !known && len(b.debt) >= maxSets {
+	if b.Remaining(set) == 0 || !known && len(b.debt) >= maxSets {
 		return false
 	}
 	if b.debt == nil {
--- a/core/retry/play_test.go
+++ b/core/retry/play_test.go
@@ -21,7 +21,7 @@
 
 type budgetPolicy struct{ b retry.Budgets }
 
-func (b *budgetPolicy) first(set core.ServiceName) { b.b.First(set) }
+func (b *budgetPolicy) first(set core.ServiceName) { b.b.RecordFirst(set) }
 func (b *budgetPolicy) decide(now time.Time, c retry.Case, r *rand.Rand) retry.Decision {
 	return b.b.Decide(now, c, r)
 }
@@ -36,7 +36,7 @@
 	if !at.Before(c.Request.Deadline) {
 		return retry.Decision{Action: retry.GiveUp, Refusal: c.Attempts[len(c.Attempts)-1].Refusal}
 	}
-	return retry.Decision{Action: retry.Later, At: at}
+	return retry.Decision{Action: retry.RetryLater, At: at}
 }
 
 // upstreamModel is a set of hosts with limited capacity. An attempt costs work
@@ -134,9 +134,9 @@
 	switch d.Action {
 	case retry.GiveUp:
 		p.totals.refused++
-	case retry.Again:
+	case retry.RetryNow:
 		p.try(now, c, host)
-	case retry.Later:
+	case retry.RetryLater:
 		p.events.Put(d.At, func(now time.Time) { p.try(now, c, host) })
 	}
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -43,12 +43,12 @@
 	Request core.Request
 	// Attempts lists all attempts so far in order.
 	Attempts []Attempt
-	// Begun is set if a byte of an answer has been sent to the caller.
-	Begun bool
+	// AnswerBegun is set if a byte of an answer has been sent to the caller.
+	AnswerBegun bool
 	// HostsLeft counts the hosts of the current plan that have not been tried.
 	HostsLeft int
-	// Service is the expected service time of the request; zero if unknown.
-	Service time.Duration
+	// ServiceTime is the expected service time of the request; zero if unknown.
+	ServiceTime time.Duration
 }
 
 // Action is what to do after a failed attempt.
@@ -58,10 +58,11 @@
 const (
 	// GiveUp means to answer the caller with Decision.Refusal now.
 	GiveUp Action = iota
-	// Again means to send the request to another host now.
-	Again
-	// Later means to compute a new plan at Decision.At, with all hosts in it.
-	Later
+	// RetryNow means to send the request to another host now.
+	RetryNow
+	// RetryLater means to compute a new plan at Decision.At, with all hosts in
+	// it.
+	RetryLater
 )
 
 // Why names the rule behind a decision, for the explain command.
@@ -118,9 +119,9 @@
 		return c.giveUp(WhyBudget)
 	}
 	if why == WhyOtherHost {
-		return Decision{Action: Again, Why: why}
+		return Decision{Action: RetryNow, Why: why}
 	}
-	return Decision{Action: Later, At: at, Why: why}
+	return Decision{Action: RetryLater, At: at, Why: why}
 }
 
 func (c *Case) last() *core.Refusal { return c.Attempts[len(c.Attempts)-1].Refusal }
@@ -128,7 +129,7 @@
 // final returns the rule that forbids any further attempt, if there is one.
 func (c *Case) final() (Why, bool) {
 	switch {
-	case c.Begun:
+	case c.AnswerBegun:
 		return WhyBegun, true
 	case !retryable(c.last().Code):
 		return WhyFinal, true
@@ -225,7 +226,7 @@
 	if c.Request.Deadline.IsZero() {
 		return true
 	}
-	return at.Add(c.Service).Before(c.Request.Deadline)
+	return at.Add(c.ServiceTime).Before(c.Request.Deadline)
 }
 
 // giveUp returns the final refusal, which is that of the last attempt with the
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -41,27 +41,27 @@
 		out    core.Outcome
 		why    retry.Why
 	}{
-		{"not run", func(*retry.Case) {}, retry.Again, 0, retry.WhyOtherHost},
+		{"not run", func(*retry.Case) {}, retry.RetryNow, 0, retry.WhyOtherHost},
 		{"may have run", func(c *retry.Case) {
 			c.Attempts[0].Refusal.Outcome = core.MayHaveRun
 		}, retry.GiveUp, core.MayHaveRun, retry.WhyMayHaveRun},
 		{"may have run but repeatable", func(c *retry.Case) {
 			c.Attempts[0].Refusal.Outcome = core.MayHaveRun
 			c.Request.Repeatable = true
-		}, retry.Again, 0, retry.WhyOtherHost},
+		}, retry.RetryNow, 0, retry.WhyOtherHost},
 		{"begun", func(c *retry.Case) {
 			c.Request.Repeatable = true
-			c.Begun = true
+			c.AnswerBegun = true
 		}, retry.GiveUp, core.NotRun, retry.WhyBegun},
 		{"wrong request", func(c *retry.Case) {
 			c.Attempts[0].Refusal.Code = core.CodeQuarantined
 		}, retry.GiveUp, core.NotRun, retry.WhyFinal},
 		{"no time to run again", func(c *retry.Case) {
-			c.Service = 11 * time.Second
+			c.ServiceTime = 11 * time.Second
 		}, retry.GiveUp, core.NotRun, retry.WhyDeadline},
 		{"no host left", func(c *retry.Case) {
 			c.HostsLeft = 0
-		}, retry.Later, 0, retry.WhyPause},
+		}, retry.RetryLater, 0, retry.WhyPause},
 		{"no host left until after the deadline", func(c *retry.Case) {
 			c.HostsLeft = 0
 			c.Attempts[0].Refusal.RetryAt = t0.Add(11 * time.Second)
@@ -121,25 +121,25 @@
 func TestLeavingIsFree(t *testing.T) {
 	b := &retry.Budgets{}
 	for range 1000 {
-		assert.Equal(t, b.Decide(t0, failedCase(core.CodeLeaving, core.NotRun), rng()).Action, retry.Again)
+		assert.Equal(t, b.Decide(t0, failedCase(core.CodeLeaving, core.NotRun), rng()).Action, retry.RetryNow)
 	}
-	assert.Equal(t, b.Left("qalam"), 10)
+	assert.Equal(t, b.Remaining("qalam"), 10)
 }
 
 func TestBudgetsAreSeparate(t *testing.T) {
 	b := &retry.Budgets{}
 	in := failedCase(core.CodeOverload, core.NotRun)
 	for range 10 {
-		assert.Equal(t, b.Decide(t0, in, rng()).Action, retry.Again)
+		assert.Equal(t, b.Decide(t0, in, rng()).Action, retry.RetryNow)
 	}
 	wantGiveUp(t, b.Decide(t0, in, rng()), core.NotRun, retry.WhyBudget)
 	other := failedCase(core.CodeOverload, core.NotRun)
 	other.Request.Target.Service = "sijill"
-	assert.Equal(t, b.Decide(t0, other, rng()).Action, retry.Again)
+	assert.Equal(t, b.Decide(t0, other, rng()).Action, retry.RetryNow)
 	for range 10 {
-		b.First("qalam")
+		b.RecordFirst("qalam")
 	}
-	assert.Equal(t, b.Decide(t0, in, rng()).Action, retry.Again)
+	assert.Equal(t, b.Decide(t0, in, rng()).Action, retry.RetryNow)
 	assert.Equal(t, b.Decide(t0, in, rng()).Why, retry.WhyBudget)
 }
 
@@ -150,7 +150,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		for range 10 {
-			budgets.First("qalam")
+			budgets.RecordFirst("qalam")
 		}
 		budgets.Decide(t0, in, r)
 	}
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -25,21 +25,21 @@
 	newest int64
 }
 
-// First records a first attempt.
-func (w *Window) First(now time.Time) { w.attempts[w.advance(now)]++ }
+// RecordFirst records a first attempt.
+func (w *Window) RecordFirst(now time.Time) { w.attempts[w.advance(now)]++ }
 
-// Draw takes one retry from the budget and reports whether there was one.
-func (w *Window) Draw(now time.Time) bool {
+// Take takes one retry from the budget and reports whether there was one.
+func (w *Window) Take(now time.Time) bool {
 	i := w.advance(now)
-	if w.Left(now) < 1 {
+	if w.Remaining(now) < 1 {
 		return false
 	}
 	w.retries[i]++
 	return true
 }
 
-// Left returns the number of retries that the budget allows now.
-func (w *Window) Left(now time.Time) float64 {
+// Remaining returns the number of retries that the budget allows now.
+func (w *Window) Remaining(now time.Time) float64 {
 	w.advance(now)
 	attempts, retries := 0.0, 0.0
 	for i := range windowBuckets {
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -17,8 +17,8 @@
 	drawn := 0
 	for i := range 1000 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
-		w.First(now)
-		if w.Draw(now) {
+		w.RecordFirst(now)
+		if w.Take(now) {
 			drawn++
 		}
 	}
@@ -29,10 +29,10 @@
 	w := &retry.Window{Spare: 2, Span: 10 * time.Second}
 	now := time.Unix(5000, 0)
 	for _, want := range []bool{true, true, false} {
-		assert.Equal(t, w.Draw(now), want)
+		assert.Equal(t, w.Take(now), want)
 	}
-	assert.Assert(t, !w.Draw(now.Add(9*time.Second)))
-	assert.Assert(t, w.Draw(now.Add(11*time.Second)))
-	assert.Equal(t, w.Left(now.Add(time.Hour)), 2.0)
-	assert.Equal(t, w.Left(now), 2.0, "a clock that went back empties nothing twice")
+	assert.Assert(t, !w.Take(now.Add(9*time.Second)))
+	assert.Assert(t, w.Take(now.Add(11*time.Second)))
+	assert.Equal(t, w.Remaining(now.Add(time.Hour)), 2.0)
+	assert.Equal(t, w.Remaining(now), 2.0, "a clock that went back empties nothing twice")
 }
--- a/core/route/option.go
+++ b/core/route/option.go
@@ -55,7 +55,7 @@
 }
 
 func (r *Router) option(now time.Time, q Query, c Candidate) option {
-	o := option{Candidate: c, local: c.DataCentre == q.Here}
+	o := option{Candidate: c, local: c.DataCentre == q.DataCentre}
 	o.age, o.stale = reportAge(now, c.Load)
 	o.load = estimatedLoad(c, o.age)
 	o.loadTime = targetLoadTime(now, q, c.Load)
--- a/core/route/order.go
+++ b/core/route/order.go
@@ -78,7 +78,7 @@
 	ranked = ranked[:min(maxProbed, len(ranked))]
 	for pair := range slices.Chunk(ranked, maxProbes) {
 		best := slices.Min(pair)
-		if needsProbe(list, pair, q.Asked) || list[best].wait == 0 {
+		if needsProbe(list, pair, q.Probed) || list[best].wait == 0 {
 			movePairToFront(list, pair)
 			return
 		}
--- a/core/route/play_test.go
+++ b/core/route/play_test.go
@@ -38,10 +38,10 @@
 			at := slices.IndexFunc(q.Candidates, func(c route.Candidate) bool { return c.Host == h })
 			q.Candidates[at].Load, q.Candidates[at].Sent = probe(h), 0
 		}
-		q.Asked = append(q.Asked, plan.Probe...)
+		q.Probed = append(q.Probed, plan.Probe...)
 		plan = s.r.Plan(now, q)
 	}
-	s.r.Sent(now, q.Request, plan.Hosts[0].Host)
+	s.r.RecordSent(now, q.Request, plan.Hosts[0].Host)
 	return plan.Hosts[0].Host
 }
 
--- a/core/route/prefix.go
+++ b/core/route/prefix.go
@@ -20,8 +20,9 @@
 	at   time.Time
 }
 
-// Sent records that a request was sent to a host, which caches its prefixes.
-func (r *Router) Sent(now time.Time, q core.Request, host core.HostName) {
+// RecordSent records that a request was sent to a host, which caches its
+// prefixes.
+func (r *Router) RecordSent(now time.Time, q core.Request, host core.HostName) {
 	for _, p := range q.Prefixes {
 		r.prefixes.put(prefixKey(q.Target, p), prefixHost{host: host, at: now})
 	}
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -64,8 +64,8 @@
 // Query describes one request to be routed.
 type Query struct {
 	Request core.Request
-	// Here is this process's data centre.
-	Here       core.DataCentre
+	// DataCentre is this process's data centre.
+	DataCentre core.DataCentre
 	Candidates []Candidate
 	Costs      Costs
 	// Need is the memory that the target takes on one accelerator; zero if
@@ -73,10 +73,10 @@
 	Need core.Bytes
 	// Tried lists hosts that this request has been sent to. They are excluded.
 	Tried []core.HostName
-	// Asked lists hosts that were probed for this request. No plan names them
+	// Probed lists hosts that were probed for this request. No plan names them
 	// for a probe again. The caller sets the health of a host that did not
 	// answer its probe to Suspect.
-	Asked []core.HostName
+	Probed []core.HostName
 }
 
 // Reason says why a host has its place in a plan.
@@ -173,6 +173,6 @@
 	orderSetAside(g.setAside)
 	g.spill()
 	all := g.ordered()
-	toProbe := hostsToProbe(all, q.Asked)
+	toProbe := hostsToProbe(all, q.Probed)
 	return Plan{Hosts: choices(now, all), Probe: toProbe, Wait: len(toProbe) > 0 && all[0].loadTime > 0}
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -75,7 +75,7 @@
 			near.DataCentre = "ariana"
 			r := &route.Router{Seed: uint64(n)}
 			p := r.Plan(t0, route.Query{
-				Request: request(n, t0, time.Minute), Here: "ariana", Candidates: []route.Candidate{far, near},
+				Request: request(n, t0, time.Minute), DataCentre: "ariana", Candidates: []route.Candidate{far, near},
 			})
 			wantOrder(t, p, "near", "far")
 		}
@@ -137,7 +137,7 @@
 					q.Candidates[at] = holderCandidate(string(h), 1)
 				}
 			}
-			q.Asked = append(q.Asked, p.Probe...)
+			q.Probed = append(q.Probed, p.Probe...)
 		}
 		assert.Equal(t, p.Hosts[0].Host, core.HostName(fmt.Sprint("h", holder)))
 	}
@@ -148,7 +148,7 @@
 func TestCacheDoesNotCrowd(t *testing.T) {
 	r := &route.Router{}
 	q := route.Query{Request: request(1, t0, time.Minute, 7)}
-	r.Sent(t0, q.Request, "a")
+	r.RecordSent(t0, q.Request, "a")
 	q.Candidates = []route.Candidate{holderCandidate("a", 4), holderCandidate("b", 1), holderCandidate("c", 1)}
 	assert.Equal(t, r.Plan(t0, q).Hosts[0].Reason, route.Cached)
 	q.Candidates[0] = holderCandidate("a", 9)
@@ -221,7 +221,7 @@
 func TestPlanProperties(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		q := route.Query{Request: request(int(seed), t0, time.Minute, 1, 2), Costs: costs, Here: "a"}
+		q := route.Query{Request: request(int(seed), t0, time.Minute, 1, 2), Costs: costs, DataCentre: "a"}
 		want := 0
 		for n := range rng.IntN(12) {
 			c := randomCandidate(rng, n)
@@ -238,7 +238,7 @@
 		rounds := 0
 		for ; len(p.Probe) > 0; rounds++ {
 			assert.Assert(t, len(p.Probe) <= 2)
-			q.Asked = append(q.Asked, p.Probe...)
+			q.Probed = append(q.Probed, p.Probe...)
 			p = r.Plan(t0, q)
 		}
 		assert.Assert(t, rounds <= 12)
--- a/core/route/slow.go
+++ b/core/route/slow.go
@@ -51,7 +51,7 @@
 	Served Result = iota
 	// Broken means that the connection was lost or the upstream failed.
 	Broken
-	// Overdue means that no answer has arrived by the time that Patience
+	// Overdue means that no answer has arrived by the time that OverdueAt
 	// returned. Took is the time so far.
 	Overdue
 )
@@ -218,7 +218,8 @@
 	return draw >= share
 }
 
-// AsideUntil returns until when a host is or was set aside; zero if it never was.
+// AsideUntil returns until when a host is or was set aside; zero if it never
+// was.
 func (r *Router) AsideUntil(service core.ServiceName, host core.HostName) time.Time {
 	if s, ok := r.hostSets[service]; ok {
 		if h, ok := s.hosts[host]; ok {
@@ -228,10 +229,10 @@
 	return time.Time{}
 }
 
-// Patience returns when a request sent at from should be reported as Overdue if
-// it has not ended, or zero while the target's speed is unknown. Without such
-// reports a host that hangs is noticed only when its requests end.
-func (r *Router) Patience(from time.Time, t core.Target, cost int64) time.Time {
+// OverdueAt returns when a request sent at from should be reported as Overdue
+// if it has not ended, or zero while the target's speed is unknown. Without
+// such reports a host that hangs is noticed only when its requests end.
+func (r *Router) OverdueAt(from time.Time, t core.Target, cost int64) time.Time {
 	known, ok := r.speeds.get(t.Name())
 	if !ok {
 		return time.Time{}
--- a/io/agent/sched.go
+++ b/io/agent/sched.go
@@ -181,7 +181,7 @@
 	case ledger.NoMemory, ledger.TooLarge:
 		a.refuseLane(now, l, core.CodeNoMemory, "no accelerator has room for "+l.name)
 	case ledger.Ready, ledger.Coming, ledger.Evicting, ledger.Leaving, ledger.NotReady:
-		a.queue.Ready(now, l.name, a.readyAt(now, l))
+		a.queue.SetReady(now, l.name, a.readyAt(now, l))
 		loop.Poke(a.orders)
 	}
 }
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -115,7 +115,7 @@
 func (e *Entry) Init() {
 	e.router = route.Router{Seed: e.Rand.Uint64()}
 	e.book = strike.Book{Self: e.Name, MaxRecords: maxStrikes}
-	e.queue = queue.Queue{May: e.may}
+	e.queue = queue.Queue{CheckHold: e.may}
 	e.copies = strike.Copies{MaxProven: maxProven}
 	e.hosts = map[core.HostName]*hostState{}
 	e.turns = map[core.RequestID]*turn{}
--- a/io/entry/explain.go
+++ b/io/entry/explain.go
@@ -35,7 +35,7 @@
 	if l := e.lanes[string(name)]; l != nil {
 		d := e.queue.Depth(now, string(name))
 		lines = append(lines, fmt.Sprintf("here %d in progress and %d waiting; one takes about %s, the queue drains one in %s",
-			l.running, d.Items, d.Service, d.Drain))
+			l.running, d.Items, d.ServiceTime, d.DrainTime))
 	}
 	costs := e.costOf(name)
 	lines = append(lines, fmt.Sprintf("a cold start takes about %s from memory, %s from disk, %s from the weight store",
--- a/io/entry/hosts.go
+++ b/io/entry/hosts.go
@@ -73,7 +73,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
-	q := route.Query{Request: r, Here: e.DataCentre, Tried: tried, Asked: asked, Costs: e.costsOf(r.Target)}
+	q := route.Query{Request: r, DataCentre: e.DataCentre, Tried: tried, Probed: asked, Costs: e.costsOf(r.Target)}
 	if entry, ok := e.Snapshot().Entry(r.Target); ok {
 		q.Need = entry.Memory
 	}
--- a/io/entry/keyed.go
+++ b/io/entry/keyed.go
@@ -215,9 +215,9 @@
 func (k *keyed) again(refusal *core.Refusal) bool {
 	d := k.j.e.decide(retry.Case{
 		Request: k.j.call.Request, Attempts: []retry.Attempt{{Host: refusal.Host, Refusal: refusal}},
-		Begun: k.j.call.Answer.Begun(), HostsLeft: 1,
+		AnswerBegun: k.j.call.Answer.Begun(), HostsLeft: 1,
 	})
-	return d.Action == retry.Again
+	return d.Action == retry.RetryNow
 }
 
 // patience is how long an entry waits for an attempt that another sending of the
--- a/io/entry/note.go
+++ b/io/entry/note.go
@@ -23,7 +23,7 @@
 	s.inFlight++
 	s.sent++
 	e.copies.Start(r.Fingerprint, h.Name)
-	e.router.Sent(e.Clock.Now(), r, h.Name)
+	e.router.RecordSent(e.Clock.Now(), r, h.Name)
 	if s.incarnation != 0 {
 		return s.incarnation
 	}
@@ -63,7 +63,7 @@
 func (e *Entry) watchOverdue(h Host, r core.Request, since time.Time) *time.Timer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at := e.router.Patience(since, r.Target, cost(r))
+	at := e.router.OverdueAt(since, r.Target, cost(r))
 	wait := time.Hour
 	if !at.IsZero() {
 		wait = at.Sub(since)
@@ -90,7 +90,7 @@
 func (e *Entry) firstAttempt(set core.ServiceName) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.budgets.First(set)
+	e.budgets.RecordFirst(set)
 }
 
 func (e *Entry) decide(c retry.Case) retry.Decision {
--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -101,14 +101,14 @@
 			return j.over(ctx, c.Attempts, refusal)
 		}
 		c.Attempts = append(c.Attempts, retry.Attempt{Host: refusal.Host, Refusal: refusal})
-		c.Begun = j.call.Answer.Begun()
+		c.AnswerBegun = j.call.Answer.Begun()
 		c.HostsLeft = max(0, len(choices)-1)
 		d := j.e.decide(c)
 		j.e.trail(j.call.Request.ID, j.e.Clock.Now(), "attempt at "+string(refusal.Host)+": "+refusal.Error()+"; "+d.Why.String())
 		switch d.Action {
 		case retry.GiveUp:
 			return d.Refusal
-		case retry.Later:
+		case retry.RetryLater:
 			tried = nil
 			if !j.waitUntil(ctx, d.At) {
 				return j.over(ctx, c.Attempts, refusal)
--- a/io/proxy/call.go
+++ b/io/proxy/call.go
@@ -204,7 +204,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
-	p.window(c.service.Name).First(now)
+	p.window(c.service.Name).RecordFirst(now)
 	if c.query.Model != "" {
 		p.demand.Asked(now, c.query.Model, c.route.Target, &c.ask, c.service)
 	}
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -113,7 +113,7 @@
 	if refusal := c.overloaded(choice); refusal != nil {
 		return nil, false, nil, refusal
 	}
-	if c.sends > 0 && !p.window(c.service.Name).Draw(now) {
+	if c.sends > 0 && !p.window(c.service.Name).Take(now) {
 		p.Meter.Retry(false)
 		return nil, false, nil, c.giveUp()
 	}
