--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -11,9 +11,9 @@
 // records shrinks while requests arrive.
 const sweepCount = 2 * int(scopeCount)
 
-// Admit enforces limits by counting the waiting and running requests of each
+// Limiter enforces limits by counting the waiting and running requests of each
 // name. The zero value is ready for use. It is not safe for concurrent use.
-type Admit struct {
+type Limiter struct {
 	records  map[key]*record
 	requests map[core.RequestID]*heldRequest
 	// idle lists records that hold no request but whose bucket may not be full.
@@ -35,7 +35,7 @@
 // that refuses it is expected to admit it. If several limits refuse it, Check
 // returns the refusal with the latest RetryAt, because the request must pass
 // them all.
-func (a *Admit) Check(now time.Time, r core.Request, b Bounds) *core.Refusal {
+func (a *Limiter) Check(now time.Time, r core.Request, b Bounds) *core.Refusal {
 	var worst *core.Refusal
 	limits := b.limits()
 	for i, k := range keysOf(r) {
@@ -52,7 +52,7 @@
 
 // Take counts the request as waiting and takes its tokens without checking the
 // limits. It does nothing for a request that is held already.
-func (a *Admit) Take(now time.Time, r core.Request, b Bounds) {
+func (a *Limiter) Take(now time.Time, r core.Request, b Bounds) {
 	if _, ok := a.requests[r.ID]; ok {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // Offer calls Check and, if the request is not refused, Take.
-func (a *Admit) Offer(now time.Time, r core.Request, b Bounds) *core.Refusal {
+func (a *Limiter) Offer(now time.Time, r core.Request, b Bounds) *core.Refusal {
 	if ref := a.Check(now, r, b); ref != nil {
 		return ref
 	}
@@ -88,7 +88,7 @@
 
 // CanStart reports whether every concurrency limit admits the waiting request.
 // It returns false for a request that is not held or has started.
-func (a *Admit) CanStart(id core.RequestID) bool {
+func (a *Limiter) CanStart(id core.RequestID) bool {
 	h, ok := a.requests[id]
 	if !ok || !h.started.IsZero() {
 		return false
@@ -100,7 +100,7 @@
 // Blocked returns the widest scope whose concurrency limit keeps a request from
 // starting. It covers all requests of the service, target or owner, or else
 // those of the caller. The result is false if no limit does so.
-func (a *Admit) Blocked(id core.RequestID) (Scope, bool) {
+func (a *Limiter) Blocked(id core.RequestID) (Scope, bool) {
 	h, ok := a.requests[id]
 	if !ok {
 		return 0, false
@@ -119,7 +119,7 @@
 
 // Start moves a waiting request to running. It reports whether the request was
 // waiting. It does not check the limits; see CanStart.
-func (a *Admit) Start(now time.Time, id core.RequestID) bool {
+func (a *Limiter) Start(now time.Time, id core.RequestID) bool {
 	h, ok := a.requests[id]
 	if !ok || !h.started.IsZero() {
 		return false
@@ -137,7 +137,7 @@
 
 // Done releases what the request holds, whether it waits or runs. It reports
 // whether the request was held, so a second call does nothing.
-func (a *Admit) Done(now time.Time, id core.RequestID) bool {
+func (a *Limiter) Done(now time.Time, id core.RequestID) bool {
 	h, ok := a.requests[id]
 	if !ok {
 		return false
@@ -189,7 +189,7 @@
 
 // Use returns the use of an owner, a caller within owner, a model or a service.
 // It ignores owner for the other scopes.
-func (a *Admit) Use(s Scope, owner core.OwnerName, name string) Use {
+func (a *Limiter) Use(s Scope, owner core.OwnerName, name string) Use {
 	if s != Caller {
 		owner = ""
 	}
@@ -200,9 +200,9 @@
 	return Use{Waiting: c.waiting, Running: c.running, Bytes: c.bytes, Limits: c.limits}
 }
 
-// Set applies changed limits to a name in use. For other names the next Check
-// or Take does so.
-func (a *Admit) Set(now time.Time, s Scope, owner core.OwnerName, name string, l core.Limits, sh Share) {
+// SetLimits applies changed limits to a name in use. For other names the next
+// Check or Take does so.
+func (a *Limiter) SetLimits(now time.Time, s Scope, owner core.OwnerName, name string, l core.Limits, sh Share) {
 	if s != Caller {
 		owner = ""
 	}
@@ -212,4 +212,4 @@
 }
 
 // Len returns the number of requests held.
-func (a *Admit) Len() int { return len(a.requests) }
+func (a *Limiter) Len() int { return len(a.requests) }
--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -30,7 +30,7 @@
 	return ref
 }
 
-func wantAdmitted(t *testing.T, a *admit.Admit, now time.Time, b admit.Bounds, ids ...string) {
+func wantAdmitted(t *testing.T, a *admit.Limiter, now time.Time, b admit.Bounds, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
 		ref := a.Offer(now, request(id, "daftar", "k"), b)
@@ -41,7 +41,7 @@
 func TestRate(t *testing.T) {
 	b := admit.Bounds{Owner: core.Limits{Rate: 2, Burst: 3}}
 	t.Run("burst, then the time named", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		wantAdmitted(t, a, t0, b, "1", "2", "3")
 		ref := wantRefusal(t, a.Offer(t0, request("4", "daftar", "k"), b), core.CodeRateLimit)
 		early := ref.RetryAt.Add(-10 * time.Millisecond)
@@ -49,7 +49,7 @@
 		wantAdmitted(t, a, ref.RetryAt, b, "4")
 	})
 	t.Run("refused requests take nothing", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		wantAdmitted(t, a, t0, b, "1", "2", "3")
 		for range 100 {
 			wantRefusal(t, a.Offer(t0, request("x", "daftar", "k"), b), core.CodeRateLimit)
@@ -57,13 +57,13 @@
 		wantAdmitted(t, a, t0.Add(501*time.Millisecond), b, "4")
 	})
 	t.Run("an edit gives no fresh burst", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		wantAdmitted(t, a, t0, b, "1", "2", "3")
 		b := admit.Bounds{Owner: core.Limits{Rate: 2, Burst: 4}}
 		wantRefusal(t, a.Offer(t0, request("4", "daftar", "k"), b), core.CodeRateLimit)
 	})
 	t.Run("coming and going gives no fresh burst", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		for i := range 3 {
 			id := fmt.Sprint(i)
 			wantAdmitted(t, a, t0, b, id)
@@ -72,7 +72,7 @@
 		wantRefusal(t, a.Offer(t0, request("4", "daftar", "k"), b), core.CodeRateLimit)
 	})
 	t.Run("the limit that lasts longest is named", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		b := admit.Bounds{Owner: core.Limits{Rate: 100, Burst: 1}, Caller: core.Limits{Rate: 0.1, Burst: 1}}
 		wantAdmitted(t, a, t0, b, "1")
 		ref := wantRefusal(t, a.Offer(t0, request("2", "daftar", "k"), b), core.CodeRateLimit)
@@ -82,7 +82,7 @@
 
 func TestQueueLimits(t *testing.T) {
 	t.Run("count", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		b := admit.Bounds{Target: core.Limits{Queue: 2}}
 		wantAdmitted(t, a, t0, b, "1", "2")
 		wantRefusal(t, a.Offer(t0, request("3", "daftar", "k"), b), core.CodeQueueFull)
@@ -90,7 +90,7 @@
 		wantAdmitted(t, a, t0, b, "3")
 	})
 	t.Run("bytes, but one large request alone passes", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		b := admit.Bounds{Service: core.Limits{QueueBytes: 150}}
 		big := request("big", "daftar", "k")
 		big.Size = 1000
@@ -105,7 +105,7 @@
 func TestConcurrency(t *testing.T) {
 	b := admit.Bounds{Caller: core.Limits{Concurrency: 1}}
 	t.Run("starts one at a time", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		wantAdmitted(t, a, t0, b, "1", "2")
 		assert.Assert(t, a.CanStart("1") && a.Start(t0, "1"))
 		assert.Assert(t, !a.CanStart("2"))
@@ -114,14 +114,14 @@
 		assert.Assert(t, a.CanStart("2"))
 	})
 	t.Run("callers of other owners do not share it", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		wantAdmitted(t, a, t0, b, "1")
 		assert.Assert(t, a.Start(t0, "1"))
 		assert.Assert(t, a.Offer(t0, request("2", "fasade", "k"), b) == nil)
 		assert.Assert(t, a.CanStart("2"))
 	})
 	t.Run("names the widest limit in the way", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		b := admit.Bounds{Caller: core.Limits{Concurrency: 1}, Target: core.Limits{Concurrency: 2}}
 		wantAdmitted(t, a, t0, b, "1", "2")
 		a.Start(t0, "1")
@@ -135,7 +135,7 @@
 		assert.Assert(t, !held)
 	})
 	t.Run("refused when the backlog outlasts the deadline", func(t *testing.T) {
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		wantAdmitted(t, a, t0, b, "1", "2", "3")
 		a.Start(t0, "1")
 		now := t0.Add(10 * time.Second)
@@ -160,7 +160,7 @@
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			total := 0
 			for rank := range c.entries {
-				a := &admit.Admit{}
+				a := &admit.Limiter{}
 				b := admit.Bounds{Owner: core.Limits{Queue: c.limit}, Share: admit.Share{Entries: c.entries, Rank: rank}}
 				for i := 0; a.Offer(t0, request(fmt.Sprint(i), "daftar", "k"), b) == nil; i++ {
 					total++
@@ -172,7 +172,7 @@
 	t.Run("rate over ten seconds", func(t *testing.T) {
 		total := 0
 		for rank := range 3 {
-			a := &admit.Admit{}
+			a := &admit.Limiter{}
 			b := admit.Bounds{Owner: core.Limits{Rate: 10, Burst: 4}, Share: admit.Share{Entries: 3, Rank: rank}}
 			for ms := range 10_000 {
 				if a.Offer(t0.Add(time.Duration(ms)*time.Millisecond), request(fmt.Sprint(ms), "daftar", "k"), b) == nil {
@@ -187,7 +187,7 @@
 // Names that are no longer in use must not stay in memory. Otherwise a scan
 // over many callers would grow an entry without bound.
 func TestSilentNamesAreForgotten(t *testing.T) {
-	a := &admit.Admit{}
+	a := &admit.Limiter{}
 	b := admit.Bounds{Caller: core.Limits{Rate: 1, Burst: 2}}
 	now := t0
 	for i := range 3000 {
@@ -204,7 +204,7 @@
 func TestCounts(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		a := &admit.Admit{}
+		a := &admit.Limiter{}
 		state := make(map[string]int)
 		now := t0
 		b := admit.Bounds{
@@ -230,7 +230,7 @@
 	running
 )
 
-func step(a *admit.Admit, kind int, now time.Time, id string, state map[string]int, b admit.Bounds) {
+func step(a *admit.Limiter, kind int, now time.Time, id string, state map[string]int, b admit.Bounds) {
 	switch kind {
 	case 0:
 		if state[id] == 0 && a.Offer(now, request(id, "daftar", "k"), b) == nil {
@@ -246,7 +246,7 @@
 	}
 }
 
-func recount(t *testing.T, a *admit.Admit, state map[string]int) {
+func recount(t *testing.T, a *admit.Limiter, state map[string]int) {
 	t.Helper()
 	var w, r int
 	for _, s := range state {
@@ -264,7 +264,7 @@
 }
 
 func BenchmarkOffer(b *testing.B) {
-	a := &admit.Admit{}
+	a := &admit.Limiter{}
 	bounds := admit.Bounds{
 		Owner: core.Limits{Rate: 1e9, Burst: 1e9, Queue: 100}, Caller: core.Limits{Concurrency: 100},
 		Target: core.Limits{QueueBytes: core.GiB}, Service: core.Limits{Queue: 1000},
@@ -280,7 +280,7 @@
 }
 
 func BenchmarkRefuse(b *testing.B) {
-	a := &admit.Admit{}
+	a := &admit.Limiter{}
 	bounds := admit.Bounds{Owner: core.Limits{Queue: 1}}
 	a.Offer(t0, request("1", "daftar", "k"), bounds)
 	r := request("2", "daftar", "k")
--- a/core/admit/allow.go
+++ b/core/admit/allow.go
@@ -22,9 +22,9 @@
 	// at once after a pause. A Rate of zero means no limit.
 	Rate, Burst float64
 	Unit        Unit
-	// Plain is the cost of a request without token counts, for an allowance of
-	// tokens.
-	Plain float64
+	// DefaultUnits is the cost of a request without token counts, for an
+	// allowance of tokens.
+	DefaultUnits float64
 }
 
 // Limited reports whether the allowance limits anything.
@@ -36,7 +36,7 @@
 	case a.Unit == Requests:
 		return 1
 	case !ask.Counted:
-		return a.Plain
+		return a.DefaultUnits
 	}
 	return float64(ask.Prompt + ask.Answer)
 }
--- a/core/admit/choose.go
+++ b/core/admit/choose.go
@@ -40,11 +40,11 @@
 	return ordered[len(ordered)-1]
 }
 
-// Heard records that an entry answered.
-func (c *Chooser) Heard(name core.HostName) { delete(c.failed, name) }
+// RecordAnswer records that an entry answered.
+func (c *Chooser) RecordAnswer(name core.HostName) { delete(c.failed, name) }
 
-// Failed records that an entry did not answer.
-func (c *Chooser) Failed(now time.Time, name core.HostName) {
+// RecordFailure records that an entry did not answer.
+func (c *Chooser) RecordFailure(now time.Time, name core.HostName) {
 	if c.failed == nil {
 		c.failed = map[core.HostName]*failedEntry{}
 	}
--- a/core/admit/choose_test.go
+++ b/core/admit/choose_test.go
@@ -17,14 +17,14 @@
 	order := []core.HostName{"a", "b", "self"}
 	var c admit.Chooser
 	assert.Equal(t, c.Choose(now, order), core.HostName("a"))
-	c.Failed(now, "a")
+	c.RecordFailure(now, "a")
 	assert.Equal(t, c.Choose(now, order), core.HostName("b"))
-	c.Failed(now, "b")
+	c.RecordFailure(now, "b")
 	assert.Equal(t, c.Choose(now, order), core.HostName("self"))
 	now = now.Add(1100 * time.Millisecond)
 	assert.Equal(t, c.Choose(now, order), core.HostName("a"), "it is tried again after a second")
-	c.Failed(now, "a")
+	c.RecordFailure(now, "a")
 	assert.Equal(t, c.Choose(now.Add(1100*time.Millisecond), order), core.HostName("b"), "and later after each failure")
-	c.Heard("a")
+	c.RecordAnswer("a")
 	assert.Equal(t, c.Choose(now, order), core.HostName("a"))
 }
--- a/core/admit/export_test.go
+++ b/core/admit/export_test.go
@@ -1,4 +1,4 @@
 package admit
 
 // Records returns the number of records that a holds.
-func Records(a *Admit) int { return len(a.records) }
+func Records(a *Limiter) int { return len(a.records) }
--- a/core/admit/idle.go
+++ b/core/admit/idle.go
@@ -9,7 +9,7 @@
 // lookup returns the record of a name with the given limits. If there is none,
 // it returns a new record without storing it, so that refused requests leave
 // nothing behind.
-func (a *Admit) lookup(now time.Time, k key, l core.Limits, s Share) *record {
+func (a *Limiter) lookup(now time.Time, k key, l core.Limits, s Share) *record {
 	c, ok := a.records[k]
 	if !ok {
 		c = &record{key: k, idleIndex: -1}
@@ -19,7 +19,7 @@
 }
 
 // retain returns the record of a name and stores it.
-func (a *Admit) retain(now time.Time, k key, l core.Limits, s Share) *record {
+func (a *Limiter) retain(now time.Time, k key, l core.Limits, s Share) *record {
 	c := a.lookup(now, k, l, s)
 	if a.records == nil {
 		a.records = make(map[key]*record)
@@ -34,7 +34,7 @@
 // retire deletes a record that equals a new one, and lists it as idle
 // otherwise. Deleting it before its bucket is full would give its name another
 // burst.
-func (a *Admit) retire(now time.Time, c *record) {
+func (a *Limiter) retire(now time.Time, c *record) {
 	if c.isFresh(now) {
 		delete(a.records, c.key)
 		return
@@ -43,7 +43,7 @@
 	a.idle = append(a.idle, c)
 }
 
-func (a *Admit) removeIdle(c *record) {
+func (a *Limiter) removeIdle(c *record) {
 	last := len(a.idle) - 1
 	moved := a.idle[last]
 	a.idle[c.idleIndex] = moved
@@ -55,7 +55,7 @@
 
 // sweepIdle deletes some idle records whose buckets are full, so that names no
 // longer in use do not stay in memory.
-func (a *Admit) sweepIdle(now time.Time) {
+func (a *Limiter) sweepIdle(now time.Time) {
 	for range min(sweepCount, len(a.idle)) {
 		if a.nextSweep >= len(a.idle) {
 			a.nextSweep = 0
--- a/core/admit/keeper.go
+++ b/core/admit/keeper.go
@@ -58,9 +58,9 @@
 	recountAt time.Time
 }
 
-// Elsewhere records that this entry has delegated its own shares to another
+// Delegate records that this entry has delegated its own shares to another
 // keeper until the given time.
-func (k *Keeper) Elsewhere(now, until time.Time) {
+func (k *Keeper) Delegate(now, until time.Time) {
 	if k.countShares(now) > 1 {
 		return // Other entries still delegate to this one.
 	}
@@ -82,8 +82,8 @@
 	k.countShares(now)
 }
 
-// Leave ends the lease of an entry.
-func (k *Keeper) Leave(from core.HostName) {
+// EndLease ends the lease of an entry.
+func (k *Keeper) EndLease(from core.HostName) {
 	delete(k.leases, from)
 	k.recountAt = time.Time{}
 }
@@ -123,8 +123,8 @@
 	return k.bucket(now, customer, a, entries).take(now, units)
 }
 
-// Put returns units that were not used.
-func (k *Keeper) Put(now time.Time, customer core.OwnerName, a Allowance, entries int, units float64) {
+// Refund returns units that were not used.
+func (k *Keeper) Refund(now time.Time, customer core.OwnerName, a Allowance, entries int, units float64) {
 	k.bucket(now, customer, a, entries).refund(now, units)
 }
 
--- a/core/admit/keeper_test.go
+++ b/core/admit/keeper_test.go
@@ -93,18 +93,18 @@
 		m.renew = f.now.Add(renewInterval)
 		j, _ := slices.BinarySearch(f.names, m.chooser.Choose(f.now, f.names[:i+1]))
 		if old := m.keeperIndex; old != j && old != i && f.reaches(i, old) && (j == i || f.reaches(i, j)) {
-			f.entries[old].keeper.Leave(m.name)
+			f.entries[old].keeper.EndLease(m.name)
 		}
 		switch {
 		case j == i:
 			m.keeperIndex = i
 		case f.reaches(i, j):
-			m.chooser.Heard(f.entries[j].name)
+			m.chooser.RecordAnswer(f.entries[j].name)
 			f.entries[j].keeper.Renew(f.now, m.name, f.now.Add(leaseTime))
-			m.keeper.Elsewhere(f.now, f.now.Add(leaseTime))
+			m.keeper.Delegate(f.now, f.now.Add(leaseTime))
 			m.keeperIndex = j
 		default:
-			m.chooser.Failed(f.now, f.entries[j].name)
+			m.chooser.RecordFailure(f.now, f.entries[j].name)
 			m.renew = f.now // The next entry is tried at once.
 		}
 	}
@@ -161,7 +161,7 @@
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
 func allowanceOf(rate float64) admit.Allowance {
-	return admit.Allowance{Rate: rate, Burst: rate, Unit: admit.Tokens, Plain: 200}
+	return admit.Allowance{Rate: rate, Burst: rate, Unit: admit.Tokens, DefaultUnits: 200}
 }
 
 var sizes = []int{24, 103, 400}
--- a/core/admit/pace.go
+++ b/core/admit/pace.go
@@ -10,9 +10,9 @@
 	// paceIdleTime is how long after its last use the bucket of an upstream is
 	// dropped.
 	paceIdleTime = time.Minute
-	// MostAhead is how far ahead reservations are made. They are lost if the
+	// MaxAhead is how far ahead reservations are made. They are lost if the
 	// caller leaves, and another keeper does not know them.
-	MostAhead = 300 * time.Millisecond
+	MaxAhead = 300 * time.Millisecond
 )
 
 // Reserve makes the next reservation at an upstream that accepts rate requests
@@ -23,7 +23,7 @@
 // many times as much to an overloaded upstream. If the rate were divided, the
 // shares of entries without requests would be unused.
 func (k *Keeper) Reserve(now time.Time, upstream core.HostName, rate float64, entries int, by time.Time) (at time.Time, ok bool) {
-	if latest := now.Add(MostAhead); by.After(latest) {
+	if latest := now.Add(MaxAhead); by.After(latest) {
 		by = latest
 	}
 	return k.paceBucket(now, upstream, rate, entries).reserve(now, by)
@@ -46,7 +46,7 @@
 	}
 	share := k.share(now, entries)
 	b.reshape(now, rate*share, max(1, rate*share))
-	b.level -= rate * MostAhead.Seconds() * max(0, share-b.share)
+	b.level -= rate * MaxAhead.Seconds() * max(0, share-b.share)
 	b.share = share
 	return b
 }
--- a/core/admit/pace_test.go
+++ b/core/admit/pace_test.go
@@ -26,7 +26,7 @@
 	if m.keeperIndex != i && f.reaches(i, m.keeperIndex) {
 		keeper = f.entries[m.keeperIndex].keeper
 	}
-	if at, ok := keeper.Reserve(f.now, "u", rate, len(f.entries), f.now.Add(admit.MostAhead)); ok {
+	if at, ok := keeper.Reserve(f.now, "u", rate, len(f.entries), f.now.Add(admit.MaxAhead)); ok {
 		f.used = append(f.used, usage{at, 1})
 	}
 }
--- a/core/admit/play_test.go
+++ b/core/admit/play_test.go
@@ -56,7 +56,7 @@
 
 // run simulates workloads with one FIFO queue, with or without limits.
 func run(limits bool, workloads ...workload) map[string]*result {
-	a := &admit.Admit{}
+	a := &admit.Limiter{}
 	results := make(map[string]*result)
 	var waiting, running []simRequest
 	requests := generate(workloads)
@@ -82,7 +82,7 @@
 	return results
 }
 
-func admitOrRefuse(a *admit.Admit, now time.Time, j simRequest, limits bool, results map[string]*result) []simRequest {
+func admitOrRefuse(a *admit.Limiter, now time.Time, j simRequest, limits bool, results map[string]*result) []simRequest {
 	r := results[string(j.Owner)]
 	if r == nil {
 		r = &result{}
@@ -96,7 +96,7 @@
 	return []simRequest{j}
 }
 
-func finishIfDone(a *admit.Admit, now time.Time, j simRequest, results map[string]*result) bool {
+func finishIfDone(a *admit.Limiter, now time.Time, j simRequest, results map[string]*result) bool {
 	if j.end.After(now) {
 		return false
 	}
--- a/core/admit/scope.go
+++ b/core/admit/scope.go
@@ -67,7 +67,7 @@
 	// smoothed time between two such events. Both are zero while unknown.
 	lastLeft      time.Time
 	leaveInterval time.Duration
-	// idleIndex is the record's index in Admit.idle, or -1.
+	// idleIndex is the record's index in Limiter.idle, or -1.
 	idleIndex int
 }
 
--- a/core/rtable/customer.go
+++ b/core/rtable/customer.go
@@ -40,7 +40,7 @@
 			return &CustomerError{Customer: c.Name, Reason: "it has no name"}
 		case t.byName[c.Name] != nil:
 			return &CustomerError{Customer: c.Name, Reason: "it is listed twice"}
-		case a.Rate < 0 || a.Burst < 0 || a.Plain < 0:
+		case a.Rate < 0 || a.Burst < 0 || a.DefaultUnits < 0:
 			return &CustomerError{Customer: c.Name, Reason: "its allowance is negative"}
 		}
 		t.byName[c.Name] = c
--- a/core/slots/local.go
+++ b/core/slots/local.go
@@ -65,7 +65,7 @@
 // transfer, which is zero if it failed.
 func (l *Local) End(size core.Bytes, took time.Duration) {
 	l.running = max(0, l.running-1)
-	l.Learn(size, took)
+	l.Observe(size, took)
 	if took <= 0 || size <= 0 || speedOf(size, took) < slowRatio*l.fastest {
 		l.scaleRate(rateDecrease)
 		return
@@ -73,10 +73,10 @@
 	l.scaleRate(rateIncrease)
 }
 
-// Learn records the duration of a transfer that ran under a slot. Without it an
-// agent that loses the decider under high load would take the speed of the
+// Observe records the duration of a transfer that ran under a slot. Without it
+// an agent that loses the decider under high load would take the speed of the
 // overloaded store, the first that it measures, for the full speed.
-func (l *Local) Learn(size core.Bytes, took time.Duration) {
+func (l *Local) Observe(size core.Bytes, took time.Duration) {
 	if took > 0 && size > 0 {
 		l.fastest = max(l.fastest, speedOf(size, took))
 	}
--- a/core/slots/play_test.go
+++ b/core/slots/play_test.go
@@ -57,7 +57,7 @@
 }
 
 type simLoad struct {
-	ask     Ask
+	request Request
 	agent   int
 	arrived time.Time
 	began   time.Time
@@ -69,7 +69,7 @@
 func newSimulation(s *simStore, p *Pool) *simulation {
 	s.factor, s.updatedAt = 1, start
 	if p != nil {
-		p.Begins = start.Add(-Lifetime)
+		p.DeciderSince = start.Add(-Lifetime)
 	}
 	return &simulation{rng: rand.New(rand.NewPCG(7, 7)), now: start, store: s, pool: p, loads: make(map[string]*simLoad)}
 }
@@ -89,11 +89,11 @@
 }
 
 // request makes an agent request a load.
-func (p *simulation) request(agent int, a Ask) *simLoad {
-	a.ID = fmt.Sprintf("load-%05d", len(p.loads))
-	a.Host = core.HostName(fmt.Sprint("upstream-", agent))
-	l := &simLoad{ask: a, agent: agent, arrived: p.now}
-	p.loads[a.ID] = l
+func (p *simulation) request(agent int, r Request) *simLoad {
+	r.ID = fmt.Sprintf("load-%05d", len(p.loads))
+	r.Host = core.HostName(fmt.Sprint("upstream-", agent))
+	l := &simLoad{request: r, agent: agent, arrived: p.now}
+	p.loads[r.ID] = l
 	switch {
 	case p.pool != nil:
 		p.renew(l)
@@ -110,8 +110,8 @@
 	if l.dead || !l.ended.IsZero() || p.pool == nil {
 		return
 	}
-	l.ask.Holding = l.reading
-	p.handleGrants(p.pool.Ask(p.now, l.ask))
+	l.request.Holding = l.reading
+	p.handleGrants(p.pool.Request(p.now, l.request))
 	p.schedule(RenewAfter, func() { p.renew(l) })
 }
 
@@ -146,7 +146,7 @@
 func (p *simulation) startTransfer(l *simLoad) {
 	l.reading, l.began = true, p.now
 	p.advance()
-	p.store.transfers = append(p.store.transfers, &transfer{remaining: float64(l.ask.Size), done: func() { p.finish(l) }})
+	p.store.transfers = append(p.store.transfers, &transfer{remaining: float64(l.request.Size), done: func() { p.finish(l) }})
 	p.store.maxTransfers = max(p.store.maxTransfers, len(p.store.transfers))
 	p.scheduleCompletion()
 }
@@ -158,9 +158,9 @@
 	switch {
 	case l.dead:
 	case p.pool != nil:
-		p.handleGrants(p.pool.Release(p.now, l.ask.ID, took))
+		p.handleGrants(p.pool.Release(p.now, l.request.ID, took))
 	case p.locals != nil:
-		p.locals[l.agent].End(l.ask.Size, took)
+		p.locals[l.agent].End(l.request.Size, took)
 	}
 }
 
--- a/core/slots/pool.go
+++ b/core/slots/pool.go
@@ -17,8 +17,9 @@
 	RenewAfter = 800 * time.Millisecond
 )
 
-// Ask is an agent's request for a slot, or the renewal of a slot or request.
-type Ask struct {
+// Request is an agent's request for a slot, or the renewal of a slot or
+// request.
+type Request struct {
 	// ID identifies the load. Repeating a request with the same ID only renews
 	// it.
 	ID    string
@@ -50,11 +51,11 @@
 	Rate float64
 	// Parallel is the number of transfers that the store moves at full speed.
 	Parallel int
-	// Begins is when this entry became the decider. The pool grants no new slot
-	// until one Lifetime later. By then all holders of slots of the previous
-	// decider have renewed them here or lost them. Without the wait, a change
-	// of decider would double the transfers in flight.
-	Begins time.Time
+	// DeciderSince is when this entry became the decider. The pool grants no
+	// new slot until one Lifetime later. By then all holders of slots of the
+	// previous decider have renewed them here or lost them. Without the wait, a
+	// change of decider would double the transfers in flight.
+	DeciderSince time.Time
 
 	startLimiter *rate.Limiter
 	held         map[string]*slot
@@ -68,26 +69,26 @@
 }
 
 type slot struct {
-	ask       Ask
+	request   Request
 	expires   time.Time
 	grantedAt time.Time
 	// startSlotSeconds is the pool's slotSeconds when the slot was granted.
 	startSlotSeconds float64
 }
 
-// Ask handles a request or a renewal. A waiting request that is not renewed for
-// a Lifetime is dropped.
-func (p *Pool) Ask(now time.Time, a Ask) []Grant {
+// Request handles a request or a renewal. A waiting request that is not renewed
+// for a Lifetime is dropped.
+func (p *Pool) Request(now time.Time, r Request) []Grant {
 	p.init()
-	if s := p.held[a.ID]; s != nil {
+	if s := p.held[r.ID]; s != nil {
 		s.expires = now.Add(Lifetime)
-		return append(p.grantFree(now), Grant{ID: a.ID, Host: a.Host, Expires: s.expires})
+		return append(p.grantFree(now), Grant{ID: r.ID, Host: r.Host, Expires: s.expires})
 	}
-	if a.Holding {
-		p.queue.remove(a.ID)
-		return append(p.grantFree(now), p.grant(now, a))
+	if r.Holding {
+		p.queue.remove(r.ID)
+		return append(p.grantFree(now), p.grant(now, r))
 	}
-	p.queue.add(now, a)
+	p.queue.add(now, r)
 	return p.grantFree(now)
 }
 
@@ -99,7 +100,7 @@
 	p.queue.remove(id)
 	if s := p.held[id]; s != nil {
 		p.updateSlotSeconds(now)
-		p.knee.observe(now, p.meanConcurrency(now, s), s.ask.Size, took)
+		p.knee.observe(now, p.meanConcurrency(now, s), s.request.Size, took)
 		delete(p.held, id)
 	}
 	return p.grantFree(now)
@@ -118,7 +119,7 @@
 		return time.Time{}
 	}
 	next := now.Add(RenewAfter)
-	if open := p.Begins.Add(Lifetime); now.Before(open) {
+	if open := p.DeciderSince.Add(Lifetime); now.Before(open) {
 		return open
 	}
 	for _, s := range p.held {
@@ -156,7 +157,7 @@
 func (p *Pool) grantFree(now time.Time) []Grant {
 	p.expire(now)
 	var out []Grant
-	if now.Before(p.Begins.Add(Lifetime)) {
+	if now.Before(p.DeciderSince.Add(Lifetime)) {
 		return nil
 	}
 	for p.queue.len() > 0 && len(p.held) < p.Limit(now) && p.startLimiter.AllowN(now, 1) {
@@ -165,11 +166,11 @@
 	return out
 }
 
-func (p *Pool) grant(now time.Time, a Ask) Grant {
+func (p *Pool) grant(now time.Time, r Request) Grant {
 	p.updateSlotSeconds(now)
-	s := &slot{ask: a, expires: now.Add(Lifetime), grantedAt: now, startSlotSeconds: p.slotSeconds}
-	p.held[a.ID] = s
-	return Grant{ID: a.ID, Host: a.Host, Expires: s.expires}
+	s := &slot{request: r, expires: now.Add(Lifetime), grantedAt: now, startSlotSeconds: p.slotSeconds}
+	p.held[r.ID] = s
+	return Grant{ID: r.ID, Host: r.Host, Expires: s.expires}
 }
 
 // updateSlotSeconds adds the time since the last update. It is called before
--- a/core/slots/pool_test.go
+++ b/core/slots/pool_test.go
@@ -27,7 +27,7 @@
 // loads is interactive.
 func requestBurst(p *simulation, n int, size core.Bytes) {
 	for i := range n {
-		a := Ask{Size: size, Owner: core.OwnerName(fmt.Sprint("owner-", i%50))}
+		a := Request{Size: size, Owner: core.OwnerName(fmt.Sprint("owner-", i%50))}
 		switch {
 		case i%5 == 0:
 			a.Class, a.Deadline = core.Interactive, start.Add(90*time.Second)
@@ -40,9 +40,9 @@
 	}
 }
 
-func inTime(l *simLoad) bool { return !l.ended.After(l.ask.Deadline) }
+func inTime(l *simLoad) bool { return !l.ended.After(l.request.Deadline) }
 
-func interactive(l *simLoad) bool { return l.ask.Class == core.Interactive }
+func interactive(l *simLoad) bool { return l.request.Class == core.Interactive }
 
 // A thousand models are requested at once. If all are read at once, each takes
 // as long as all together, and interactive requests wait as long as overnight
@@ -63,7 +63,7 @@
 	assert.Equal(t, len(waits(limited.done, interactiveInTime)), 200)
 	assert.Equal(t, limited.store.maxTransfers, 4)
 	// Overnight loads are not starved while the others wait.
-	overnight := waits(limited.done, func(l *simLoad) bool { return l.ask.Class == core.Overnight })
+	overnight := waits(limited.done, func(l *simLoad) bool { return l.request.Class == core.Overnight })
 	assert.Assert(t, overnight[0] < 10*time.Second)
 	assert.Equal(t, len(limited.done), 1000)
 }
@@ -93,7 +93,7 @@
 			p := newSimulation(s, &Pool{Rate: 4, Parallel: 4})
 			for i := range 400 {
 				p.schedule(time.Duration(i)*800*time.Millisecond, func() {
-					p.request(i, Ask{Size: core.GiB, Deadline: start.Add(time.Hour)})
+					p.request(i, Request{Size: core.GiB, Deadline: start.Add(time.Hour)})
 				})
 			}
 			p.run(30 * time.Second)
@@ -128,16 +128,16 @@
 func TestFewOwnersWithMostLoads(t *testing.T) {
 	p := newSimulation(modelStore(), &Pool{Rate: 4, Parallel: 4})
 	for i := range 450 {
-		p.request(i, Ask{Size: core.GiB, Owner: "large", Deadline: start.Add(10 * time.Minute)})
+		p.request(i, Request{Size: core.GiB, Owner: "large", Deadline: start.Add(10 * time.Minute)})
 	}
 	p.run(time.Second)
 	for i := range 20 {
-		p.request(450+i, Ask{Size: core.GiB, Owner: core.OwnerName(fmt.Sprint("small-", i%10)), Deadline: start.Add(11 * time.Minute)})
+		p.request(450+i, Request{Size: core.GiB, Owner: core.OwnerName(fmt.Sprint("small-", i%10)), Deadline: start.Add(11 * time.Minute)})
 	}
 	p.run(10 * time.Minute)
-	small := waits(p.done, func(l *simLoad) bool { return l.ask.Owner != "large" })
+	small := waits(p.done, func(l *simLoad) bool { return l.request.Owner != "large" })
 	report(t, "small owners", small)
-	report(t, "large owner", waits(p.done, func(l *simLoad) bool { return l.ask.Owner == "large" }))
+	report(t, "large owner", waits(p.done, func(l *simLoad) bool { return l.request.Owner == "large" }))
 	assert.Equal(t, len(small), 20)
 	assert.Assert(t, small[19] < 15*time.Second)
 }
@@ -145,15 +145,15 @@
 // A host crashes while it reads. Its slot must become free, but not before it
 // has not been renewed for a Lifetime.
 func TestHolderDies(t *testing.T) {
-	p := &Pool{Parallel: 1, Begins: start.Add(-Lifetime)}
+	p := &Pool{Parallel: 1, DeciderSince: start.Add(-Lifetime)}
 	far := start.Add(time.Hour)
-	assert.Equal(t, len(p.Ask(start, Ask{ID: "a", Deadline: far})), 1)
-	assert.Equal(t, len(p.Ask(start, Ask{ID: "b", Deadline: far})), 0)
+	assert.Equal(t, len(p.Request(start, Request{ID: "a", Deadline: far})), 1)
+	assert.Equal(t, len(p.Request(start, Request{ID: "b", Deadline: far})), 0)
 	renewed := start.Add(Lifetime / 2)
-	assert.Equal(t, len(p.Ask(renewed, Ask{ID: "a", Deadline: far, Holding: true})), 1)
-	p.Ask(renewed, Ask{ID: "b", Deadline: far})
+	assert.Equal(t, len(p.Request(renewed, Request{ID: "a", Deadline: far, Holding: true})), 1)
+	p.Request(renewed, Request{ID: "b", Deadline: far})
 	assert.Equal(t, len(p.Tick(start.Add(Lifetime))), 0)
-	p.Ask(start.Add(Lifetime), Ask{ID: "b", Deadline: far})
+	p.Request(start.Add(Lifetime), Request{ID: "b", Deadline: far})
 	g := p.Tick(renewed.Add(Lifetime))
 	assert.Equal(t, len(g), 1)
 	assert.Equal(t, g[0].ID, "b")
@@ -164,11 +164,11 @@
 func TestDeciderChanges(t *testing.T) {
 	p := newSimulation(modelStore(), &Pool{Rate: 4, Parallel: 4})
 	for i := range 200 {
-		p.request(i, Ask{Size: 5 * core.GiB, Deadline: start.Add(time.Hour)})
+		p.request(i, Request{Size: 5 * core.GiB, Deadline: start.Add(time.Hour)})
 	}
 	for range 5 {
 		p.run(23 * time.Second)
-		p.pool = &Pool{Rate: 4, Parallel: 4, Begins: p.now}
+		p.pool = &Pool{Rate: 4, Parallel: 4, DeciderSince: p.now}
 		p.nextTick = time.Time{}
 	}
 	p.run(20 * time.Minute)
@@ -178,9 +178,9 @@
 
 // A load for which no request waits any more gets no slot.
 func TestPassedDeadlineLeavesQueue(t *testing.T) {
-	p := &Pool{Parallel: 1, Begins: start.Add(-Lifetime)}
-	p.Ask(start, Ask{ID: "a", Deadline: start.Add(time.Hour)})
-	p.Ask(start, Ask{ID: "b", Deadline: start.Add(time.Second)})
+	p := &Pool{Parallel: 1, DeciderSince: start.Add(-Lifetime)}
+	p.Request(start, Request{ID: "a", Deadline: start.Add(time.Hour)})
+	p.Request(start, Request{ID: "b", Deadline: start.Add(time.Second)})
 	assert.Equal(t, len(p.Release(start.Add(2*time.Second), "a", time.Second)), 0)
 	assert.Equal(t, p.Waiting(), 0)
 }
@@ -193,14 +193,14 @@
 		p := newSimulation(modelStore(), nil)
 		for i := range 18 {
 			l := &Local{Rate: 4, Parallel: 4, Agents: 18, Random: rand.New(rand.NewPCG(uint64(i), 3))}
-			l.Learn(core.GiB, time.Second)
+			l.Observe(core.GiB, time.Second)
 			p.locals = append(p.locals, l)
 		}
 		return p
 	}
 	limited, unlimited := fleet(), newSimulation(modelStore(), nil)
 	for i := range 180 {
-		a := Ask{Size: core.GiB, Deadline: start.Add(time.Hour)}
+		a := Request{Size: core.GiB, Deadline: start.Add(time.Hour)}
 		limited.request(i%18, a)
 		unlimited.request(i%18, a)
 	}
@@ -215,7 +215,7 @@
 	assert.Assert(t, quantile(waits(limited.done, all), 0.5) < quantile(waits(unlimited.done, all), 0.5))
 	single := fleet()
 	for range 10 {
-		single.request(3, Ask{Size: core.GiB, Deadline: start.Add(time.Hour)})
+		single.request(3, Request{Size: core.GiB, Deadline: start.Add(time.Hour)})
 	}
 	single.run(10 * time.Minute)
 	report(t, "one agent alone", waits(single.done, all))
@@ -230,11 +230,11 @@
 	limited, unlimited := newSimulation(modelStore(), nil), newSimulation(modelStore(), nil)
 	for i := range 640 {
 		l := &Local{Rate: 4, Parallel: 4, Agents: 640, Random: rand.New(rand.NewPCG(uint64(i), 3))}
-		l.Learn(core.GiB, time.Second)
+		l.Observe(core.GiB, time.Second)
 		limited.locals = append(limited.locals, l)
 	}
 	for i := range 640 * 3 {
-		a := Ask{Size: core.GiB, Deadline: start.Add(time.Hour)}
+		a := Request{Size: core.GiB, Deadline: start.Add(time.Hour)}
 		limited.request(i%640, a)
 		unlimited.request(i%640, a)
 	}
@@ -252,10 +252,10 @@
 func TestWaitQueueAgainstNaive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	var l waitQueue
-	naive := make(map[string]Ask)
+	naive := make(map[string]Request)
 	lastServed := make(map[core.OwnerName]int)
 	for step := range 5000 {
-		a := Ask{
+		a := Request{
 			ID: fmt.Sprint(rng.IntN(200)), Owner: core.OwnerName(fmt.Sprint(rng.IntN(9))),
 			Class: core.Evening, Deadline: start.Add(time.Duration(rng.IntN(1000)) * time.Second),
 		}
@@ -270,7 +270,7 @@
 			if len(naive) == 0 {
 				continue
 			}
-			var want Ask
+			var want Request
 			for _, n := range naive {
 				if want.ID == "" || naiveLess(lastServed, n, want) {
 					want = n
@@ -284,7 +284,7 @@
 	}
 }
 
-func naiveLess(lastServed map[core.OwnerName]int, a, b Ask) bool {
+func naiveLess(lastServed map[core.OwnerName]int, a, b Request) bool {
 	if lastServed[a.Owner] != lastServed[b.Owner] {
 		return lastServed[a.Owner] < lastServed[b.Owner]
 	}
@@ -300,9 +300,9 @@
 func BenchmarkPool(b *testing.B) {
 	for _, waiting := range []int{10, 1000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
-			p := &Pool{Parallel: 30, Begins: start.Add(-Lifetime)}
+			p := &Pool{Parallel: 30, DeciderSince: start.Add(-Lifetime)}
 			for i := range waiting {
-				p.Ask(start, Ask{ID: fmt.Sprint(i), Owner: core.OwnerName(fmt.Sprint(i % 50)), Deadline: start.Add(time.Hour)})
+				p.Request(start, Request{ID: fmt.Sprint(i), Owner: core.OwnerName(fmt.Sprint(i % 50)), Deadline: start.Add(time.Hour)})
 			}
 			ids := make([]string, 0, 30)
 			for i := range 30 {
@@ -311,7 +311,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				id := fmt.Sprint(waiting + i)
-				p.Ask(start, Ask{ID: id, Owner: core.OwnerName(fmt.Sprint(i % 50)), Deadline: start.Add(time.Hour)})
+				p.Request(start, Request{ID: id, Owner: core.OwnerName(fmt.Sprint(i % 50)), Deadline: start.Add(time.Hour)})
 				for _, g := range p.Release(start, ids[i%len(ids)], time.Millisecond) {
 					ids[i%len(ids)] = g.ID
 				}
--- a/core/slots/wait.go
+++ b/core/slots/wait.go
@@ -41,7 +41,7 @@
 }
 
 type waiter struct {
-	ask       Ask
+	request   Request
 	renewedAt time.Time
 	// index is the position in the heap of the owner.
 	index int
@@ -50,31 +50,31 @@
 func (q *waitQueue) len() int { return len(q.waiting) }
 
 // add adds a request or renews it. An unknown class counts as overnight.
-func (q *waitQueue) add(now time.Time, a Ask) {
+func (q *waitQueue) add(now time.Time, r Request) {
 	if q.waiting == nil {
 		q.waiting = make(map[string]*waiter)
 		q.lastServed = make(map[core.OwnerName]uint64)
 	}
-	a.Class = min(a.Class, core.Overnight)
-	if w := q.waiting[a.ID]; w != nil && sameOrder(w.ask, a) {
+	r.Class = min(r.Class, core.Overnight)
+	if w := q.waiting[r.ID]; w != nil && sameOrder(w.request, r) {
 		w.renewedAt = now
 		return
 	}
-	q.remove(a.ID)
-	class := &q.classes[a.Class]
+	q.remove(r.ID)
+	class := &q.classes[r.Class]
 	if class.count == 0 {
 		q.activate(class)
 	}
 	class.count++
-	w := &waiter{ask: a, renewedAt: now}
-	q.waiting[a.ID] = w
-	if class.owners[a.Owner] == nil {
-		class.owners[a.Owner] = &waiterHeap{}
+	w := &waiter{request: r, renewedAt: now}
+	q.waiting[r.ID] = w
+	if class.owners[r.Owner] == nil {
+		class.owners[r.Owner] = &waiterHeap{}
 	}
-	heap.Push(class.owners[a.Owner], w)
+	heap.Push(class.owners[r.Owner], w)
 }
 
-func sameOrder(a, b Ask) bool {
+func sameOrder(a, b Request) bool {
 	return a.Class == b.Class && a.Owner == b.Owner && a.Deadline.Equal(b.Deadline)
 }
 
@@ -98,13 +98,13 @@
 	if w == nil {
 		return
 	}
-	class := &q.classes[w.ask.Class]
+	class := &q.classes[w.request.Class]
 	class.count--
 	delete(q.waiting, id)
-	owner := class.owners[w.ask.Owner]
+	owner := class.owners[w.request.Owner]
 	heap.Remove(owner, w.index)
 	if owner.Len() == 0 {
-		delete(class.owners, w.ask.Owner)
+		delete(class.owners, w.request.Owner)
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 	q.nextSweep = now.Add(sweepInterval)
 	for id, w := range q.waiting {
-		if !now.Before(w.renewedAt.Add(Lifetime)) || now.After(w.ask.Deadline) {
+		if !now.Before(w.renewedAt.Add(Lifetime)) || now.After(w.request.Deadline) {
 			q.remove(id)
 		}
 	}
@@ -130,14 +130,14 @@
 }
 
 // pop removes the request to serve next. The queue must not be empty.
-func (q *waitQueue) pop() Ask {
+func (q *waitQueue) pop() Request {
 	class := q.nextClass()
 	w := class.nextOwner(q.lastServed)
-	q.remove(w.ask.ID)
-	class.virtualTime += 1 / weights[w.ask.Class]
+	q.remove(w.request.ID)
+	class.virtualTime += 1 / weights[w.request.Class]
 	q.serveCount++
-	q.lastServed[w.ask.Owner] = q.serveCount
-	return w.ask
+	q.lastServed[w.request.Owner] = q.serveCount
+	return w.request
 }
 
 func (q *waitQueue) nextClass() *classQueue {
@@ -169,7 +169,7 @@
 	if served != otherServed {
 		return served < otherServed
 	}
-	if c := (*queue)[0].ask.Deadline.Compare((*other)[0].ask.Deadline); c != 0 {
+	if c := (*queue)[0].request.Deadline.Compare((*other)[0].request.Deadline); c != 0 {
 		return c < 0
 	}
 	return owner < otherOwner
@@ -180,10 +180,10 @@
 
 func (h waiterHeap) Len() int { return len(h) }
 func (h waiterHeap) Less(i, j int) bool {
-	if c := h[i].ask.Deadline.Compare(h[j].ask.Deadline); c != 0 {
+	if c := h[i].request.Deadline.Compare(h[j].request.Deadline); c != 0 {
 		return c < 0
 	}
-	return h[i].ask.ID < h[j].ask.ID
+	return h[i].request.ID < h[j].request.ID
 }
 
 func (h waiterHeap) Swap(i, j int) {
--- a/io/agent/slots.go
+++ b/io/agent/slots.go
@@ -25,7 +25,7 @@
 
 // slot is leave to read one item from the weight store, or the wish for it.
 type slot struct {
-	ask     slots.Ask
+	ask     slots.Request
 	name    core.ModelName
 	adapter bool
 	granted bool
@@ -46,7 +46,7 @@
 	s := a.slots[name]
 	if s == nil {
 		s = &slot{name: name, adapter: base != "", next: now}
-		s.ask = slots.Ask{ID: string(a.Host) + "/" + string(name), Host: a.Host, Class: class, Deadline: deadline}
+		s.ask = slots.Request{ID: string(a.Host) + "/" + string(name), Host: a.Host, Class: class, Deadline: deadline}
 		if e, ok := a.Snapshot().Model(name); ok {
 			s.ask.Owner, s.ask.Size = e.Owner, e.Memory
 		}
@@ -76,7 +76,7 @@
 		a.localOf(s).End(s.ask.Size, took)
 		return
 	}
-	a.localOf(s).Learn(s.ask.Size, took)
+	a.localOf(s).Observe(s.ask.Size, took)
 	a.work.Add(1)
 	go func() {
 		defer a.work.Done()
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -78,7 +78,7 @@
 	Tell func(core.HostName, []strike.Record)
 
 	mu      sync.Mutex
-	admit   admit.Admit
+	admit   admit.Limiter
 	queue   queue.Queue
 	router  route.Router
 	budgets retry.Budgets
--- a/io/node/slots.go
+++ b/io/node/slots.go
@@ -37,8 +37,8 @@
 	if fresh {
 		begins = begins.Add(-slots.Lifetime)
 	}
-	s.models = slots.Pool{Rate: s.limits.Starts, Parallel: s.limits.Parallel, Begins: begins}
-	s.adapters = slots.Pool{Parallel: s.limits.Adapters, Begins: begins}
+	s.models = slots.Pool{Rate: s.limits.Starts, Parallel: s.limits.Parallel, DeciderSince: begins}
+	s.adapters = slots.Pool{Parallel: s.limits.Adapters, DeciderSince: begins}
 }
 
 // serve answers an agent. A slot granted to another load meanwhile is found by
@@ -58,7 +58,7 @@
 		pool.Release(now, c.GetId(), time.Duration(c.GetTook()))
 		return &wire.SlotReply{}
 	}
-	grants := pool.Ask(now, slots.Ask{
+	grants := pool.Request(now, slots.Request{
 		ID: c.GetId(), Host: core.HostName(c.GetHost()), Owner: core.OwnerName(c.GetOwner()), Class: core.Class(c.GetClass()),
 		Deadline: relay.Time(c.GetDeadline()), Size: core.Bytes(c.GetBytes()), Holding: c.GetHolding(),
 	})
--- a/io/proxy/customer_test.go
+++ b/io/proxy/customer_test.go
@@ -60,7 +60,7 @@
 }
 
 func customer(name core.OwnerName, rank int, keys ...string) *rtable.Customer {
-	c := &rtable.Customer{Name: name, Rank: &rank, Allowance: admit.Allowance{Rate: 100, Unit: admit.Tokens, Plain: 10}}
+	c := &rtable.Customer{Name: name, Rank: &rank, Allowance: admit.Allowance{Rate: 100, Unit: admit.Tokens, DefaultUnits: 10}}
 	for _, k := range keys {
 		c.Keys = append(c.Keys, core.DigestOf(k))
 	}
--- a/io/proxy/reserve.go
+++ b/io/proxy/reserve.go
@@ -14,7 +14,7 @@
 // caller bears the wait, or the model will be at another host before.
 func (c *call) awaits(choice fleet.Choice) bool {
 	switch {
-	case choice.Paced <= admit.MostAhead:
+	case choice.Paced <= admit.MaxAhead:
 		return false
 	case c.begun || c.ran > 0 || !choice.Overloaded(c.route.Target):
 		return true
@@ -31,7 +31,7 @@
 		return true
 	}
 	began := p.Clock.Now()
-	at, ok := p.Pacer.Reserve(ctx, t.id, t.limit.Rate, began.Add(admit.MostAhead))
+	at, ok := p.Pacer.Reserve(ctx, t.id, t.limit.Rate, began.Add(admit.MaxAhead))
 	p.Update(func(_ *fleet.View, now time.Time) { t.host.NoteReservation(now, at, ok) })
 	if ok {
 		t.reserved = true
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -100,7 +100,7 @@
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
 	choice := p.view.Pick(now, &c.query)
-	if c.failure != nil && (choice.Host == nil || choice.Paced > admit.MostAhead) {
+	if c.failure != nil && (choice.Host == nil || choice.Paced > admit.MaxAhead) {
 		return nil, false, nil, c.lost() // the failure is the answer
 	}
 	if choice.Host == nil {
--- a/io/quota/quota.go
+++ b/io/quota/quota.go
@@ -273,14 +273,14 @@
 	now := q.Clock.Now()
 	if ctx.Err() == nil || err == nil {
 		// A call that failed may have arrived all the same.
-		q.keeper.Elsewhere(now, now.Add(leaveFor))
+		q.keeper.Delegate(now, now.Add(leaveFor))
 	}
 	switch {
 	case err != nil && ctx.Err() == nil:
 		events.Fail(events.PeerUnreachable, err, "address", to.Control)
-		q.chooser.Failed(now, to.Name)
+		q.chooser.RecordFailure(now, to.Name)
 	case err == nil:
-		q.chooser.Heard(to.Name)
+		q.chooser.RecordAnswer(to.Name)
 	}
 	return reply, err
 }
@@ -292,7 +292,7 @@
 	if c.GetLeave() > 0 {
 		q.keeper.Renew(now, from, now.Add(min(leaveFor, time.Duration(c.GetLeave()))))
 	} else {
-		q.keeper.Leave(from)
+		q.keeper.EndLease(from)
 	}
 	q.mu.Unlock()
 	return q.serve(c.GetUses()), nil
@@ -339,7 +339,7 @@
 	defer q.mu.Unlock()
 	now := q.Clock.Now()
 	if back := u.GetBack(); back > 0 {
-		q.keeper.Put(now, customer, allowance, entries, back)
+		q.keeper.Refund(now, customer, allowance, entries, back)
 	}
 	if u.GetTake() <= 0 {
 		return &wire.AllowanceAnswer{Taken: true}
