--- a/core/admit/choose_test.go
+++ b/core/admit/choose_test.go
@@ -10,20 +10,21 @@
 	"radishwell/core/admit"
 )
 
-// Guards against an entry that asks one keeper again and again that does not answer.
+// This test guards against an entry that repeatedly calls a keeper that does
+// not answer.
 func TestChooser(t *testing.T) {
 	now := time.Unix(1000, 0)
 	order := []core.HostName{"a", "b", "self"}
 	var c admit.Chooser
 	assert.Equal(t, c.Choose(now, order), core.HostName("a"))
-	c.Failed(now, "a")
+	c.RecordFailure(now, "a")
 	assert.Equal(t, c.Choose(now, order), core.HostName("b"))
-	c.Failed(now, "b")
+	c.RecordFailure(now, "b")
 	assert.Equal(t, c.Choose(now, order), core.HostName("self"))
 	now = now.Add(1100 * time.Millisecond)
 	assert.Equal(t, c.Choose(now, order), core.HostName("a"), "it is tried again after a second")
-	c.Failed(now, "a")
+	c.RecordFailure(now, "a")
 	assert.Equal(t, c.Choose(now.Add(1100*time.Millisecond), order), core.HostName("b"), "and later after each failure")
-	c.Heard("a")
+	c.RecordAnswer("a")
 	assert.Equal(t, c.Choose(now, order), core.HostName("a"))
 }
--- a/core/admit/export_test.go
+++ b/core/admit/export_test.go
@@ -1,4 +1,4 @@
 package admit
 
-// Records returns how many names a holds records of.
-func Records(a *Admit) int { return len(a.records) }
+// Records returns the number of records that a holds.
+func Records(a *Limiter) int { return len(a.records) }
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -80,7 +80,7 @@
 	SendStrikes func(core.HostName, []strike.Record)
 
 	mu      sync.Mutex
-	admit   admit.Admit
+	admit   admit.Limiter
 	queue   queue.Queue
 	router  route.Router
 	budgets retry.Budgets
@@ -117,7 +117,7 @@
 func (e *Entry) Init() {
 	e.router = route.Router{Seed: e.Rand.Uint64()}
 	e.book = strike.Book{Self: e.Name, MaxRecords: maxStrikes}
-	e.queue = queue.Queue{May: e.mayStart}
+	e.queue = queue.Queue{CheckHold: e.mayStart}
 	e.copies = strike.Copies{MaxProven: maxProven}
 	e.hosts = map[core.HostName]*hostState{}
 	e.waiters = map[core.RequestID]*waiter{}
--- a/io/entry/keyed.go
+++ b/io/entry/keyed.go
@@ -215,9 +215,9 @@
 func (k *keyed) mayRetry(refusal *core.Refusal) bool {
 	d := k.j.e.decideRetry(retry.Case{
 		Request: k.j.call.Request, Attempts: []retry.Attempt{{Host: refusal.Host, Refusal: refusal}},
-		Begun: k.j.call.Answer.Begun(), HostsLeft: 1,
+		AnswerBegun: k.j.call.Answer.Begun(), HostsLeft: 1,
 	})
-	return d.Action == retry.Again
+	return d.Action == retry.RetryNow
 }
 
 // arrivalTimeout is how long an entry waits until an attempt that another sending of
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -101,7 +101,7 @@
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
 	choice := p.view.Pick(now, &c.query)
-	if c.failure != nil && (choice.Host == nil || choice.Paced > admit.MostAhead) {
+	if c.failure != nil && (choice.Host == nil || choice.Paced > admit.MaxAhead) {
 		return nil, false, nil, c.lost() // the kept failure is written instead
 	}
 	if choice.Host == nil {
@@ -114,7 +114,7 @@
 	if refusal := c.refuseOverload(choice); refusal != nil {
 		return nil, false, nil, refusal
 	}
-	if c.sends > 0 && !p.window(c.service.Name).Draw(now) {
+	if c.sends > 0 && !p.window(c.service.Name).Take(now) {
 		p.Meter.Retry(false)
 		return nil, false, nil, c.giveUp()
 	}
