--- a/core/place/bench_test.go
+++ b/core/place/bench_test.go
@@ -11,18 +11,18 @@
 	"radishwell/core/place"
 )
 
-// Sizes of the fleet that one decider must be able to decide for.
+// These are the sizes of the fleet that one decider must be able to manage.
 const (
 	benchModels   = 70
 	benchAdapters = 3400
 	benchHosts    = 640
 )
 
-// benchVersion is the last version that a grant was given.
+// benchVersion is the last version given to a grant.
 var benchVersion core.Version = 1
 
-// bigFleet feeds a planner with the whole fleet and the grants given so far.
-func bigFleet(grants map[core.ModelName]place.Write) *place.Planner {
+// newLargePlanner returns a planner with the whole fleet and the given grants.
+func newLargePlanner(grants map[core.ModelName]place.Write) *place.Planner {
 	p := &place.Planner{}
 	for i := range benchHosts {
 		p.SetHost(benchHost(i))
@@ -61,9 +61,9 @@
 
 func owner(i int) core.OwnerName { return core.OwnerName(fmt.Sprintf("o%02d", i%40)) }
 
-// decideAll runs rounds until nothing changes and returns the last writes.
-// Agents release at once.
-func decideAll(p *place.Planner, now time.Time, fence core.Fence, budget int) (map[core.ModelName]place.Write, int) {
+// runRounds runs rounds until nothing changes. It returns the last write of each
+// model and the number of writes. Agents release at once.
+func runRounds(p *place.Planner, now time.Time, fence core.Fence, budget int) (map[core.ModelName]place.Write, int) {
 	all := map[core.ModelName]place.Write{}
 	count := 0
 	for {
@@ -91,25 +91,25 @@
 func BenchmarkFirstDecision(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		p := bigFleet(nil)
+		p := newLargePlanner(nil)
 		b.StartTimer()
-		decideAll(p, start, 1, 1<<30)
+		runRounds(p, start, 1, 1<<30)
 	}
 }
 
 func BenchmarkTakeOver(b *testing.B) {
-	all, _ := decideAll(bigFleet(nil), start, 1, 1<<30)
+	all, _ := runRounds(newLargePlanner(nil), start, 1, 1<<30)
 	for b.Loop() {
 		b.StopTimer()
-		p := bigFleet(all)
+		p := newLargePlanner(all)
 		b.StartTimer()
 		p.Round(start, 1, 50)
 	}
 }
 
 func BenchmarkOneEntry(b *testing.B) {
-	p := bigFleet(nil)
-	decideAll(p, start, 1, 1<<30)
+	p := newLargePlanner(nil)
+	runRounds(p, start, 1, 1<<30)
 	version := core.Version(100_000)
 	for b.Loop() {
 		version++
@@ -121,21 +121,22 @@
 	}
 }
 
-// BenchmarkOneHost has a host leave and come back, with all that moves for it.
+// BenchmarkOneHost measures a host that leaves and comes back, with all the grants
+// that move for it.
 func BenchmarkOneHost(b *testing.B) {
-	p := bigFleet(nil)
-	all, _ := decideAll(p, start, 1, 1<<30)
+	p := newLargePlanner(nil)
+	all, _ := runRounds(p, start, 1, 1<<30)
 	writes := 0
 	for b.Loop() {
 		holder := all["m07"].Spec.Holders[0]
 		h := hostOf(holder)
 		h.State = core.HostLeaving
 		p.SetHost(h)
-		changed, first := decideAll(p, start, 1, 1<<30)
+		changed, first := runRounds(p, start, 1, 1<<30)
 		h.State = core.HostLive
 		p.SetHost(h)
 		maps.Copy(all, changed)
-		changed, second := decideAll(p, start, 1, 1<<30)
+		changed, second := runRounds(p, start, 1, 1<<30)
 		maps.Copy(all, changed)
 		writes += first + second
 	}
@@ -148,8 +149,8 @@
 }
 
 func BenchmarkIdleRound(b *testing.B) {
-	p := bigFleet(nil)
-	decideAll(p, start, 1, 1<<30)
+	p := newLargePlanner(nil)
+	runRounds(p, start, 1, 1<<30)
 	for b.Loop() {
 		p.Round(start, 1, 50)
 	}
--- a/core/place/decide.go
+++ b/core/place/decide.go
@@ -9,26 +9,26 @@
 	"radishwell/core"
 )
 
-// Listed tells that all entries of the catalogue, as the platform listed it,
-// have been set. From then on a grant without an entry counts as one whose
-// entry was deleted. Round writes nothing before.
-func (p *Planner) Listed() { p.listed = true }
+// Listed records that all entries of the catalogue, as the platform listed it,
+// have been set. From then on, a grant without an entry counts as one whose entry
+// was deleted. Round writes nothing before.
+func (p *Planner) Listed() { p.catalogueListed = true }
 
-// Round returns at most budget writes for what has changed, the most urgent
-// first. Fence is the decider's number as the lease tells it right now. The
-// shell sends each write and tells the outcome to Answered.
+// Round returns at most budget writes for what has changed, most urgent first.
+// fence is the decider's current fencing number from the lease. The I/O layer
+// sends each write and passes the outcome to Answered.
 func (p *Planner) Round(now time.Time, fence core.Fence, budget int) []Write {
 	p.init()
-	if !p.listed {
+	if !p.catalogueListed {
 		return nil
 	}
 	p.takeOver(fence)
-	p.lower(now)
-	p.divideStale()
-	found := p.candidates()
+	p.lowerLevels(now)
+	p.divideStaleLimits()
+	found := p.requiredWrites()
 	if len(found) == 0 {
 		p.balance(now)
-		found = p.candidates()
+		found = p.requiredWrites()
 	}
 	slices.SortFunc(found, func(a, b Write) int {
 		return cmp.Or(
@@ -42,18 +42,18 @@
 		if len(writes) >= budget {
 			break
 		}
-		// Decided anew, since the writes before it have changed the sums.
+		// The writes before this one have changed the sums, so decide again.
 		w, ok := p.decide(p.models[w.Name])
 		if !ok {
 			continue
 		}
-		p.send(w)
+		p.markInFlight(w)
 		writes = append(writes, w)
 	}
 	return writes
 }
 
-// Waiting returns how many models have undecided changes, for metrics.
+// Waiting returns the number of models with undecided changes, for metrics.
 func (p *Planner) Waiting() int { return len(p.dirty) }
 
 func (p *Planner) takeOver(fence core.Fence) {
@@ -62,29 +62,29 @@
 	}
 	p.fence = fence
 	for _, o := range p.owners {
-		o.sealing = false
-		o.stale = true
+		o.fencing = false
+		o.limitsStale = true
 	}
 	for _, m := range p.models {
-		p.account(m)
-		p.touch(m)
+		p.updateUsage(m)
+		p.markDirty(m)
 		if m.entry != nil {
-			p.adopt(m)
+			p.adoptLevel(m)
 		}
 	}
 }
 
-func (p *Planner) divideStale() {
+func (p *Planner) divideStaleLimits() {
 	for _, o := range p.owners {
-		if o.stale {
-			p.divide(o)
+		if o.limitsStale {
+			p.divideLimit(o)
 		}
 	}
 }
 
-// candidates decides each changed model once and forgets those that need no
-// write.
-func (p *Planner) candidates() []Write {
+// requiredWrites decides each dirty model once and returns the writes. Models that
+// need no write are no longer dirty.
+func (p *Planner) requiredWrites() []Write {
 	var found []Write
 	for len(p.dirty) > 0 {
 		names := slices.Sorted(maps.Keys(p.dirty))
@@ -95,15 +95,15 @@
 			}
 		}
 	}
-	found = unique(found)
+	found = lastPerModel(found)
 	for _, w := range found {
 		p.dirty[w.Name] = true
 	}
 	return found
 }
 
-// unique keeps the last write of each name.
-func unique(list []Write) []Write {
+// lastPerModel returns the last write of each name.
+func lastPerModel(list []Write) []Write {
 	last := map[core.ModelName]Write{}
 	for _, w := range list {
 		last[w.Name] = w
@@ -111,12 +111,12 @@
 	return slices.Collect(maps.Values(last))
 }
 
-func (p *Planner) send(w Write) {
+func (p *Planner) markInFlight(w Write) {
 	m := p.models[w.Name]
 	delete(p.dirty, w.Name)
-	m.out = true
+	m.inFlight = true
 	m.pending = append(m.pending, w.Spec)
-	p.account(m)
+	p.updateUsage(m)
 }
 
 func (p *Planner) class(name core.ModelName) core.Class {
@@ -126,7 +126,7 @@
 	return core.ClassCount
 }
 
-// draft is one decision in the making.
+// draft is the decision on one model while it is computed.
 type draft struct {
 	p       *Planner
 	m       *model
@@ -136,28 +136,29 @@
 }
 
 func (p *Planner) decide(m *model) (Write, bool) {
-	delete(p.short, m.name)
-	if m.out || m.blocked || !p.mayWrite(m) {
+	delete(p.underReplicated, m.name)
+	if m.inFlight || m.outdated || !p.mayWrite(m) {
 		return Write{}, false
 	}
 	d := draft{p: p, m: m, holders: slices.Clone(m.spec.Holders), reason: reasonCount}
 	d.removeGone()
 	d.revokeUnfit()
-	d.follow()
+	d.continueMove()
 	d.shrink()
 	d.grow()
 	return d.write()
 }
 
-// present returns the holders whose hosts are not known to be gone.
-func (p *Planner) present(holders []core.GrantHolder) []core.GrantHolder {
+// withoutGone returns the holders whose hosts are not known to be gone.
+func (p *Planner) withoutGone(holders []core.GrantHolder) []core.GrantHolder {
 	return slices.DeleteFunc(slices.Clone(holders), func(h core.GrantHolder) bool {
 		return p.gone[HostID{h.Host, h.UID}]
 	})
 }
 
-// mayWrite refuses what a decider that is behind would write: over a larger
-// fencing number, or from an older version of the entry than the object names.
+// mayWrite reports whether the decider's view is recent enough to write a model's
+// object. It is not if the object has a larger fencing number, or was decided from
+// a newer version of the entry.
 func (p *Planner) mayWrite(m *model) bool {
 	if m.spec.Fence > p.fence {
 		return false
@@ -172,7 +173,7 @@
 
 func (d *draft) removeGone() {
 	n := len(d.holders)
-	d.holders = d.p.present(d.holders)
+	d.holders = d.p.withoutGone(d.holders)
 	if len(d.holders) < n {
 		d.change(Moved)
 	}
@@ -187,8 +188,8 @@
 			d.revoke(i, Excess)
 			continue
 		}
-		// A host that isn't known here is left as it is until it is looked up.
-		if d.p.known(HostID{h.Host, h.UID}) && !d.fits(d.p.hosts[h.Host]) {
+		// A host that isn't known here stays until it has been read.
+		if d.p.isKnown(HostID{h.Host, h.UID}) && !d.fits(d.p.hosts[h.Host]) {
 			d.revoke(i, Moved)
 		}
 	}
@@ -208,43 +209,44 @@
 	if e.Base == "" {
 		return h.Service == e.Service && h.Accelerators >= e.accelerators()
 	}
-	return slices.Contains(d.p.holders(e.Base), h)
+	return slices.Contains(d.p.activeHosts(e.Base), h)
 }
 
-func (d *draft) target() int {
+func (d *draft) targetHolders() int {
 	if d.m.entry == nil {
 		return 0
 	}
-	return min(d.m.want(), d.m.cap)
+	return min(d.m.wantedHolders(), d.m.ownerLimit)
 }
 
-// shrink revokes the holders that demand and limits have no place for.
+// shrink revokes holders until demand and limits are met.
 func (d *draft) shrink() {
 	if d.m.entry == nil {
 		return
 	}
 	reason := Lowered
-	if active(d.holders) > min(d.m.entry.limit(), d.m.cap) {
+	if countActive(d.holders) > min(d.m.entry.maxHolders(), d.m.ownerLimit) {
 		reason = Excess
 	}
-	for active(d.holders) > d.target() {
-		d.revoke(d.worst(), reason)
+	for countActive(d.holders) > d.targetHolders() {
+		d.revoke(d.worstHolder(), reason)
 	}
 }
 
-// worst returns the active holder that would be chosen last.
-func (d *draft) worst() int {
+// worstHolder returns the index of the active holder that bestHost would choose
+// last.
+func (d *draft) worstHolder() int {
 	worst := -1
 	var last candidate
 	for i, h := range d.holders {
 		if h.State != core.GrantActive {
 			continue
 		}
-		if !d.p.known(HostID{h.Host, h.UID}) {
+		if !d.p.isKnown(HostID{h.Host, h.UID}) {
 			return i
 		}
 		c := d.candidate(d.p.hosts[h.Host], 0)
-		c.over = 0
+		c.overBound = 0
 		if worst < 0 || c.compare(&last) > 0 {
 			worst = i
 			last = c
@@ -253,36 +255,36 @@
 	return worst
 }
 
-// grow brings holders back or adds some until the target is met.
+// grow reactivates or adds holders until the target is met.
 func (d *draft) grow() {
 	if d.m.entry == nil {
 		return
 	}
 	reason := Raised
-	if active(d.holders) == 0 {
+	if countActive(d.holders) == 0 {
 		reason = Unserved
 	}
-	for active(d.holders) < d.target() {
-		if d.bringBack() {
+	for countActive(d.holders) < d.targetHolders() {
+		if d.reactivate() {
 			d.change(reason)
 			continue
 		}
-		if !d.add() {
+		if !d.addHolder() {
 			break
 		}
 		d.change(reason)
 	}
-	if active(d.holders) < d.m.want() {
-		d.p.short[d.m.name] = true
+	if countActive(d.holders) < d.m.wantedHolders() {
+		d.p.underReplicated[d.m.name] = true
 	}
 }
 
-// bringBack makes a revoked holder active again, which needs neither room nor
-// a load. The release it may have sent fails its condition.
-func (d *draft) bringBack() bool {
+// reactivate makes a revoked holder active again, which needs neither room nor a
+// load. If the host has sent a release, its condition fails.
+func (d *draft) reactivate() bool {
 	for i, h := range d.holders {
 		id := HostID{h.Host, h.UID}
-		if h.State == core.GrantRevoked && !d.shifted(id) && d.p.known(id) && d.fits(d.p.hosts[h.Host]) {
+		if h.State == core.GrantRevoked && !d.isMovingFrom(id) && d.p.isKnown(id) && d.fits(d.p.hosts[h.Host]) {
 			d.holders[i].State = core.GrantActive
 			return true
 		}
@@ -290,16 +292,16 @@
 	return false
 }
 
-func (d *draft) add() bool {
-	if len(d.holders) >= d.m.entry.limit() {
+func (d *draft) addHolder() bool {
+	if len(d.holders) >= d.m.entry.maxHolders() {
 		return false
 	}
-	h := d.best()
+	h := d.bestHost()
 	if h == nil {
 		return false
 	}
-	more := max(len(d.holders)+1-d.m.use.count, 0)
-	if !d.p.room(d.m, d.m.use.each*core.Bytes(more)) {
+	more := max(len(d.holders)+1-d.m.usage.maxHolders, 0)
+	if !d.p.hasRoom(d.m, d.m.usage.perHolder*core.Bytes(more)) {
 		return false
 	}
 	d.holders = append(d.holders, core.GrantHolder{Host: h.Name, UID: h.UID, State: core.GrantActive})
@@ -307,26 +309,26 @@
 }
 
 func (d *draft) write() (Write, bool) {
-	d.rewrite()
+	d.markRequired()
 	w := Write{Name: d.m.name, Spec: d.spec(), Version: d.m.condition(), Reason: d.reason}
 	return w, d.changed
 }
 
-// rewrite marks what must be written though the decision is the same.
-func (d *draft) rewrite() {
+// markRequired marks a write that is needed although the holders don't change.
+func (d *draft) markRequired() {
 	m := d.m
 	switch {
 	case m.deleted && len(d.holders) > 0:
-		// Deleted by hand: the holders are still there.
+		// The object was deleted manually; its holders still exist.
 		d.change(Excess)
 	case d.changed:
-	case d.p.unsealed(m):
-		d.change(Sealed)
-	case m.entry != nil && len(d.holders) > 0 && m.spec.Memory != d.p.replica(m.entry):
+	case d.p.needsRefence(m):
+		d.change(Refenced)
+	case m.entry != nil && len(d.holders) > 0 && m.spec.Memory != d.p.replicaMemory(m.entry):
 		d.change(Recorded)
 	case m.entry == nil && len(m.pending) > 0:
-		// A create whose fate is unknown is ruled out by another one.
-		d.change(Sealed)
+		// Another create rules out one with an unknown outcome.
+		d.change(Refenced)
 	}
 }
 
@@ -337,10 +339,10 @@
 	})
 	s := core.GrantSpec{Fence: d.p.fence, Holders: d.holders}
 	if m.entry == nil {
-		// The last entry's owner and memory stay on record.
+		// The last entry's version, owner and memory stay on record.
 		s.Entry, s.Owner, s.Memory = m.spec.Entry, m.spec.Owner, m.spec.Memory
 		return s
 	}
-	s.Entry, s.Owner, s.Memory = m.entry.Version, m.entry.Owner, d.p.replica(m.entry)
+	s.Entry, s.Owner, s.Memory = m.entry.Version, m.entry.Owner, d.p.replicaMemory(m.entry)
 	return s
 }
--- a/core/place/demand.go
+++ b/core/place/demand.go
@@ -8,51 +8,52 @@
 	"radishwell/core"
 )
 
-// SetDemand tells how many hosts' work a model has now: requests in progress
-// and waiting, divided by what one host works on at once, smoothed over about
-// half a minute. An adapter's demand belongs to its base too.
+// SetDemand sets the current demand of a model in hosts: requests in progress and
+// waiting, divided by the number that one host processes at once, smoothed over
+// about half a minute. The demand of an adapter also counts for its base.
 //
-// It answers a burst, or a few callers who bring most of the load. Without it a
-// popular model would keep the two hosts of an idle one; without the gap
-// between Full and Slack and the wait, every swing would move grants.
-func (p *Planner) SetDemand(now time.Time, name core.ModelName, need float64) {
+// Without it, a popular model would keep the two hosts of an idle one during a
+// burst or under a few callers who bring most of the load. The gap between
+// RaiseThreshold and LowerThreshold and the delay keep swings from moving grants.
+func (p *Planner) SetDemand(now time.Time, name core.ModelName, demand float64) {
 	m := p.model(name)
-	p.balanced = p.balanced && (need > 0 || m.need == 0)
-	m.need = need
-	p.level(now, m)
+	p.balanced = p.balanced && (demand > 0 || m.demand == 0)
+	m.demand = demand
+	p.updateLevel(now, m)
 }
 
-func (p *Planner) level(now time.Time, m *model) {
-	up := int(math.Ceil(m.need / Full))
+func (p *Planner) updateLevel(now time.Time, m *model) {
+	up := int(math.Ceil(m.demand / RaiseThreshold))
 	if m.entry != nil {
-		up = min(up, m.entry.limit())
+		up = min(up, m.entry.maxHolders())
 	}
 	if up > m.level {
 		m.level = up
-		p.relevel(m)
+		p.levelChanged(m)
 	}
-	if m.level <= Idle || m.need >= float64(m.level-1)*Slack {
+	if m.level <= IdleHolders || m.demand >= float64(m.level-1)*LowerThreshold {
 		m.lowerAt = time.Time{}
 		delete(p.lowering, m.name)
 		return
 	}
 	if m.lowerAt.IsZero() {
-		m.lowerAt = now.Add(LowerAfter)
+		m.lowerAt = now.Add(LowerDelay)
 		p.lowering[m.name] = true
 	}
 }
 
-func (p *Planner) relevel(m *model) {
-	p.owner(m.use.owner).stale = true
-	p.touch(m)
+func (p *Planner) levelChanged(m *model) {
+	p.owner(m.usage.owner).limitsStale = true
+	p.markDirty(m)
 }
 
-// lower takes back one level of each model whose demand has long been low.
-func (p *Planner) lower(now time.Time) {
+// lowerLevels lowers by one the level of each model whose demand has been low for
+// LowerDelay.
+func (p *Planner) lowerLevels(now time.Time) {
 	for name := range p.lowering {
 		m := p.models[name]
 		if m.lowerAt.IsZero() {
-			p.level(now, m)
+			p.updateLevel(now, m)
 			continue
 		}
 		if now.Before(m.lowerAt) {
@@ -60,26 +61,27 @@
 		}
 		m.level--
 		m.lowerAt = time.Time{}
-		p.relevel(m)
-		p.level(now, m)
+		p.levelChanged(m)
+		p.updateLevel(now, m)
 	}
 }
 
-// want is how many holders demand and the model's own limit call for.
-func (m *model) want() int {
-	return min(max(m.level, Idle), m.entry.limit())
+// wantedHolders returns the number of holders that demand and the model's own
+// limit call for.
+func (m *model) wantedHolders() int {
+	return min(max(m.level, IdleHolders), m.entry.maxHolders())
 }
 
-// adopt starts from what the last decider had granted, so that a change of
-// decider moves nothing.
-func (p *Planner) adopt(m *model) {
-	m.level = max(m.level, active(m.spec.Holders))
-	if m.level > Idle {
+// adoptLevel starts from the number of hosts that the previous decider granted, so
+// that a change of decider moves nothing.
+func (p *Planner) adoptLevel(m *model) {
+	m.level = max(m.level, countActive(m.spec.Holders))
+	if m.level > IdleHolders {
 		p.lowering[m.name] = true
 	}
 }
 
-func active(holders []core.GrantHolder) int {
+func countActive(holders []core.GrantHolder) int {
 	n := 0
 	for _, h := range holders {
 		if h.State == core.GrantActive {
@@ -89,7 +91,7 @@
 	return n
 }
 
-func index(holders []core.GrantHolder, id HostID) int {
+func holderIndex(holders []core.GrantHolder, id HostID) int {
 	return slices.IndexFunc(holders, func(h core.GrantHolder) bool {
 		return h.Host == id.Host && h.UID == id.UID
 	})
--- a/core/place/holder.go
+++ b/core/place/holder.go
@@ -6,10 +6,11 @@
 	"radishwell/core"
 )
 
-// Held returns a host's state in a grant, and false if it is no holder. An
-// agent may load a model only while the newest version it knows has it active,
-// and only after it has read that kind from the platform itself since it
-// started: a peer's copy may be older than a release its predecessor made.
+// Held returns the state of a host in a grant, and false if the host is not a
+// holder. An agent may load a model only while the newest version of the grant
+// that it knows has the host active, and only after it has read the grants from
+// the platform itself since it started: the copy of a peer may be older than a
+// release by the agent's previous process.
 func Held(spec core.GrantSpec, id HostID) (core.GrantState, bool) {
 	for _, h := range spec.Holders {
 		if h.Host == id.Host && h.UID == id.UID {
@@ -20,13 +21,13 @@
 }
 
 // Release returns the grant without a host that has unloaded the model, for an
-// update conditional on the version that spec was read at. It returns false
+// update conditional on the version at which spec was read. It returns false
 // unless the host is a revoked holder.
 //
-// A host releases only what is revoked. So a release that is still on its way
-// when its sender dies can do no harm: a successor that reads the same version
-// loads nothing, and any version that grants the host anew makes the release
-// fail its condition.
+// Only a revoked holder can be released, so a release that is still in flight when
+// its sender dies does no harm: a successor that reads the same version loads
+// nothing, and any version that grants the host again makes the condition of the
+// release fail.
 func Release(spec core.GrantSpec, id HostID) (core.GrantSpec, bool) {
 	state, ok := Held(spec, id)
 	if !ok || state != core.GrantRevoked {
--- a/core/place/owner.go
+++ b/core/place/owner.go
@@ -8,107 +8,108 @@
 	"radishwell/core"
 )
 
-// owner sums what an owner's grants may hold.
+// owner holds the sums over an owner's grants.
 type owner struct {
-	// limit is the most memory, zero for none of its own.
+	// limit is the most memory in bytes; zero means no limit.
 	limit core.Bytes
-	names set
+	names modelSet
 	used  core.Bytes
-	// sealed counts the names whose object carries this decider's fencing
-	// number; sealing asks for the others to be written.
-	sealed  int
-	sealing bool
-	// stale asks for a new division of the limit.
-	stale bool
+	// fenced counts the names whose object carries this decider's fencing number.
+	// fencing is set if the others must be written, too.
+	fenced  int
+	fencing bool
+	// limitsStale is set if the limit must be divided among the models again.
+	limitsStale bool
 }
 
 func (p *Planner) owner(name core.OwnerName) *owner {
 	p.init()
 	o := p.owners[name]
 	if o == nil {
-		o = &owner{names: set{}}
+		o = &owner{names: modelSet{}}
 		p.owners[name] = o
 	}
 	return o
 }
 
-// SetOwner takes an owner's memory limit, zero for none.
+// SetOwner sets an owner's memory limit; zero means no limit.
 func (p *Planner) SetOwner(name core.OwnerName, limit core.Bytes) {
 	o := p.owner(name)
 	if o.limit == limit {
 		return
 	}
 	o.limit = limit
-	o.stale = true
+	o.limitsStale = true
 }
 
-// account brings a model's part of the sums up to date.
-func (p *Planner) account(m *model) {
-	before := p.owner(m.use.owner)
-	p.withdraw(m)
-	m.use = p.useOf(m)
-	p.balanced, p.searched = false, false
-	o := p.owner(m.use.owner)
+// updateUsage updates the sums for a model.
+func (p *Planner) updateUsage(m *model) {
+	before := p.owner(m.usage.owner)
+	p.subtractUsage(m)
+	m.usage = p.usageOf(m)
+	p.balanced, p.unknownValid = false, false
+	o := p.owner(m.usage.owner)
 	o.names[m.name] = true
-	o.used += m.use.each * core.Bytes(m.use.count)
-	if m.use.sealed {
-		o.sealed++
-	}
-	for _, id := range m.use.hosts {
-		p.addLoad(id.Host, m.use.each)
-		if p.holding[id.Host] == nil {
-			p.holding[id.Host] = set{}
+	o.used += m.usage.perHolder * core.Bytes(m.usage.maxHolders)
+	if m.usage.fenced {
+		o.fenced++
+	}
+	for _, id := range m.usage.hosts {
+		p.addLoad(id.Host, m.usage.perHolder)
+		if p.heldModels[id.Host] == nil {
+			p.heldModels[id.Host] = modelSet{}
 		}
-		p.holding[id.Host][m.name] = true
+		p.heldModels[id.Host][m.name] = true
 	}
-	p.recheck(o)
+	p.retryUnderReplicated(o)
 	if before != o {
-		p.recheck(before)
+		p.retryUnderReplicated(before)
 	}
 }
 
-// recheck looks again at models that wait for room within the owner's limit.
-func (p *Planner) recheck(o *owner) {
-	if o.limit == 0 || !o.sealing && o.used >= o.limit {
+// retryUnderReplicated marks the models that wait for room within the owner's
+// limit as dirty.
+func (p *Planner) retryUnderReplicated(o *owner) {
+	if o.limit == 0 || !o.fencing && o.used >= o.limit {
 		return
 	}
 	for name := range o.names {
-		if p.short[name] {
+		if p.underReplicated[name] {
 			p.dirty[name] = true
 		}
 	}
 }
 
-func (p *Planner) withdraw(m *model) {
-	o := p.owner(m.use.owner)
+func (p *Planner) subtractUsage(m *model) {
+	o := p.owner(m.usage.owner)
 	delete(o.names, m.name)
-	o.used -= m.use.each * core.Bytes(m.use.count)
-	if m.use.sealed {
-		o.sealed--
+	o.used -= m.usage.perHolder * core.Bytes(m.usage.maxHolders)
+	if m.usage.fenced {
+		o.fenced--
 	}
-	for _, id := range m.use.hosts {
-		p.addLoad(id.Host, -m.use.each)
-		delete(p.holding[id.Host], m.name)
+	for _, id := range m.usage.hosts {
+		p.addLoad(id.Host, -m.usage.perHolder)
+		delete(p.heldModels[id.Host], m.name)
 	}
 }
 
-func (p *Planner) useOf(m *model) use {
-	u := use{each: m.spec.Memory}
+func (p *Planner) usageOf(m *model) usage {
+	u := usage{perHolder: m.spec.Memory}
 	if len(m.spec.Holders) > 0 {
 		u.owner = m.spec.Owner
 	}
 	if m.entry != nil {
 		u.owner = m.entry.Owner
-		u.each = max(u.each, p.replica(m.entry))
+		u.perHolder = max(u.perHolder, p.replicaMemory(m.entry))
 	}
-	u.sealed = m.version != 0 && !m.deleted && m.spec.Fence == p.fence
+	u.fenced = m.version != 0 && !m.deleted && m.spec.Fence == p.fence
 	u.hosts = appendHolders(nil, m.spec.Holders)
-	u.count = len(m.spec.Holders)
-	// At most one of the pending writes can have an effect: their condition is
-	// the same version.
+	u.maxHolders = len(m.spec.Holders)
+	// At most one of the pending writes can have an effect, since all are conditional
+	// on the same version.
 	for _, s := range m.pending {
-		u.each = max(u.each, s.Memory)
-		u.count = max(u.count, len(s.Holders))
+		u.perHolder = max(u.perHolder, s.Memory)
+		u.maxHolders = max(u.maxHolders, len(s.Holders))
 		u.hosts = appendHolders(u.hosts, s.Holders)
 		u.owner = cmp.Or(u.owner, s.Owner)
 	}
@@ -125,8 +126,8 @@
 	return ids
 }
 
-// replica is what one holder of an entry takes over all its accelerators.
-func (p *Planner) replica(e *Entry) core.Bytes {
+// replicaMemory returns the memory of one holder over all its accelerators.
+func (p *Planner) replicaMemory(e *Entry) core.Bytes {
 	n := e.accelerators()
 	if b := p.models[e.Base]; e.Base != "" && b != nil && b.entry != nil {
 		n = b.entry.accelerators()
@@ -134,29 +135,29 @@
 	return e.Memory * core.Bytes(n)
 }
 
-// room reports whether one more holder stays within the owner's limit. Objects
-// are bounded one by one by their conditions, but the owner's limit spans many
-// of them. So nothing is added until each other object of the owner carries
-// this decider's number: from then on no write of an older decider, decided
-// before and delayed on its way, can meet its condition and add to the sum.
-func (p *Planner) room(m *model, each core.Bytes) bool {
-	o := p.owner(m.use.owner)
+// hasRoom reports whether one more holder stays within the owner's limit. Each
+// object is protected by the condition of its writes, but the owner's limit spans
+// many objects. So nothing is added until each other object of the owner carries
+// this decider's fencing number: from then on no delayed write of an older decider
+// can meet its condition and add to the sum.
+func (p *Planner) hasRoom(m *model, more core.Bytes) bool {
+	o := p.owner(m.usage.owner)
 	if o.limit == 0 {
 		return true
 	}
-	if o.used+each > o.limit {
+	if o.used+more > o.limit {
 		return false
 	}
 	others := len(o.names) - 1
-	sealed := o.sealed
-	if m.use.sealed {
-		sealed--
+	fenced := o.fenced
+	if m.usage.fenced {
+		fenced--
 	}
-	if sealed == others {
+	if fenced == others {
 		return true
 	}
-	if !o.sealing {
-		o.sealing = true
+	if !o.fencing {
+		o.fencing = true
 		for name := range o.names {
 			p.dirty[name] = true
 		}
@@ -164,26 +165,27 @@
 	return false
 }
 
-// unsealed reports whether a model's object must be written for the sake of the
-// owner's other models.
-func (p *Planner) unsealed(m *model) bool {
-	o := p.owner(m.use.owner)
-	return o.limit > 0 && o.sealing && !m.use.sealed
+// needsRefence reports whether a model's object must be written with the current
+// fencing number, so that another model of the owner can grow.
+func (p *Planner) needsRefence(m *model) bool {
+	o := p.owner(m.usage.owner)
+	return o.limit > 0 && o.fencing && !m.usage.fenced
 }
 
-// divide sets how many holders the owner's limit leaves each of its models:
-// first one each by class, models before adapters, then more by need.
-func (p *Planner) divide(o *owner) {
-	o.stale = false
-	list := p.entries(o)
-	caps := make([]int, len(list))
+// divideLimit sets how many holders the owner's limit leaves each of its models:
+// first one each, by class and with models before adapters, then more for those
+// that want more.
+func (p *Planner) divideLimit(o *owner) {
+	o.limitsStale = false
+	list := p.sortedModels(o)
+	limits := make([]int, len(list))
 	left := o.limit
 	for grown := true; grown && o.limit > 0; {
 		grown = false
 		for i, m := range list {
-			each := p.replica(m.entry)
-			if caps[i] < m.want() && each <= left {
-				caps[i]++
+			each := p.replicaMemory(m.entry)
+			if limits[i] < m.wantedHolders() && each <= left {
+				limits[i]++
 				left -= each
 				grown = true
 			}
@@ -191,16 +193,16 @@
 	}
 	for i, m := range list {
 		if o.limit == 0 {
-			caps[i] = math.MaxInt
+			limits[i] = math.MaxInt
 		}
-		if m.cap != caps[i] {
-			m.cap = caps[i]
-			p.touch(m)
+		if m.ownerLimit != limits[i] {
+			m.ownerLimit = limits[i]
+			p.markDirty(m)
 		}
 	}
 }
 
-func (p *Planner) entries(o *owner) []*model {
+func (p *Planner) sortedModels(o *owner) []*model {
 	var list []*model
 	for name := range o.names {
 		if m := p.models[name]; m.entry != nil {
--- a/core/place/planner.go
+++ b/core/place/planner.go
@@ -8,81 +8,83 @@
 	"radishwell/core"
 )
 
-// Planner is the decider's view and what it has under way. The zero value is
-// ready for use; it is not safe for concurrent use.
+// Planner holds the decider's view of the fleet and its writes in flight. The zero
+// value is ready for use; it is not safe for concurrent use.
 type Planner struct {
 	models map[core.ModelName]*model
 	hosts  map[core.HostName]*Host
 	gone   map[HostID]bool
 	owners map[core.OwnerName]*owner
-	// load is the granted memory of each host, total that of each service.
-	load     map[core.HostName]core.Bytes
-	total    map[core.ServiceName]core.Bytes
-	services map[core.ServiceName]map[core.HostName]bool
-	copies   map[core.HostName]map[core.ModelName]core.Tier
-	holding  map[core.HostName]map[core.ModelName]bool
-	adapters map[core.ModelName]map[core.ModelName]bool
-
-	dirty set
-	// short are models with fewer active holders than wanted: a new host may
-	// serve them.
-	short    set
-	lowering set
-	fence    core.Fence
-	listed   bool
-
-	// balanced tells that nothing has changed since no grant was found to move
-	// for balance; shiftAt is when the next may.
-	balanced bool
-	shiftAt  time.Time
-	// unproven is what Unproven found last, searched that it still holds.
-	unproven []HostID
-	searched bool
+	// hostLoad is the granted memory of each host, serviceLoad that of each service.
+	hostLoad    map[core.HostName]core.Bytes
+	serviceLoad map[core.ServiceName]core.Bytes
+	services    map[core.ServiceName]map[core.HostName]bool
+	copies      map[core.HostName]map[core.ModelName]core.Tier
+	heldModels  map[core.HostName]map[core.ModelName]bool
+	adapters    map[core.ModelName]map[core.ModelName]bool
+
+	dirty modelSet
+	// underReplicated has the models with fewer active holders than wanted; a new
+	// host may serve them.
+	underReplicated modelSet
+	lowering        modelSet
+	fence           core.Fence
+	catalogueListed bool
+
+	// balanced is set if nothing has changed since balance found no grant to move;
+	// nextMoveAt is when it may start the next move.
+	balanced   bool
+	nextMoveAt time.Time
+	// unknown is the last result of Unproven; unknownValid is set while it is up to
+	// date.
+	unknown      []HostID
+	unknownValid bool
 }
 
-// model is all that is known of one name.
+// model holds all that is known of one name.
 type model struct {
 	name core.ModelName
-	// entry is the one in force, dropped the version of the last deletion.
-	entry   *Entry
-	dropped core.Version
-	spec    core.GrantSpec
-	version core.Version
-	// deleted tells that the object at version was deleted; the holders in spec
-	// are what is known of it.
+	// entry is the one in force, nil if there is none. deletedAt is the version of
+	// the last deletion.
+	entry     *Entry
+	deletedAt core.Version
+	spec      core.GrantSpec
+	version   core.Version
+	// deleted is set if the object was deleted at version; spec then has the last
+	// known holders.
 	deleted bool
-	// blocked tells that a write conditional on version must fail: the object
-	// has moved on, and SetGrant will bring what it is now.
-	blocked bool
-	// pending are writes conditional on version that may have an effect yet;
-	// out tells that one of them is unanswered.
-	pending []core.GrantSpec
-	out     bool
-
-	need    float64
+	// outdated is set if the object has a newer version than version, so that a write
+	// conditional on version must fail. SetGrant will bring the newer one.
+	outdated bool
+	// pending has the writes conditional on version that may still have an effect;
+	// inFlight is set while one of them has no answer.
+	pending  []core.GrantSpec
+	inFlight bool
+
+	demand  float64
 	level   int
 	lowerAt time.Time
-	// cap is the most holders that the owner's memory limit leaves.
-	cap int
-	// shift is a move for balance that is under way.
-	shift *shift
-	// use is what the model adds to the sums.
-	use use
+	// ownerLimit is the most holders that the owner's memory limit leaves.
+	ownerLimit int
+	// move is a move for balance in progress, nil if there is none.
+	move *move
+	// usage is the model's part of the sums.
+	usage usage
 }
 
-// use is what a model's holders, those of pending writes included, add to the
-// sums of its owner and of the hosts.
-type use struct {
+// usage is the part of a model's holders, including those of pending writes, in
+// the sums of its owner and of the hosts.
+type usage struct {
 	owner core.OwnerName
-	// each is what one holder takes, count the most holders there may be, hosts
-	// all that may be among them.
-	each   core.Bytes
-	count  int
-	hosts  []HostID
-	sealed bool
+	// perHolder is the memory of one holder, maxHolders the most holders there may
+	// be, and hosts all hosts that may be among them.
+	perHolder  core.Bytes
+	maxHolders int
+	hosts      []HostID
+	fenced     bool
 }
 
-type set = map[core.ModelName]bool
+type modelSet = map[core.ModelName]bool
 
 func (p *Planner) init() {
 	if p.models != nil {
@@ -92,15 +94,15 @@
 	p.hosts = map[core.HostName]*Host{}
 	p.gone = map[HostID]bool{}
 	p.owners = map[core.OwnerName]*owner{}
-	p.load = map[core.HostName]core.Bytes{}
-	p.total = map[core.ServiceName]core.Bytes{}
+	p.hostLoad = map[core.HostName]core.Bytes{}
+	p.serviceLoad = map[core.ServiceName]core.Bytes{}
 	p.services = map[core.ServiceName]map[core.HostName]bool{}
 	p.copies = map[core.HostName]map[core.ModelName]core.Tier{}
-	p.holding = map[core.HostName]map[core.ModelName]bool{}
+	p.heldModels = map[core.HostName]map[core.ModelName]bool{}
 	p.adapters = map[core.ModelName]map[core.ModelName]bool{}
-	p.dirty = set{}
-	p.short = set{}
-	p.lowering = set{}
+	p.dirty = modelSet{}
+	p.underReplicated = modelSet{}
+	p.lowering = modelSet{}
 }
 
 func (p *Planner) model(name core.ModelName) *model {
@@ -122,52 +124,52 @@
 	return s
 }
 
-// SetEntry takes a catalogue entry in force. Older versions are ignored.
+// SetEntry sets a catalogue entry in force. Older versions are ignored.
 func (p *Planner) SetEntry(e Entry) {
 	m := p.model(e.Name)
-	if m.dropped >= e.Version || m.entry != nil && m.entry.Version >= e.Version {
+	if m.deletedAt >= e.Version || m.entry != nil && m.entry.Version >= e.Version {
 		return
 	}
-	p.unlink(m)
+	p.unlinkAdapter(m)
 	m.entry = &e
-	p.link(m)
-	p.touch(m)
-	p.accountAdapters(e.Name)
+	p.linkEntry(m)
+	p.markDirty(m)
+	p.updateAdapterUsage(e.Name)
 }
 
-// DropEntry tells that an entry was deleted in the catalogue at version v.
+// DropEntry records that an entry was deleted in the catalogue at version v.
 func (p *Planner) DropEntry(name core.ModelName, v core.Version) {
 	m := p.model(name)
-	if m.dropped >= v || m.entry != nil && m.entry.Version >= v {
+	if m.deletedAt >= v || m.entry != nil && m.entry.Version >= v {
 		return
 	}
-	m.dropped = v
-	p.unlink(m)
+	m.deletedAt = v
+	p.unlinkAdapter(m)
 	m.entry = nil
-	p.link(m)
-	p.touch(m)
-	p.accountAdapters(name)
+	p.linkEntry(m)
+	p.markDirty(m)
+	p.updateAdapterUsage(name)
 }
 
-func (p *Planner) unlink(m *model) {
+func (p *Planner) unlinkAdapter(m *model) {
 	if m.entry == nil {
 		return
 	}
 	delete(p.adapters[m.entry.Base], m.name)
 }
 
-func (p *Planner) link(m *model) {
+func (p *Planner) linkEntry(m *model) {
 	if m.entry != nil && m.entry.Base != "" {
 		if p.adapters[m.entry.Base] == nil {
-			p.adapters[m.entry.Base] = set{}
+			p.adapters[m.entry.Base] = modelSet{}
 		}
 		p.adapters[m.entry.Base][m.name] = true
 	}
-	p.account(m)
-	p.owner(m.use.owner).stale = true
+	p.updateUsage(m)
+	p.owner(m.usage.owner).limitsStale = true
 }
 
-// SetHost takes a host as the platform lists it. A UID once gone stays gone.
+// SetHost sets a host as the platform lists it. It ignores a UID that is gone.
 func (p *Planner) SetHost(h Host) {
 	p.init()
 	if p.gone[HostID{h.Name, h.UID}] {
@@ -182,71 +184,71 @@
 		return
 	}
 	if old != nil && old.UID != h.UID {
-		// A host's name carries one object at a time: the old life is over.
+		// A name has one object at a time, so the previous incarnation is gone.
 		p.Gone(HostID{old.Name, old.UID})
 	}
-	p.remove(h.Name)
+	p.removeHost(h.Name)
 	p.hosts[h.Name] = &h
 	p.service(h.Service)[h.Name] = true
-	p.total[h.Service] += p.load[h.Name]
-	p.touchHost(h.Name)
-	p.balanced, p.searched = false, false
-	for name := range p.short {
+	p.serviceLoad[h.Service] += p.hostLoad[h.Name]
+	p.markHostDirty(h.Name)
+	p.balanced, p.unknownValid = false, false
+	for name := range p.underReplicated {
 		p.dirty[name] = true
 	}
 }
 
-func (p *Planner) remove(name core.HostName) {
+func (p *Planner) removeHost(name core.HostName) {
 	h := p.hosts[name]
 	if h == nil {
 		return
 	}
 	delete(p.hosts, name)
 	delete(p.service(h.Service), name)
-	p.total[h.Service] -= p.load[name]
+	p.serviceLoad[h.Service] -= p.hostLoad[name]
 }
 
 func (p *Planner) addLoad(name core.HostName, b core.Bytes) {
-	p.load[name] += b
+	p.hostLoad[name] += b
 	if h := p.hosts[name]; h != nil {
-		p.total[h.Service] += b
+		p.serviceLoad[h.Service] += b
 	}
 }
 
-// Gone tells that the platform no longer lists this life of a host: a deletion
-// was seen, or a read of the host found nothing or another UID. It is the only
-// proof other than a release on which a holder is removed. A host that is
-// merely absent from a copy of the list is not gone: the copy may be older than
+// Gone records that the platform no longer lists this incarnation of a host: a
+// deletion was seen, or a read of the host found nothing or another UID. Apart
+// from a release, this is the only proof on which a holder is removed. A host that
+// is merely absent from a copy of the list is not gone: the copy may be older than
 // the grant.
 func (p *Planner) Gone(id HostID) {
 	p.init()
 	p.gone[id] = true
-	p.balanced, p.searched = false, false
+	p.balanced, p.unknownValid = false, false
 	if h := p.hosts[id.Host]; h != nil && h.UID == id.UID {
-		p.remove(id.Host)
+		p.removeHost(id.Host)
 		delete(p.copies, id.Host)
 	}
-	p.touchHost(id.Host)
+	p.markHostDirty(id.Host)
 }
 
-// Unproven lists holders whose host is not known here. The shell reads each
-// from the platform and calls SetHost or Gone.
+// Unproven returns the holders whose host is not known here. The I/O layer reads
+// each from the platform and calls SetHost or Gone.
 func (p *Planner) Unproven() []HostID {
-	if !p.searched {
-		// All grants are looked through, which at each round was half of what a
-		// decider at rest took; only hosts and grants change the result.
-		p.unproven, p.searched = p.searchUnproven(), true
+	if !p.unknownValid {
+		// The search reads all grants. Doing so in each round took half of the time of
+		// an idle decider. Only hosts and grants change the result.
+		p.unknown, p.unknownValid = p.findUnknownHolders(), true
 	}
-	return slices.Clone(p.unproven)
+	return slices.Clone(p.unknown)
 }
 
-func (p *Planner) searchUnproven() []HostID {
+func (p *Planner) findUnknownHolders() []HostID {
 	found := map[HostID]bool{}
-	for host, names := range p.holding {
+	for host, names := range p.heldModels {
 		for name := range names {
 			for _, h := range p.models[name].spec.Holders {
 				id := HostID{h.Host, h.UID}
-				if h.Host == host && !p.gone[id] && !p.known(id) {
+				if h.Host == host && !p.gone[id] && !p.isKnown(id) {
 					found[id] = true
 				}
 			}
@@ -262,12 +264,12 @@
 	return list
 }
 
-func (p *Planner) known(id HostID) bool {
+func (p *Planner) isKnown(id HostID) bool {
 	h := p.hosts[id.Host]
 	return h != nil && h.UID == id.UID
 }
 
-// SetCopies tells which checkpoints a host has in memory or on disk.
+// SetCopies sets the checkpoints that a host has in memory or on disk.
 func (p *Planner) SetCopies(host core.HostName, copies []core.EngineCopy) {
 	p.init()
 	m := make(map[core.ModelName]core.Tier, len(copies))
@@ -279,8 +281,8 @@
 	p.copies[host] = m
 }
 
-// SetGrant takes a grant object as found in the platform or a copy of it. Older
-// versions than the newest seen are ignored.
+// SetGrant sets a grant object as read from the platform or from a copy of it.
+// Versions older than the newest seen are ignored.
 func (p *Planner) SetGrant(name core.ModelName, spec core.GrantSpec, v core.Version) {
 	m := p.model(name)
 	if v < m.version || v == m.version && !m.deleted && m.version != 0 {
@@ -289,9 +291,9 @@
 	p.setGrant(m, spec, v, false)
 }
 
-// DropGrant tells that a grant object was deleted at version v. Its last known
-// holders keep counting, and are written again, because a deletion proves
-// nothing about what is loaded.
+// DropGrant records that a grant object was deleted at version v. Its last known
+// holders still count and are written again, because a deletion does not prove
+// that the model is unloaded.
 func (p *Planner) DropGrant(name core.ModelName, v core.Version) {
 	m := p.model(name)
 	if v <= m.version {
@@ -301,45 +303,45 @@
 }
 
 func (p *Planner) setGrant(m *model, spec core.GrantSpec, v core.Version, deleted bool) {
-	// No write conditional on an older version can have an effect any more; but
-	// a create may still, after a deletion that was seen before the creation.
+	// No write conditional on an older version can have an effect any more. A create
+	// still may, if the deletion was seen before the creation.
 	if !deleted || m.condition() != 0 {
 		m.pending = nil
 	}
-	m.out = false
-	m.blocked = false
+	m.inFlight = false
+	m.outdated = false
 	m.spec = spec
 	m.version = v
 	m.deleted = deleted
 	if spec.Fence != p.fence {
-		p.adopt(m)
+		p.adoptLevel(m)
 	}
-	p.account(m)
-	p.touch(m)
-	p.touchAdapters(m.name)
+	p.updateUsage(m)
+	p.markDirty(m)
+	p.markAdaptersDirty(m.name)
 }
 
-// Answered tells what became of the write for a name. After Applied the new
-// version must follow with SetGrant, unless it came before.
+// Answered records the outcome of a write. After Applied the new version must
+// follow with SetGrant, unless it came before.
 func (p *Planner) Answered(w Write, out Outcome) {
 	m := p.model(w.Name)
 	if w.Version != m.condition() {
 		return
 	}
-	m.out = false
+	m.inFlight = false
 	switch out {
 	case Refused, Overtaken:
-		m.blocked = out == Overtaken
-		m.pending = slices.DeleteFunc(m.pending, func(s core.GrantSpec) bool { return same(s, w.Spec) })
+		m.outdated = out == Overtaken
+		m.pending = slices.DeleteFunc(m.pending, func(s core.GrantSpec) bool { return equalSpec(s, w.Spec) })
 	case Applied:
-		m.blocked = true
+		m.outdated = true
 	case Unsure:
 	}
-	p.account(m)
-	p.touch(m)
+	p.updateUsage(m)
+	p.markDirty(m)
 }
 
-// condition is what a write of the model must be conditional on.
+// condition returns the version that a write of the model must be conditional on.
 func (m *model) condition() core.Version {
 	if m.deleted {
 		return 0
@@ -347,32 +349,32 @@
 	return m.version
 }
 
-func (p *Planner) touch(m *model) { p.dirty[m.name] = true }
+func (p *Planner) markDirty(m *model) { p.dirty[m.name] = true }
 
-func (p *Planner) touchAdapters(base core.ModelName) {
+func (p *Planner) markAdaptersDirty(base core.ModelName) {
 	for name := range p.adapters[base] {
 		p.dirty[name] = true
 	}
 }
 
-// accountAdapters follows a change of the base's entry: an adapter takes memory
-// on as many accelerators as its base.
-func (p *Planner) accountAdapters(base core.ModelName) {
+// updateAdapterUsage updates the sums after a change of the base's entry: an
+// adapter takes memory on as many accelerators as its base.
+func (p *Planner) updateAdapterUsage(base core.ModelName) {
 	for name := range p.adapters[base] {
 		m := p.models[name]
-		p.account(m)
-		p.owner(m.use.owner).stale = true
-		p.touch(m)
+		p.updateUsage(m)
+		p.owner(m.usage.owner).limitsStale = true
+		p.markDirty(m)
 	}
 }
 
-func (p *Planner) touchHost(host core.HostName) {
-	for name := range p.holding[host] {
+func (p *Planner) markHostDirty(host core.HostName) {
+	for name := range p.heldModels[host] {
 		p.dirty[name] = true
 	}
 }
 
-func same(a, b core.GrantSpec) bool {
+func equalSpec(a, b core.GrantSpec) bool {
 	return a.Fence == b.Fence && a.Entry == b.Entry && a.Owner == b.Owner &&
 		a.Memory == b.Memory && slices.Equal(a.Holders, b.Holders)
 }
--- a/core/place/rank.go
+++ b/core/place/rank.go
@@ -9,29 +9,30 @@
 	"radishwell/core"
 )
 
-// candidate is one host with what decides between it and others.
+// candidate is a host with the criteria by which it is compared with others.
 type candidate struct {
 	host *Host
-	// centre and rack count the model's other holders there.
-	centre int
-	rack   int
-	over   int
-	tier   core.Tier
-	hash   uint64
+	// sameCentre and sameRack count the model's other active holders there.
+	sameCentre int
+	sameRack   int
+	overBound  int
+	tier       core.Tier
+	hash       uint64
 }
 
-// best returns the host to grant next: spread over data centres first, since
-// half a data centre may be lost at once; then below the load bound, spread
-// over racks, near a copy of the checkpoint; and last by rendezvous hash, so
-// that a change of one host changes the choice for its share of models only.
-func (d *draft) best() *Host {
-	if s := d.m.shift; s != nil && !d.named(s.to) {
+// bestHost returns the host to grant next, or nil. It spreads holders over data
+// centres first, since half a data centre may be lost at once. Next it prefers
+// hosts below the load bound, other racks, and hosts near a copy of the
+// checkpoint. The rendezvous hash comes last, so that a change of one host changes
+// the choice only for that host's share of the models.
+func (d *draft) bestHost() *Host {
+	if s := d.m.move; s != nil && !d.hasHolderNamed(s.to) {
 		return d.p.hosts[s.to]
 	}
 	var found *candidate
-	bound := d.bound()
-	for _, h := range d.hosts() {
-		if !d.fits(h) || index(d.holders, HostID{h.Name, h.UID}) >= 0 || d.named(h.Name) {
+	bound := d.loadBound()
+	for _, h := range d.possibleHosts() {
+		if !d.fits(h) || holderIndex(d.holders, HostID{h.Name, h.UID}) >= 0 || d.hasHolderNamed(h.Name) {
 			continue
 		}
 		c := d.candidate(h, bound)
@@ -45,14 +46,14 @@
 	return found.host
 }
 
-// named reports whether an earlier life of the host is still a holder.
-func (d *draft) named(host core.HostName) bool {
+// hasHolderNamed reports whether any incarnation of the host is a holder.
+func (d *draft) hasHolderNamed(host core.HostName) bool {
 	return slices.ContainsFunc(d.holders, func(h core.GrantHolder) bool { return h.Host == host })
 }
 
-func (d *draft) hosts() []*Host {
+func (d *draft) possibleHosts() []*Host {
 	if d.m.entry.Base != "" {
-		return d.p.holders(d.m.entry.Base)
+		return d.p.activeHosts(d.m.entry.Base)
 	}
 	names := d.p.services[d.m.entry.Service]
 	list := make([]*Host, 0, len(names))
@@ -62,35 +63,35 @@
 	return list
 }
 
-// holders returns the known hosts with an active grant of a model.
-func (p *Planner) holders(name core.ModelName) []*Host {
+// activeHosts returns the known hosts with an active grant of a model.
+func (p *Planner) activeHosts(name core.ModelName) []*Host {
 	m := p.models[name]
 	if m == nil || m.deleted {
 		return nil
 	}
 	var list []*Host
 	for _, h := range m.spec.Holders {
-		if h.State == core.GrantActive && p.known(HostID{h.Host, h.UID}) {
+		if h.State == core.GrantActive && p.isKnown(HostID{h.Host, h.UID}) {
 			list = append(list, p.hosts[h.Host])
 		}
 	}
 	return list
 }
 
-// bound is the granted memory from which a host is taken last only.
-func (d *draft) bound() core.Bytes {
+// loadBound returns the granted memory above which a host is avoided.
+func (d *draft) loadBound() core.Bytes {
 	names := d.p.services[d.m.entry.Service]
 	if len(names) == 0 {
 		return 0
 	}
-	sum := d.p.replica(d.m.entry) + d.p.total[d.m.entry.Service]
-	return core.Bytes(Bound * float64(sum) / float64(len(names)))
+	sum := d.p.replicaMemory(d.m.entry) + d.p.serviceLoad[d.m.entry.Service]
+	return core.Bytes(LoadBound * float64(sum) / float64(len(names)))
 }
 
 func (d *draft) candidate(h *Host, bound core.Bytes) candidate {
 	c := candidate{host: h, tier: core.TierStore, hash: hash(d.m.name, h.Name)}
-	if d.p.load[h.Name] > bound {
-		c.over = 1
+	if d.p.hostLoad[h.Name] > bound {
+		c.overBound = 1
 	}
 	if t, ok := d.p.copies[h.Name][d.m.name]; ok {
 		c.tier = t
@@ -103,9 +104,9 @@
 		if o.DataCentre != h.DataCentre {
 			continue
 		}
-		c.centre++
+		c.sameCentre++
 		if o.Rack == h.Rack {
-			c.rack++
+			c.sameRack++
 		}
 	}
 	return c
@@ -113,9 +114,9 @@
 
 func (c *candidate) compare(o *candidate) int {
 	return cmp.Or(
-		cmp.Compare(c.centre, o.centre),
-		cmp.Compare(c.over, o.over),
-		cmp.Compare(c.rack, o.rack),
+		cmp.Compare(c.sameCentre, o.sameCentre),
+		cmp.Compare(c.overBound, o.overBound),
+		cmp.Compare(c.sameRack, o.sameRack),
 		cmp.Compare(c.tier, o.tier),
 		cmp.Compare(o.hash, c.hash),
 		cmp.Compare(c.host.Name, o.host.Name),
--- a/core/place/sums.go
+++ b/core/place/sums.go
@@ -8,16 +8,16 @@
 	"radishwell/core"
 )
 
-// Sums adds up what the entries report of each model's work. The zero value is
+// Sums adds up the work that the entries report for each model. The zero value is
 // ready for use; it is not safe for concurrent use.
 //
-// It answers many entries: each reports every few seconds, and adding up all
-// reports at each took 1 to 6 ms with 400 entries, half a core of the decider.
-// A report changes the sums by its difference to the entry's last one instead.
+// Each entry reports every few seconds. Adding up all reports at each one took 1
+// to 6 ms with 400 entries, half a core of the decider. Instead, a report changes
+// the sums by its difference to the entry's previous report.
 type Sums struct {
 	reports map[core.HostName]report
 	sums    map[core.ModelName]int64
-	// sweepAt is when reports are next looked through for old ones.
+	// sweepAt is when expired reports are removed next.
 	sweepAt time.Time
 }
 
@@ -26,25 +26,26 @@
 	work  map[core.ModelName]int64
 }
 
-// unit is the part of a request that is counted. Sums of whole numbers return
-// to zero; of fractions they would not, and a model without work keep a trace.
-const unit = 1.0 / 1024
+// workUnit is the fraction of a request that is counted. Sums of integers return
+// to zero; sums of fractions would not, and a model without work would keep a
+// remainder.
+const workUnit = 1.0 / 1024
 
-// sweepPeriod bounds how late an entry that fell silent is left out.
-const sweepPeriod = time.Second
+// sweepInterval bounds how long an expired report still counts.
+const sweepInterval = time.Second
 
-// Take replaces an entry's report, which counts until the given time. It returns
-// the models whose sums it changed, those of entries that fell silent among
-// them, sorted. Of a name that stands twice in a report the last counts.
+// Take replaces the report of an entry, which counts until the given time. It
+// returns the sorted names of the models whose sums changed, including those of
+// expired reports.
 func (s *Sums) Take(now, until time.Time, entry core.HostName, work map[core.ModelName]float64) []core.ModelName {
 	if s.reports == nil {
 		s.reports = map[core.HostName]report{}
 		s.sums = map[core.ModelName]int64{}
 	}
-	changed := set{}
+	changed := modelSet{}
 	units := make(map[core.ModelName]int64, len(work))
 	for name, n := range work {
-		units[name] = int64(math.Round(n / unit))
+		units[name] = int64(math.Round(n / workUnit))
 	}
 	s.replace(changed, entry, report{until: until, work: units})
 	s.sweep(now, changed)
@@ -56,8 +57,8 @@
 	return names
 }
 
-// Of returns a model's work over all entries, in requests running or waiting.
-func (s *Sums) Of(name core.ModelName) float64 { return float64(s.sums[name]) * unit }
+// Of returns the work of a model over all entries, in requests running or waiting.
+func (s *Sums) Of(name core.ModelName) float64 { return float64(s.sums[name]) * workUnit }
 
 // Names returns the models that have work, in no order.
 func (s *Sums) Names() []core.ModelName {
@@ -68,7 +69,7 @@
 	return names
 }
 
-func (s *Sums) replace(changed set, entry core.HostName, r report) {
+func (s *Sums) replace(changed modelSet, entry core.HostName, r report) {
 	old := s.reports[entry].work
 	for name, n := range r.work {
 		s.add(changed, name, n-old[name])
@@ -81,7 +82,7 @@
 	s.reports[entry] = r
 }
 
-func (s *Sums) add(changed set, name core.ModelName, n int64) {
+func (s *Sums) add(changed modelSet, name core.ModelName, n int64) {
 	if n == 0 {
 		return
 	}
@@ -92,11 +93,11 @@
 	}
 }
 
-func (s *Sums) sweep(now time.Time, changed set) {
+func (s *Sums) sweep(now time.Time, changed modelSet) {
 	if now.Before(s.sweepAt) {
 		return
 	}
-	s.sweepAt = now.Add(sweepPeriod)
+	s.sweepAt = now.Add(sweepInterval)
 	for entry, r := range s.reports {
 		if now.After(r.until) {
 			s.replace(changed, entry, report{})
--- a/core/place/sums_test.go
+++ b/core/place/sums_test.go
@@ -18,8 +18,8 @@
 	work  map[core.ModelName]float64
 }
 
-// sumNaive adds up the reports that still count at a time.
-func sumNaive(reports map[core.HostName]naiveReport, at time.Time) map[core.ModelName]float64 {
+// naiveSums adds up the reports that still count at a time.
+func naiveSums(reports map[core.HostName]naiveReport, at time.Time) map[core.ModelName]float64 {
 	sums := map[core.ModelName]float64{}
 	for _, one := range reports {
 		if at.After(one.until) {
@@ -32,15 +32,15 @@
 	return sums
 }
 
-// The decider summed all entries' reports at each report; with 400 entries that
-// took half a core. The running sums must be what adding everything up gives, and
-// nothing may stay of entries that went away.
+// Summing all reports at each report took half a core of the decider with 400
+// entries. The running sums must equal the naive ones, and nothing may remain of
+// entries that no longer report.
 func TestSumsAgainstNaive(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1000, 0)
 	var sums place.Sums
 	naive := map[core.HostName]naiveReport{}
-	told := map[core.ModelName]float64{}
+	reported := map[core.ModelName]float64{}
 	for range 5000 {
 		now = now.Add(time.Duration(r.IntN(400)) * time.Millisecond)
 		entry := core.HostName(fmt.Sprint("entry-", r.IntN(12)))
@@ -51,14 +51,14 @@
 		until := now.Add(3 * time.Second)
 		naive[entry] = naiveReport{until, work}
 		for _, name := range sums.Take(now, until, entry, work) {
-			told[name] = sums.Of(name)
+			reported[name] = sums.Of(name)
 		}
-		// The sums look for silent entries once a second, and this test's next
-		// step may be another 0.4 s away.
-		least, most := sumNaive(naive, now), sumNaive(naive, now.Add(-1400*time.Millisecond))
+		// Sums removes expired reports once a second, and the next step of this test may
+		// be another 0.4 s away.
+		least, most := naiveSums(naive, now), naiveSums(naive, now.Add(-1400*time.Millisecond))
 		for i := range 6 {
 			name := core.ModelName(fmt.Sprint("model-", i))
-			assert.Equal(t, told[name], sums.Of(name), "a change was not told")
+			assert.Equal(t, reported[name], sums.Of(name), "a change was not reported")
 			got := sums.Of(name)
 			assert.Assert(t, got >= least[name]-0.1 && got <= most[name]+0.1, "%s %v %v %v", name, least[name], got, most[name])
 		}
@@ -72,7 +72,7 @@
 	assert.Equal(t, math.Round(sums.Of("model-1")*100)/100, 3.0)
 }
 
-// BenchmarkSums is one report where 400 entries report 70 models each.
+// BenchmarkSums measures one report where 400 entries report 70 models each.
 func BenchmarkSums(b *testing.B) {
 	var sums place.Sums
 	now := time.Unix(1000, 0)
