--- a/core/ledger/barrier_test.go
+++ b/core/ledger/barrier_test.go
@@ -9,39 +9,40 @@
 	"radishwell/core/ledger"
 )
 
-// An agent starts while its engine carries orders out and loses their answers. Its
-// first order raises the engine's fencing number; the engine's report shows that it
-// was taken. A caller's request waited for a load that was never ordered, since the
-// lost answer was taken for an order that had no effect, at each try anew.
+// An agent starts while its engine executes orders and loses the answers. The
+// first order raises the engine's fencing number, and the engine's report shows
+// that it was accepted. If the lost answer counted as an order without effect,
+// each retry would have the same result, no load would ever be ordered, and
+// requests would wait for it.
 func TestLostAnswerToTheFirstOrder(t *testing.T) {
-	b := &bench{t: t, now: start}
-	b.ledger.Started, b.ledger.ChecksFence = start, true
-	b.state.Epoch, b.state.Capacity = 1, []core.Bytes{80 * core.GiB}
-	b.report()
-	raise := b.next()
-	t.Run("the report confirms what was taken", func(t *testing.T) {
-		b.state.Fence = raise.Unload.Fence
-		b.fail(core.EngineLost)
-		b.report()
-		assert.Assert(t, b.ledger.Rebuilt())
-		b.load(want("m1", 30), ledger.Coming)
-		assert.Equal(t, b.next().Kind, ledger.LoadItem)
+	f := &fixture{t: t, now: start}
+	f.ledger.Started, f.ledger.ChecksFence = start, true
+	f.state.Epoch, f.state.Capacity = 1, []core.Bytes{80 * core.GiB}
+	f.report()
+	raise := f.nextOrder()
+	t.Run("a report confirms a number that was accepted", func(t *testing.T) {
+		f.state.Fence = raise.Unload.Fence
+		f.failOrder(core.EngineLost)
+		f.report()
+		assert.Assert(t, f.ledger.Rebuilt())
+		f.assertLoad(request("m1", 30), ledger.Coming)
+		assert.Equal(t, f.nextOrder().Kind, ledger.LoadItem)
 	})
-	t.Run("what was not taken is sent again", func(t *testing.T) {
-		b := &bench{t: t, now: start}
-		b.ledger.Started, b.ledger.ChecksFence = start, true
-		b.state.Epoch, b.state.Capacity = 1, []core.Bytes{80 * core.GiB}
-		b.report()
-		first := b.next()
-		b.fail(core.EngineLost)
-		b.report()
-		b.none()
-		b.pass(ledger.Resend)
-		again := b.next()
+	t.Run("a number that was not accepted is sent again", func(t *testing.T) {
+		f := &fixture{t: t, now: start}
+		f.ledger.Started, f.ledger.ChecksFence = start, true
+		f.state.Epoch, f.state.Capacity = 1, []core.Bytes{80 * core.GiB}
+		f.report()
+		first := f.nextOrder()
+		f.failOrder(core.EngineLost)
+		f.report()
+		f.assertNoOrder()
+		f.advance(ledger.ResendInterval)
+		again := f.nextOrder()
 		assert.Assert(t, again.Unload.Fence > first.Unload.Fence)
-		b.state.Fence = again.Unload.Fence
-		b.ledger.Answer(b.now, ledger.Reply{})
-		b.report()
-		assert.Assert(t, b.ledger.Rebuilt())
+		f.state.Fence = again.Unload.Fence
+		f.ledger.Answer(f.now, ledger.Reply{})
+		f.report()
+		assert.Assert(t, f.ledger.Rebuilt())
 	})
 }
--- a/core/ledger/evict.go
+++ b/core/ledger/evict.go
@@ -8,57 +8,59 @@
 	"radishwell/core"
 )
 
-// unit is what one eviction takes away: an idle item, with all adapters on it.
-type unit struct {
+// evictionUnit is an idle item with all adapters on it, which are evicted
+// together.
+type evictionUnit struct {
 	items []*item
 	score float64
 	used  time.Time
 }
 
-// placing is one search for room.
-type placing struct {
+// placement is one search for room.
+type placement struct {
 	l    *Ledger
 	now  time.Time
 	want Want
 	keep Score
-	// free is what is promised to nobody, soon what leaving items will add.
-	free []core.Bytes
-	soon []core.Bytes
+	// free is the unreserved memory of each accelerator; freeSoon adds the memory of
+	// items being unloaded.
+	free     []core.Bytes
+	freeSoon []core.Bytes
 }
 
-func (p *placing) place() Verdict {
+func (p *placement) place() Verdict {
 	accs, v := p.candidates()
 	if v != Coming {
 		return v
 	}
-	p.count()
+	p.countFree()
 	if fit := p.fitting(accs, p.free); len(fit) >= p.needed(accs) {
-		p.promise(fit[:p.needed(accs)])
+		p.reserve(fit[:p.needed(accs)])
 		return Coming
 	}
-	if fit := p.fitting(accs, p.soon); len(fit) >= p.needed(accs) {
+	if fit := p.fitting(accs, p.freeSoon); len(fit) >= p.needed(accs) {
 		return Evicting
 	}
 	return p.evict(accs)
 }
 
-// candidates returns the accelerators that may be used.
-func (p *placing) candidates() ([]int, Verdict) {
+// candidates returns the accelerators that are large enough.
+func (p *placement) candidates() ([]int, Verdict) {
 	if p.want.Base != "" {
 		b := p.l.items[p.want.Base]
 		if b == nil || b.phase != loaded {
 			return nil, NoBase
 		}
-		return p.large(b.accs, len(b.accs))
+		return p.largeEnough(b.accelerators, len(b.accelerators))
 	}
 	all := make([]int, len(p.l.capacity))
 	for i := range all {
 		all[i] = i
 	}
-	return p.large(all, p.needed(all))
+	return p.largeEnough(all, p.needed(all))
 }
 
-func (p *placing) large(accs []int, need int) ([]int, Verdict) {
+func (p *placement) largeEnough(accs []int, need int) ([]int, Verdict) {
 	fit := p.fitting(accs, p.l.capacity)
 	if len(fit) < need {
 		return nil, TooLarge
@@ -66,68 +68,70 @@
 	return fit, Coming
 }
 
-func (p *placing) needed(accs []int) int {
+func (p *placement) needed(accs []int) int {
 	if p.want.Base != "" {
 		return len(accs)
 	}
 	return max(p.want.Accelerators, 1)
 }
 
-func (p *placing) fitting(accs []int, room []core.Bytes) []int {
+func (p *placement) fitting(accs []int, room []core.Bytes) []int {
 	var fit []int
 	for _, a := range accs {
 		if a < len(room) && room[a] >= p.want.Bytes {
 			fit = append(fit, a)
 		}
 	}
-	// The fullest that still fits first, so that large gaps stay for large models.
+	// The fullest accelerator that fits comes first, so that large gaps stay free for
+	// large models.
 	slices.SortStableFunc(fit, func(a, b int) int { return cmp.Compare(room[a], room[b]) })
 	return fit
 }
 
-func (p *placing) count() {
+func (p *placement) countFree() {
 	p.free = p.l.Capacity()
 	for a, b := range p.l.Promised() {
 		p.free[a] -= b
 	}
-	p.soon = slices.Clone(p.free)
+	p.freeSoon = slices.Clone(p.free)
 	for _, it := range p.l.items {
-		// An unload that hangs keeps its promise but is not waited for.
-		if it.phase == leaving && p.now.Before(it.since.Add(Hang)) {
-			add(p.soon, it)
+		// An unload that hangs keeps its reservation, but its memory is not expected
+		// soon.
+		if it.phase == unloading && p.now.Before(it.since.Add(UnloadTimeout)) {
+			addMemory(p.freeSoon, it)
 		}
 	}
 }
 
-func add(room []core.Bytes, it *item) {
-	for _, a := range it.accs {
+func addMemory(room []core.Bytes, it *item) {
+	for _, a := range it.accelerators {
 		if a < len(room) {
 			room[a] += it.bytes
 		}
 	}
 }
 
-func (p *placing) promise(accs []int) {
+func (p *placement) reserve(accs []int) {
 	accs = slices.Sorted(slices.Values(accs))
-	p.l.lives++
+	p.l.lastGeneration++
 	p.l.items[p.want.Name] = &item{
-		name: p.want.Name, base: p.want.Base, bytes: p.want.Bytes, accs: accs,
+		name: p.want.Name, base: p.want.Base, bytes: p.want.Bytes, accelerators: accs,
 		source: p.want.Source, giveUp: p.want.GiveUp,
-		life: p.l.lives, since: p.now, used: p.now, again: p.now,
+		generation: p.l.lastGeneration, since: p.now, lastUsed: p.now, nextSend: p.now,
 	}
 }
 
 // evict starts the cheapest set of unloads that makes room, or none.
-func (p *placing) evict(accs []int) Verdict {
-	units := p.units()
+func (p *placement) evict(accs []int) Verdict {
+	units := p.evictable()
 	type plan struct {
 		acc   int
-		units []unit
+		units []evictionUnit
 		cost  float64
 	}
 	var plans []plan
 	for _, a := range accs {
-		chosen, ok := p.clear(a, units)
+		chosen, ok := p.chooseUnits(a, units)
 		if !ok {
 			continue
 		}
@@ -146,25 +150,25 @@
 	for _, pl := range plans[:p.needed(accs)] {
 		for _, u := range pl.units {
 			for _, it := range u.items {
-				it.enter(leaving, p.now)
+				it.enter(unloading, p.now)
 			}
 		}
 	}
 	return Evicting
 }
 
-// clear returns the units to evict so that accelerator a has room.
-func (p *placing) clear(a int, units []unit) ([]unit, bool) {
-	room := p.soon[a]
+// chooseUnits returns the units to evict so that accelerator a has room.
+func (p *placement) chooseUnits(a int, units []evictionUnit) ([]evictionUnit, bool) {
+	room := p.freeSoon[a]
 	taken := map[*item]bool{}
-	var chosen []unit
+	var chosen []evictionUnit
 	for _, u := range units {
 		if room >= p.want.Bytes {
 			break
 		}
 		gain := core.Bytes(0)
 		for _, it := range u.items {
-			if !taken[it] && slices.Contains(it.accs, a) {
+			if !taken[it] && slices.Contains(it.accelerators, a) {
 				gain += it.bytes
 			}
 		}
@@ -180,42 +184,42 @@
 	return chosen, room >= p.want.Bytes
 }
 
-// units lists what may be evicted, the first to go first.
-func (p *placing) units() []unit {
-	var list []unit
-	for _, it := range p.l.sorted() {
-		if u, ok := p.unitOf(it); ok {
+// evictable returns the units that may be evicted, in the order of eviction.
+func (p *placement) evictable() []evictionUnit {
+	var list []evictionUnit
+	for _, it := range p.l.sortedItems() {
+		if u, ok := p.evictionUnitOf(it); ok {
 			list = append(list, u)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b unit) int {
+	slices.SortStableFunc(list, func(a, b evictionUnit) int {
 		return cmp.Or(cmp.Compare(a.score, b.score), a.used.Compare(b.used))
 	})
 	return list
 }
 
-func (p *placing) unitOf(it *item) (unit, bool) {
+func (p *placement) evictionUnitOf(it *item) (evictionUnit, bool) {
 	if it.name == p.want.Base || !it.idle() {
-		return unit{}, false
+		return evictionUnit{}, false
 	}
-	u := unit{items: []*item{it}, score: p.score(it), used: it.used}
-	for _, a := range p.l.onBase(it.name) {
-		if a.phase == leaving || a.phase == unsettled {
+	u := evictionUnit{items: []*item{it}, score: p.score(it), used: it.lastUsed}
+	for _, a := range p.l.adaptersOf(it.name) {
+		if a.phase == unloading || a.phase == uncertain {
 			continue
 		}
 		if !a.idle() {
-			return unit{}, false
+			return evictionUnit{}, false
 		}
 		u.items = append(u.items, a)
 		u.score = max(u.score, p.score(a))
-		if a.used.After(u.used) {
-			u.used = a.used
+		if a.lastUsed.After(u.used) {
+			u.used = a.lastUsed
 		}
 	}
 	return u, u.score < pinned
 }
 
-func (p *placing) score(it *item) float64 {
+func (p *placement) score(it *item) float64 {
 	if p.keep == nil {
 		return 0
 	}
--- a/core/ledger/info.go
+++ b/core/ledger/info.go
@@ -7,7 +7,7 @@
 	"radishwell/core"
 )
 
-// Info describes one promise.
+// Info describes one item with reserved memory.
 type Info struct {
 	Name         core.ModelName
 	Base         core.ModelName
@@ -15,22 +15,24 @@
 	Accelerators []int
 	Bytes        core.Bytes
 	Users        int
-	// Used is the last use's end, Since when State was entered.
+	// Used is the end of the last use, Since the time at which the item entered
+	// State.
 	Used  time.Time
 	Since time.Time
 }
 
-// Items lists all promises by name. Absent marks one that is kept only because
-// an order that may bring the item is still about.
+// Items returns all items by name. Absent marks an item that is kept only because
+// an order in flight may still load it.
 func (l *Ledger) Items() []Info {
 	list := make([]Info, 0, len(l.items))
-	for _, it := range l.sorted() {
+	for _, it := range l.sortedItems() {
 		list = append(list, it.info())
 	}
 	return list
 }
 
-// Item returns one promise, with State Absent and no Name if there is none.
+// Item returns the item of a name. If there is none, State is Absent and Name is
+// empty.
 func (l *Ledger) Item(name core.ModelName) Info {
 	if it := l.items[name]; it != nil {
 		return it.info()
@@ -43,13 +45,13 @@
 	switch it.phase {
 	case loaded:
 		state = core.Loaded
-	case leaving:
+	case unloading:
 		state = core.Unloading
-	case unsettled:
+	case uncertain:
 		state = core.Absent
 	}
 	return Info{
-		Name: it.name, Base: it.base, State: state, Accelerators: slices.Clone(it.accs),
-		Bytes: it.bytes, Users: it.users, Used: it.used, Since: it.since,
+		Name: it.name, Base: it.base, State: state, Accelerators: slices.Clone(it.accelerators),
+		Bytes: it.bytes, Users: it.users, Used: it.lastUsed, Since: it.since,
 	}
 }
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -11,190 +11,192 @@
 
 // Thresholds of the ledger.
 const (
-	// Settle is how long an order may still reach an engine after its sender
-	// has lost contact or has died, where the engine does not check fencing
-	// numbers. Agent and engine share a host, so the order is in the engine's
-	// own socket buffer or nowhere; an engine that leaves it unread for longer
-	// than this has answered no report either.
+	// Settle is how long an order may still reach an engine after its sender has lost
+	// contact or has died, if the engine does not check fencing numbers. Agent and
+	// engine share a host, so the order is either in the engine's own socket buffer
+	// or lost. An engine that leaves it unread for longer has not answered any report
+	// either.
 	Settle = 10 * time.Second
-	// Resend is the pause before an order that shows no effect is sent again.
-	Resend = 2 * time.Second
-	// Hang is when an unload is no longer expected to free its memory soon, so
-	// that further items are evicted instead of waiting for it.
-	Hang = 20 * time.Second
+	// ResendInterval is the delay before an order without visible effect is sent again.
+	ResendInterval = 2 * time.Second
+	// UnloadTimeout is the timeout of an unload. After it, further items are evicted instead
+	// of waiting for the memory.
+	UnloadTimeout = 20 * time.Second
 )
 
-// phase is where an item stands in the ledger. In every phase it counts.
+// phase is the state of an item in the ledger. An item reserves memory in every
+// phase.
 type phase uint8
 
 const (
-	// queued: the load is decided, its order has not been sent.
+	// queued: the load is decided, but its order has not been sent.
 	queued phase = iota
-	// ordered: the load order was sent; the engine hasn't shown the item.
+	// ordered: the load order was sent, but the engine hasn't reported the item.
 	ordered
-	// loading and loaded: as the engine shows.
+	// loading and loaded: as reported by the engine.
 	loading
 	loaded
-	// leaving: the unload is decided, sent or under way.
-	leaving
-	// unsettled: the engine shows no such item, but an order whose answer was
-	// lost may still bring it.
-	unsettled
+	// unloading: the unload is decided, ordered or in progress.
+	unloading
+	// uncertain: the engine does not report the item, but an order whose answer was
+	// lost may still load it.
+	uncertain
 )
 
-// item is one promise of memory.
+// item is a model or adapter with reserved memory.
 type item struct {
-	name  core.ModelName
-	base  core.ModelName
-	bytes core.Bytes
-	accs  []int
-	phase phase
-	// source and giveUp go into the load order.
+	name         core.ModelName
+	base         core.ModelName
+	bytes        core.Bytes
+	accelerators []int
+	phase        phase
+	// source and giveUp are sent with the load order.
 	source core.Tier
 	giveUp time.Time
-	// life tells this item from an earlier one of the same name.
-	life  uint64
-	users int
-	used  time.Time
-	// since is when the phase was entered.
+	// generation distinguishes this item from an earlier one of the same name.
+	generation uint64
+	users      int
+	lastUsed   time.Time
+	// since is when the item entered the phase.
 	since time.Time
-	// sent tells that the present phase's order went out, answered that the
-	// engine took it.
+	// sent is set if the order of the current phase was sent, answered if the engine
+	// accepted it.
 	sent     bool
 	answered bool
-	// loadAt is the step at which a load order was last sent or answered.
-	loadAt uint64
-	// again is when the present phase's order may be sent (again).
-	again time.Time
-	// shown tells that the last report had the item.
-	shown bool
+	// loadStep is the step at which a load order was last sent or answered.
+	loadStep uint64
+	// nextSend is the earliest time to send the order of the current phase.
+	nextSend time.Time
+	// reported is set if the last report had the item.
+	reported bool
 }
 
-// lostOrder is an order whose answer was lost: it may reach the engine later.
+// lostOrder is an order whose answer was lost. It may still reach the engine.
 type lostOrder struct {
-	name  core.ModelName
-	load  bool
-	fence core.Fence
-	until time.Time
+	name    core.ModelName
+	load    bool
+	fence   core.Fence
+	expires time.Time
 }
 
-// Ledger holds the memory promises of one host. ChecksFence and Started are set
-// before first use. It is not safe for concurrent use.
+// Ledger holds the memory reservations of one host. ChecksFence and Started must
+// be set before first use. A Ledger is not safe for concurrent use.
 type Ledger struct {
-	// ChecksFence tells that the engine refuses orders with an old fencing
-	// number (core.ServiceSpec.ChecksFence).
+	// ChecksFence is set if the engine refuses orders with an old fencing number
+	// (core.ServiceSpec.ChecksFence).
 	ChecksFence bool
-	// Started is when this agent took the host's exclusive address; no
-	// predecessor sends anything after it.
+	// Started is when this agent acquired the host's exclusive address. No previous
+	// agent process sends anything after it.
 	Started time.Time
 
 	items map[core.ModelName]*item
 	lost  []lostOrder
-	// capacity and epoch are from the last report; seen is false before it.
-	capacity []core.Bytes
-	epoch    uint64
-	seen     bool
-
-	fence core.Fence
-	// barrier is the number that the engine must show before anything is
-	// ordered; barrierAt is when it may be raised again.
+	// capacity and epoch are from the last report; hasReport is set after the first.
+	capacity  []core.Bytes
+	epoch     uint64
+	hasReport bool
+
+	lastFence core.Fence
+	// barrier is the fencing number that the engine must report before anything is
+	// ordered. nextBarrier is the earliest time to send another barrier order.
 	barrier core.Fence
-	// barrierLost tells that the answer to the order that raises it was lost.
+	// barrierLost is set if the answer to the barrier order was lost.
 	barrierLost bool
-	barrierAt   time.Time
+	nextBarrier time.Time
 	confirmed   bool
-	// ignores tells that an engine said to check numbers doesn't keep them: a
-	// report asked for after step takenAt was below the number taken then.
-	ignores bool
-	taken   core.Fence
-	takenAt uint64
-	// fenced tells that a larger number than ours was seen.
-	fenced bool
-
-	step   uint64
-	ticket uint64
-	lives  uint64
-	out    Order
+	// ignoresFence is set if an engine that should check fencing numbers doesn't keep
+	// them: a report requested after step acceptedStep had a number below
+	// acceptedFence, the last one that the engine accepted.
+	ignoresFence  bool
+	acceptedFence core.Fence
+	acceptedStep  uint64
+	// superseded is set once a fencing number larger than ours was seen.
+	superseded bool
+
+	step           uint64
+	lastTicket     uint64
+	lastGeneration uint64
+	inFlight       Order
 }
 
-// Want is an item to load.
+// Want is a request to load an item.
 type Want struct {
 	Name core.ModelName
 	// Base is the model an adapter is loaded on; empty for a model.
 	Base core.ModelName
-	// Bytes is what the item holds on each of Accelerators accelerators, one
-	// where zero. An adapter lies on its base's accelerators.
+	// Bytes is the memory of the item on each of Accelerators accelerators (zero
+	// counts as one). An adapter is placed on the accelerators of its base.
 	Bytes        core.Bytes
 	Accelerators int
 	Source       core.Tier
 	GiveUp       time.Time
 }
 
-// Verdict answers a wish to load.
+// Verdict is the result of a request to load an item.
 type Verdict uint8
 
 // Verdicts.
 const (
-	// Ready: the item is loaded; Begin will take a use.
+	// Ready: the item is loaded; Begin will succeed.
 	Ready Verdict = iota
-	// Coming: the load is decided or under way.
+	// Coming: the load is decided or in progress.
 	Coming
-	// Evicting: idle items are being unloaded to make room; ask again after the
+	// Evicting: idle items are being unloaded to make room. Call Load again after the
 	// next report.
 	Evicting
-	// Leaving: the item itself is being unloaded; ask again once it is gone.
+	// Leaving: the item itself is being unloaded. Call Load again once it is gone.
 	Leaving
-	// NoBase: the adapter's base isn't loaded; load that first.
+	// NoBase: the adapter's base isn't loaded and must be loaded first.
 	NoBase
-	// NoMemory: everything that could make room is in use or wanted.
+	// NoMemory: every item that could be evicted is in use or pinned.
 	NoMemory
-	// TooLarge: the host could never hold the item.
+	// TooLarge: the item is larger than the host's accelerators.
 	TooLarge
-	// NotReady: the ledger isn't rebuilt yet; resident items can be used.
+	// NotReady: the ledger isn't rebuilt yet. Loaded items can be used.
 	NotReady
-	// Fenced: another agent orders this engine. The process must end.
-	Fenced
+	// Superseded: another agent controls this engine. The process must end.
+	Superseded
 )
 
-// Score tells how much an idle item should be kept; the lowest goes first.
-// math.Inf(1) keeps it: a request waits for it.
+// Score returns how much an idle item should be kept; the item with the lowest
+// score is evicted first. math.Inf(1) pins an item for which a request waits.
 type Score func(core.ModelName) float64
 
-// Load asks for an item. It is idempotent: called again it tells how far the
-// item has come. Evicting and Coming leave orders for Next.
+// Load requests an item and reports its state. It is idempotent. After Evicting
+// and Coming, Next returns the orders.
 func (l *Ledger) Load(now time.Time, w Want, keep Score) Verdict {
-	if l.fenced {
-		return Fenced
+	if l.superseded {
+		return Superseded
 	}
 	if it := l.items[w.Name]; it != nil {
-		return l.existing(now, it, w)
+		return l.loadExisting(now, it, w)
 	}
 	switch {
 	case !l.Rebuilt():
 		return NotReady
-	case l.isLost(w.Name):
+	case l.hasLostOrder(w.Name):
 		return Leaving
 	}
-	p := placing{l: l, now: now, want: w, keep: keep}
+	p := placement{l: l, now: now, want: w, keep: keep}
 	return p.place()
 }
 
-func (l *Ledger) existing(now time.Time, it *item, w Want) Verdict {
+func (l *Ledger) loadExisting(now time.Time, it *item, w Want) Verdict {
 	switch it.phase {
 	case loaded:
 		if l.baseLoaded(it) {
 			return Ready
 		}
 		return NoBase
-	case leaving:
-		if it.sent || !it.shown {
+	case unloading:
+		if it.sent || !it.reported {
 			return Leaving
 		}
-		// The unload was never sent, so it is simply not done.
+		// The unload was never sent, so it can be dropped.
 		it.enter(loaded, now)
 		return Ready
-	case unsettled:
-		if l.lostUnload(it.name) || !l.Rebuilt() {
+	case uncertain:
+		if l.hasLostUnload(it.name) || !l.Rebuilt() {
 			return Leaving
 		}
 		it.source = w.Source
@@ -212,43 +214,43 @@
 	it.since = now
 	it.sent = false
 	it.answered = false
-	it.again = now
+	it.nextSend = now
 }
 
-// Unload asks that an item leaves. It returns false, and does nothing, while
-// requests or loading adapters use it. Adapters on it leave first.
+// Unload starts the unload of an item and, first, of the adapters on it. It
+// returns false and does nothing while requests or loading adapters use the item.
 func (l *Ledger) Unload(now time.Time, name core.ModelName) bool {
 	it := l.items[name]
-	if it == nil || it.phase == leaving || it.phase == unsettled {
+	if it == nil || it.phase == unloading || it.phase == uncertain {
 		return true
 	}
 	if it.users > 0 {
 		return false
 	}
-	adapters := l.onBase(name)
+	adapters := l.adaptersOf(name)
 	for _, a := range adapters {
-		if !a.idle() && a.phase != leaving && a.phase != unsettled {
+		if !a.idle() && a.phase != unloading && a.phase != uncertain {
 			return false
 		}
 	}
 	for _, a := range adapters {
 		if a.phase == loaded {
-			a.enter(leaving, now)
+			a.enter(unloading, now)
 		}
 	}
-	if it.phase == queued && !it.shown {
-		l.giveBack(it, now)
+	if it.phase == queued && !it.reported {
+		l.releaseReservation(it, now)
 		return true
 	}
-	it.enter(leaving, now)
+	it.enter(unloading, now)
 	return true
 }
 
-// giveBack ends a promise that the engine doesn't show, unless an order that
-// may still bring the item is about.
-func (l *Ledger) giveBack(it *item, now time.Time) {
-	if l.isLost(it.name) || l.out.name() == it.name {
-		it.enter(unsettled, now)
+// releaseReservation removes an item that the engine doesn't report. If an order
+// may still load it, the item becomes uncertain instead.
+func (l *Ledger) releaseReservation(it *item, now time.Time) {
+	if l.hasLostOrder(it.name) || l.inFlight.name() == it.name {
+		it.enter(uncertain, now)
 		return
 	}
 	delete(l.items, it.name)
@@ -258,56 +260,56 @@
 
 // Use is one use of a loaded item, from Begin to End.
 type Use struct {
-	Name core.ModelName
-	life uint64
+	Name       core.ModelName
+	generation uint64
 }
 
-// Begin counts a request in an item, and so in its base, until End. It returns
-// false unless the item is loaded and not leaving.
+// Begin counts a request as a user of an item, and so of its base, until End. It
+// returns false unless the item and its base are loaded and not being unloaded.
 func (l *Ledger) Begin(now time.Time, name core.ModelName) (Use, bool) {
 	it := l.items[name]
-	if it == nil || it.phase != loaded || l.fenced || !l.baseLoaded(it) {
+	if it == nil || it.phase != loaded || l.superseded || !l.baseLoaded(it) {
 		return Use{}, false
 	}
 	it.users++
-	it.used = now
+	it.lastUsed = now
 	if b := l.items[it.base]; b != nil {
-		b.used = now
+		b.lastUsed = now
 	}
-	return Use{Name: name, life: it.life}, true
+	return Use{Name: name, generation: it.generation}, true
 }
 
-// End ends a use. A use that an engine's restart has ended already is ignored.
+// End ends a use. It ignores a use that an engine restart has already ended.
 func (l *Ledger) End(now time.Time, u Use) {
 	it := l.items[u.Name]
-	if it == nil || it.life != u.life || it.users == 0 {
+	if it == nil || it.generation != u.generation || it.users == 0 {
 		return
 	}
 	it.users--
-	it.used = now
+	it.lastUsed = now
 	if b := l.items[it.base]; b != nil {
-		b.used = now
+		b.lastUsed = now
 	}
 }
 
 // Rebuilt reports whether the ledger may order loads: it knows what the engine
-// holds and that no order of a predecessor can still change it.
-func (l *Ledger) Rebuilt() bool { return l.seen && l.confirmed && !l.fenced }
+// holds, and no order of a previous agent process can still change that.
+func (l *Ledger) Rebuilt() bool { return l.hasReport && l.confirmed && !l.superseded }
 
-// Clear reports whether the host certainly neither holds the item nor will by
-// an order that is still about. It is the proof to release a grant on.
+// Clear reports whether the host certainly does not hold the item and no order in
+// flight can still load it. Only then may its grant be released.
 func (l *Ledger) Clear(name core.ModelName) bool {
-	return l.Rebuilt() && l.items[name] == nil && !l.isLost(name) && l.out.name() != name
+	return l.Rebuilt() && l.items[name] == nil && !l.hasLostOrder(name) && l.inFlight.name() != name
 }
 
-// Superseded reports that another agent orders this engine.
-func (l *Ledger) Superseded() bool { return l.fenced }
+// Superseded reports whether another agent controls this engine.
+func (l *Ledger) Superseded() bool { return l.superseded }
 
-// Promised returns the bytes promised on each accelerator.
+// Promised returns the bytes reserved on each accelerator.
 func (l *Ledger) Promised() []core.Bytes {
 	sum := make([]core.Bytes, len(l.capacity))
 	for _, it := range l.items {
-		for _, a := range it.accs {
+		for _, a := range it.accelerators {
 			if a >= 0 && a < len(sum) {
 				sum[a] += it.bytes
 			}
@@ -316,10 +318,10 @@
 	return sum
 }
 
-// Capacity returns the bytes of each accelerator as last reported.
+// Capacity returns the last reported bytes of each accelerator.
 func (l *Ledger) Capacity() []core.Bytes { return slices.Clone(l.capacity) }
 
-func (l *Ledger) sorted() []*item {
+func (l *Ledger) sortedItems() []*item {
 	names := slices.Sorted(maps.Keys(l.items))
 	list := make([]*item, len(names))
 	for i, n := range names {
@@ -328,9 +330,9 @@
 	return list
 }
 
-func (l *Ledger) onBase(base core.ModelName) []*item {
+func (l *Ledger) adaptersOf(base core.ModelName) []*item {
 	var list []*item
-	for _, it := range l.sorted() {
+	for _, it := range l.sortedItems() {
 		if it.base == base {
 			list = append(list, it)
 		}
@@ -346,15 +348,15 @@
 	return b != nil && b.phase == loaded
 }
 
-func (l *Ledger) checks() bool { return l.ChecksFence && !l.ignores }
+func (l *Ledger) fenceChecked() bool { return l.ChecksFence && !l.ignoresFence }
 
-func (l *Ledger) isLost(name core.ModelName) bool {
+func (l *Ledger) hasLostOrder(name core.ModelName) bool {
 	return slices.ContainsFunc(l.lost, func(g lostOrder) bool { return g.name == name })
 }
 
-func (l *Ledger) lostUnload(name core.ModelName) bool {
+func (l *Ledger) hasLostUnload(name core.ModelName) bool {
 	return slices.ContainsFunc(l.lost, func(g lostOrder) bool { return g.name == name && !g.load })
 }
 
-// pinned is the score of an item that must stay.
+// pinned is the score of an item that must not be evicted.
 var pinned = math.Inf(1)
--- a/core/ledger/naive_test.go
+++ b/core/ledger/naive_test.go
@@ -12,14 +12,14 @@
 	"radishwell/core/ledger"
 )
 
-// naive counts what an engine might come to hold: what it has, and every order
+// naive counts what an engine may come to hold: the items it has, and every order
 // that may still reach it.
 type naive struct {
-	flight []ledger.Order
-	ends   []time.Time
+	inFlight []ledger.Order
+	expiries []time.Time
 }
 
-// sum is the naive ledger: a plain sum over what is and what may come.
+// sum is the naive ledger: a plain sum over current and possible items.
 func (n *naive) sum(st core.EngineState) []core.Bytes {
 	sum := make([]core.Bytes, len(st.Capacity))
 	counted := map[core.ModelName]bool{}
@@ -35,7 +35,7 @@
 	for _, it := range st.Items {
 		add(it.Name, it.Accelerators, it.Bytes)
 	}
-	for _, o := range n.flight {
+	for _, o := range n.inFlight {
 		if o.Kind == ledger.LoadItem {
 			add(o.Load.Name, o.Load.Accelerators, o.Load.Bytes)
 		}
@@ -43,124 +43,126 @@
 	return sum
 }
 
-// TestAgainstNaiveSum plays random orders, lost answers and restarts. After
-// each step the ledger promises at least what the engine has or may come to
-// hold, and never more than there is; once all is quiet, the two agree.
+// TestAgainstNaiveSum runs random orders, lost answers and restarts. After each
+// step the ledger must reserve at least what the engine holds or may come to hold,
+// and never more than its capacity. Once all orders have ended, the two sums must
+// agree.
 func TestAgainstNaiveSum(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		b := newBench(t, 80, 80)
+		f := newFixture(t, 80, 80)
 		n := &naive{}
 		for range 300 {
-			b.random(r, n)
-			promised := b.ledger.Promised()
-			for a, least := range n.sum(b.state) {
-				assert.Assert(t, promised[a] >= least, "seed %d: promises %s, may hold %s", seed, promised[a], least)
-				assert.Assert(t, promised[a] <= b.state.Capacity[a], "seed %d: promises %s", seed, promised[a])
+			f.randomStep(r, n)
+			promised := f.ledger.Promised()
+			for a, least := range n.sum(f.state) {
+				assert.Assert(t, promised[a] >= least, "seed %d: reserved %s, may hold %s", seed, promised[a], least)
+				assert.Assert(t, promised[a] <= f.state.Capacity[a], "seed %d: reserved %s", seed, promised[a])
 			}
 		}
-		b.quiet(n)
-		assert.DeepEqual(t, b.ledger.Promised(), n.sum(b.state))
+		f.settle(n)
+		assert.DeepEqual(t, f.ledger.Promised(), n.sum(f.state))
 	}
 }
 
 var items = []ledger.Want{
-	want("m1", 30), want("m2", 50), want("m3", 70),
+	request("m1", 30), request("m2", 50), request("m3", 70),
 	{Name: "m4", Bytes: 40 * core.GiB, Accelerators: 2},
 	{Name: "a1", Base: "m1", Bytes: 5 * core.GiB},
 	{Name: "a2", Base: "m4", Bytes: 20 * core.GiB},
 }
 
-func (b *bench) random(r *rand.Rand, n *naive) {
+func (f *fixture) randomStep(r *rand.Rand, n *naive) {
 	w := items[r.IntN(len(items))]
 	switch r.IntN(9) {
 	case 0, 1:
-		b.ledger.Load(b.now, w, nil)
+		f.ledger.Load(f.now, w, nil)
 	case 2:
-		b.ledger.Unload(b.now, w.Name)
+		f.ledger.Unload(f.now, w.Name)
 	case 3, 4:
-		b.send(r, n)
+		f.sendOrder(r, n)
 	case 5:
-		b.report()
+		f.report()
 	case 6:
-		b.pass(time.Duration(r.IntN(4)) * time.Second)
-		n.expire(b.now)
+		f.advance(time.Duration(r.IntN(4)) * time.Second)
+		n.expire(f.now)
 	case 7:
-		b.end(r.IntN(4))
+		f.completeItem(r.IntN(4))
 	case 8:
-		n.arrive(b, r)
+		n.deliverLost(f, r)
 	}
 }
 
-// send lets an order arrive, get lost on its way or stay on it.
-func (b *bench) send(r *rand.Rand, n *naive) {
-	o, ok := b.ledger.Next(b.now)
+// sendOrder delivers an order, delays or loses it on its way, or delivers it and
+// loses the answer.
+func (f *fixture) sendOrder(r *rand.Rand, n *naive) {
+	o, ok := f.ledger.Next(f.now)
 	if !ok {
 		return
 	}
 	switch r.IntN(4) {
 	case 0:
-		n.flight = append(n.flight, o)
-		n.ends = append(n.ends, b.now.Add(ledger.Settle))
-		b.fail(core.EngineLost)
+		n.inFlight = append(n.inFlight, o)
+		n.expiries = append(n.expiries, f.now.Add(ledger.Settle))
+		f.failOrder(core.EngineLost)
 	case 1:
-		b.arrive(o)
-		b.fail(core.EngineLost)
+		f.applyOnce(o)
+		f.failOrder(core.EngineLost)
 	default:
-		b.arrive(o)
-		b.ledger.Answer(b.now, ledger.Reply{})
+		f.applyOnce(o)
+		f.ledger.Answer(f.now, ledger.Reply{})
 	}
 }
 
-// arrive has an order's effect once, as an engine that ignores numbers does.
-func (b *bench) arrive(o ledger.Order) {
-	for _, it := range b.state.Items {
+// applyOnce applies an order once, as an engine that ignores fencing numbers does.
+func (f *fixture) applyOnce(o ledger.Order) {
+	for _, it := range f.state.Items {
 		if o.Kind == ledger.LoadItem && it.Name == o.Load.Name {
 			return
 		}
 	}
-	b.take(o)
+	f.apply(o)
 }
 
-func (n *naive) arrive(b *bench, r *rand.Rand) {
-	if len(n.flight) == 0 {
+func (n *naive) deliverLost(f *fixture, r *rand.Rand) {
+	if len(n.inFlight) == 0 {
 		return
 	}
-	i := r.IntN(len(n.flight))
-	b.arrive(n.flight[i])
+	i := r.IntN(len(n.inFlight))
+	f.applyOnce(n.inFlight[i])
 	n.drop(i)
 }
 
 func (n *naive) drop(i int) {
-	n.flight = slices.Delete(n.flight, i, i+1)
-	n.ends = slices.Delete(n.ends, i, i+1)
+	n.inFlight = slices.Delete(n.inFlight, i, i+1)
+	n.expiries = slices.Delete(n.expiries, i, i+1)
 }
 
 func (n *naive) expire(now time.Time) {
-	for i := len(n.ends) - 1; i >= 0; i-- {
-		if !now.Before(n.ends[i]) {
+	for i := len(n.expiries) - 1; i >= 0; i-- {
+		if !now.Before(n.expiries[i]) {
 			n.drop(i)
 		}
 	}
 }
 
-// end finishes the i-th item's load or unload.
-func (b *bench) end(i int) {
-	if i >= len(b.state.Items) {
+// completeItem completes the load or unload of the i-th item.
+func (f *fixture) completeItem(i int) {
+	if i >= len(f.state.Items) {
 		return
 	}
-	if b.state.Items[i].State == core.Unloading {
-		b.state.Items = slices.Delete(slices.Clone(b.state.Items), i, i+1)
+	if f.state.Items[i].State == core.Unloading {
+		f.state.Items = slices.Delete(slices.Clone(f.state.Items), i, i+1)
 		return
 	}
-	b.state.Items[i].State = core.Loaded
+	f.state.Items[i].State = core.Loaded
 }
 
-func (b *bench) quiet(n *naive) {
+func (f *fixture) settle(n *naive) {
 	for range 20 {
-		b.pass(ledger.Settle)
-		n.expire(b.now)
-		b.order()
-		b.finish()
+		f.advance(ledger.Settle)
+		n.expire(f.now)
+		f.sendOrders()
+		f.completeAll()
 	}
 }
--- a/core/ledger/order.go
+++ b/core/ledger/order.go
@@ -6,28 +6,29 @@
 	"radishwell/core"
 )
 
-// Fencing numbers of orders: the second of the agent's start in the upper bits,
-// the count of its orders in the lower. They stay below 2^53, so that engines
-// which read JSON numbers as floating point keep them exact. The start time is
-// there because an engine that restarts may forget the numbers it has seen; a
-// later agent's numbers are then still the larger ones.
+// fenceShift is the position of the agent's start, in Unix seconds, in the fencing
+// numbers of orders. The lower bits count the orders. The numbers stay below 2^53,
+// so that engines which read JSON numbers as floating point keep them exact. They
+// include the start time because an engine that restarts may forget the numbers it
+// has seen; the numbers of a later agent are still the larger ones.
 const fenceShift = 21
 
-// barrierName is the item of the unload order that only raises the engine's
-// fencing number. No catalogue entry can have it, since names are lower case.
+// barrierName is the item of the barrier order: an unload order that only raises
+// the engine's fencing number. No catalogue entry can have this name, since names
+// are lower case.
 const barrierName core.ModelName = "FENCE"
 
-// OrderKind tells orders apart.
+// OrderKind is the kind of an order.
 type OrderKind uint8
 
-// Kinds of orders.
+// Order kinds.
 const (
 	NoOrder OrderKind = iota
 	LoadItem
 	UnloadItem
 )
 
-// Order is one order for the engine; the field named by Kind is set.
+// Order is one order to the engine; the field selected by Kind is set.
 type Order struct {
 	Kind   OrderKind
 	Load   core.LoadOrder
@@ -53,53 +54,53 @@
 
 // Reply is the engine's answer to an order.
 type Reply struct {
-	// Failed tells that the call failed with Fault. A call that got no answer
-	// in time is core.EngineLost.
+	// Failed is set if the call failed with Fault. A call without an answer in time
+	// has the fault core.EngineLost.
 	Failed bool
 	Fault  core.EngineFault
 }
 
-// Next returns the order to send now. It returns false while the last one's
-// Answer is due or nothing is to be ordered. An order goes out alone, so that
-// its fencing number is above all before it and at most one order of an agent
-// that dies is unaccounted for.
+// Next returns the order to send now. It returns false while the answer to the
+// last order is pending or if there is nothing to order. Orders are sent one at a
+// time, so that each fencing number is above all earlier ones and at most one
+// order of an agent that dies is unaccounted for.
 func (l *Ledger) Next(now time.Time) (Order, bool) {
-	if l.fenced || !l.seen || l.out.Kind != NoOrder {
+	if l.superseded || !l.hasReport || l.inFlight.Kind != NoOrder {
 		return Order{}, false
 	}
-	o, ok := l.choose(now)
+	o, ok := l.chooseOrder(now)
 	if !ok {
 		return Order{}, false
 	}
 	l.step++
-	l.out = o
+	l.inFlight = o
 	return o, true
 }
 
-func (l *Ledger) choose(now time.Time) (Order, bool) {
+func (l *Ledger) chooseOrder(now time.Time) (Order, bool) {
 	if !l.confirmed {
 		return l.chooseBarrier(now)
 	}
-	for _, it := range l.sorted() {
+	for _, it := range l.sortedItems() {
 		if o, ok := l.unloadOrder(it, now); ok {
 			return o, true
 		}
 	}
-	for _, it := range l.sorted() {
+	for _, it := range l.sortedItems() {
 		if o, ok := l.loadOrder(it, now); ok {
 			return o, true
 		}
 	}
-	if l.checks() && l.raisable() && !now.Before(l.barrierAt) {
+	if l.fenceChecked() && l.needsBarrier() && !now.Before(l.nextBarrier) {
 		return l.barrierOrder(), true
 	}
 	return Order{}, false
 }
 
-// chooseBarrier raises the engine's number at the start and after its restart.
-// Engines that don't check it have nothing to gain from it.
+// chooseBarrier raises the engine's fencing number when the agent starts and after
+// the engine restarts. An engine that doesn't check numbers does not need it.
 func (l *Ledger) chooseBarrier(now time.Time) (Order, bool) {
-	if !l.checks() || l.barrier != 0 && !l.barrierLost || now.Before(l.barrierAt) {
+	if !l.fenceChecked() || l.barrier != 0 && !l.barrierLost || now.Before(l.nextBarrier) {
 		return Order{}, false
 	}
 	o := l.barrierOrder()
@@ -111,11 +112,11 @@
 	return Order{Kind: UnloadItem, Unload: core.UnloadOrder{Name: barrierName, Fence: l.nextFence()}}
 }
 
-// raisable reports that a lost order would be ruled out by a larger number, and
-// that the engine hasn't taken one yet.
-func (l *Ledger) raisable() bool {
+// needsBarrier reports whether a lost order would be ruled out by a larger fencing
+// number that the engine hasn't accepted yet.
+func (l *Ledger) needsBarrier() bool {
 	for _, g := range l.lost {
-		if l.taken <= g.fence {
+		if l.acceptedFence <= g.fence {
 			return true
 		}
 	}
@@ -123,7 +124,7 @@
 }
 
 func (l *Ledger) unloadOrder(it *item, now time.Time) (Order, bool) {
-	if it.phase != leaving || now.Before(it.again) || len(l.onBase(it.name)) > 0 {
+	if it.phase != unloading || now.Before(it.nextSend) || len(l.adaptersOf(it.name)) > 0 {
 		return Order{}, false
 	}
 	it.sent = true
@@ -133,40 +134,40 @@
 
 func (l *Ledger) loadOrder(it *item, now time.Time) (Order, bool) {
 	due := it.phase == queued || it.phase == ordered && !it.answered
-	if !due || now.Before(it.again) || !l.baseLoaded(it) {
+	if !due || now.Before(it.nextSend) || !l.baseLoaded(it) {
 		return Order{}, false
 	}
 	it.enter(ordered, now)
 	it.sent = true
-	it.loadAt = l.step + 1
+	it.loadStep = l.step + 1
 	return Order{Kind: LoadItem, Load: core.LoadOrder{
-		Name: it.name, Base: it.base, Fence: l.nextFence(), Accelerators: it.accs,
+		Name: it.name, Base: it.base, Fence: l.nextFence(), Accelerators: it.accelerators,
 		Bytes: it.bytes, Source: it.source, GiveUp: it.giveUp,
 	}}, true
 }
 
 func (l *Ledger) nextFence() core.Fence {
-	l.fence++
-	return l.fence
+	l.lastFence++
+	return l.lastFence
 }
 
-// Answer tells what became of the order that Next returned last.
+// Answer records the reply to the order that Next returned last.
 func (l *Ledger) Answer(now time.Time, r Reply) {
-	o := l.out
+	o := l.inFlight
 	if o.Kind == NoOrder {
 		return
 	}
 	l.step++
-	l.out = Order{}
+	l.inFlight = Order{}
 	if r.Failed && r.Fault == core.EngineStale {
-		// Numbers only grow and orders go out alone: a larger number seen by
-		// the engine is another agent's.
-		l.fenced = true
+		// Numbers only grow and orders are sent one at a time, so a larger number comes
+		// from another agent.
+		l.superseded = true
 		return
 	}
 	if !r.Failed {
-		l.taken = o.fence()
-		l.takenAt = l.step
+		l.acceptedFence = o.fence()
+		l.acceptedStep = l.step
 	}
 	if o.name() == barrierName {
 		l.answerBarrier(now, r)
@@ -174,16 +175,16 @@
 	}
 	if r.Failed && r.Fault == core.EngineLost {
 		l.lost = append(l.lost, lostOrder{
-			name: o.name(), load: o.Kind == LoadItem, fence: o.fence(), until: now.Add(Settle),
+			name: o.name(), load: o.Kind == LoadItem, fence: o.fence(), expires: now.Add(Settle),
 		})
 	}
 	it := l.items[o.name()]
 	if it == nil {
 		return
 	}
-	it.again = now.Add(Resend)
+	it.nextSend = now.Add(ResendInterval)
 	if o.Kind == LoadItem {
-		it.loadAt = l.step
+		it.loadStep = l.step
 	}
 	if !r.Failed {
 		it.answered = true
@@ -193,14 +194,14 @@
 }
 
 func (l *Ledger) answerBarrier(now time.Time, r Reply) {
-	l.barrierAt = now.Add(Resend)
+	l.nextBarrier = now.Add(ResendInterval)
 	if !r.Failed || l.confirmed {
 		return
 	}
 	if r.Fault == core.EngineLost {
-		// It may have been taken, and then the next report shows the number. Taken
-		// for one without effect, an engine whose answers are lost would never be
-		// ordered anything.
+		// The engine may have accepted the order; the next report then shows the number.
+		// If the order were counted as one without effect, an engine whose answers are
+		// lost would never be ordered anything.
 		l.barrierLost = true
 		return
 	}
@@ -213,11 +214,11 @@
 	}
 	if f == core.EngineUnreached {
 		it.enter(queued, now)
-		it.again = now.Add(Resend)
+		it.nextSend = now.Add(ResendInterval)
 		return
 	}
-	// Refused: this order brought nothing.
-	if !it.shown {
-		l.giveBack(it, now)
+	// The engine refused the order, so it loaded nothing.
+	if !it.reported {
+		l.releaseReservation(it, now)
 	}
 }
--- a/core/ledger/order_test.go
+++ b/core/ledger/order_test.go
@@ -10,153 +10,155 @@
 	"radishwell/core/ledger"
 )
 
-// next returns the order that is due.
-func (b *bench) next() ledger.Order {
-	b.t.Helper()
-	o, ok := b.ledger.Next(b.now)
-	assert.Assert(b.t, ok, "an order is due")
+// nextOrder returns the order that is due.
+func (f *fixture) nextOrder() ledger.Order {
+	f.t.Helper()
+	o, ok := f.ledger.Next(f.now)
+	assert.Assert(f.t, ok, "an order is due")
 	return o
 }
 
-func (b *bench) fail(f core.EngineFault) {
-	b.ledger.Answer(b.now, ledger.Reply{Failed: true, Fault: f})
+func (f *fixture) failOrder(fault core.EngineFault) {
+	f.ledger.Answer(f.now, ledger.Reply{Failed: true, Fault: fault})
 }
 
-func (b *bench) none() {
-	b.t.Helper()
-	o, ok := b.ledger.Next(b.now)
-	assert.Assert(b.t, !ok, "no order is due, found %v", o)
+func (f *fixture) assertNoOrder() {
+	f.t.Helper()
+	o, ok := f.ledger.Next(f.now)
+	assert.Assert(f.t, !ok, "no order is due, found %v", o)
 }
 
 func TestAnswer(t *testing.T) {
 	t.Run("one order at a time", func(t *testing.T) {
-		b := newBench(t, 80)
-		b.load(want("m1", 30), ledger.Coming)
-		b.load(want("m2", 30), ledger.Coming)
-		b.next()
-		b.none()
+		f := newFixture(t, 80)
+		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.assertLoad(request("m2", 30), ledger.Coming)
+		f.nextOrder()
+		f.assertNoOrder()
 	})
-	t.Run("a refused load gives its promise back", func(t *testing.T) {
-		b := newBench(t, 80)
-		b.load(want("m1", 30), ledger.Coming)
-		b.next()
-		b.fail(core.EngineNoMemory)
-		assert.Equal(t, b.ledger.Promised()[0], core.Bytes(0))
-		assert.Assert(t, b.ledger.Clear("m1"))
+	t.Run("a refused load releases its reservation", func(t *testing.T) {
+		f := newFixture(t, 80)
+		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.nextOrder()
+		f.failOrder(core.EngineNoMemory)
+		assert.Equal(t, f.ledger.Promised()[0], core.Bytes(0))
+		assert.Assert(t, f.ledger.Clear("m1"))
 	})
 	t.Run("an order that never left is sent again", func(t *testing.T) {
-		b := newBench(t, 80)
-		b.load(want("m1", 30), ledger.Coming)
-		first := b.next()
-		b.fail(core.EngineUnreached)
-		b.none()
-		b.pass(ledger.Resend)
-		assert.Assert(t, b.next().Load.Fence > first.Load.Fence)
+		f := newFixture(t, 80)
+		f.assertLoad(request("m1", 30), ledger.Coming)
+		first := f.nextOrder()
+		f.failOrder(core.EngineUnreached)
+		f.assertNoOrder()
+		f.advance(ledger.ResendInterval)
+		assert.Assert(t, f.nextOrder().Load.Fence > first.Load.Fence)
 	})
-	t.Run("a load that the engine gave up is found by its report", func(t *testing.T) {
-		b := newBench(t, 80)
-		b.load(want("m1", 30), ledger.Coming)
-		b.order()
-		b.report()
-		b.state.Items = nil
-		b.report()
-		assert.Assert(t, b.ledger.Clear("m1"))
+	t.Run("a load that the engine abandoned is detected from its report", func(t *testing.T) {
+		f := newFixture(t, 80)
+		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.sendOrders()
+		f.report()
+		f.state.Items = nil
+		f.report()
+		assert.Assert(t, f.ledger.Clear("m1"))
 	})
 }
 
-// A load order's answer is lost, the engine shows nothing of the model, and its
-// waiters are gone. The memory stays promised, and the grant is kept, until the
-// order can't arrive any more; only then may others have the memory.
+// The answer to a load order is lost, the engine does not report the model, and
+// the requests for it are gone. The memory must stay reserved, and the grant must
+// be kept, until the order can't arrive any more. Only then may other models use
+// the memory.
 func TestLostOrder(t *testing.T) {
-	b := newBench(t, 80)
-	b.load(want("m1", 60), ledger.Coming)
-	b.next()
-	b.fail(core.EngineLost)
-	assert.Assert(t, b.ledger.Unload(b.now, "m1"))
-	b.pass(ledger.Settle - time.Second)
-	b.report()
-	assert.Equal(t, b.ledger.Promised()[0], 60*core.GiB)
-	assert.Assert(t, !b.ledger.Clear("m1"))
-	b.load(want("m2", 60), ledger.NoMemory)
-	early := b.ledger.Ask(b.now)
-	b.pass(time.Second)
-	b.ledger.Report(b.now, early, b.state)
-	assert.Assert(t, !b.ledger.Clear("m1"), "the report was asked for too early")
-	b.report()
-	assert.Assert(t, b.ledger.Clear("m1"))
-	b.load(want("m2", 60), ledger.Coming)
+	f := newFixture(t, 80)
+	f.assertLoad(request("m1", 60), ledger.Coming)
+	f.nextOrder()
+	f.failOrder(core.EngineLost)
+	assert.Assert(t, f.ledger.Unload(f.now, "m1"))
+	f.advance(ledger.Settle - time.Second)
+	f.report()
+	assert.Equal(t, f.ledger.Promised()[0], 60*core.GiB)
+	assert.Assert(t, !f.ledger.Clear("m1"))
+	f.assertLoad(request("m2", 60), ledger.NoMemory)
+	early := f.ledger.Ask(f.now)
+	f.advance(time.Second)
+	f.ledger.Report(f.now, early, f.state)
+	assert.Assert(t, !f.ledger.Clear("m1"), "the report was requested too early")
+	f.report()
+	assert.Assert(t, f.ledger.Clear("m1"))
+	f.assertLoad(request("m2", 60), ledger.Coming)
 }
 
-// checker returns a bench whose engine is said to check fencing numbers.
-func checker(t *testing.T, seen core.Fence) *bench {
+// newCheckingFixture returns a fixture whose engine is configured to check fencing
+// numbers.
+func newCheckingFixture(t *testing.T, seen core.Fence) *fixture {
 	t.Helper()
-	b := &bench{t: t, now: start}
-	b.ledger.Started = start
-	b.ledger.ChecksFence = true
-	b.state = core.EngineState{Epoch: 1, Fence: seen, Capacity: []core.Bytes{80 * core.GiB}}
-	b.report()
-	return b
+	f := &fixture{t: t, now: start}
+	f.ledger.Started = start
+	f.ledger.ChecksFence = true
+	f.state = core.EngineState{Epoch: 1, Fence: seen, Capacity: []core.Bytes{80 * core.GiB}}
+	f.report()
+	return f
 }
 
 func TestBarrier(t *testing.T) {
-	t.Run("nothing is loaded before the engine shows the number", func(t *testing.T) {
-		b := checker(t, 5)
-		b.load(want("m1", 30), ledger.NotReady)
-		o := b.next()
+	t.Run("nothing is loaded before the engine reports the number", func(t *testing.T) {
+		f := newCheckingFixture(t, 5)
+		f.assertLoad(request("m1", 30), ledger.NotReady)
+		o := f.nextOrder()
 		assert.Assert(t, o.Unload.Fence > 5)
-		b.ledger.Answer(b.now, ledger.Reply{})
-		b.load(want("m1", 30), ledger.NotReady)
-		b.state.Fence = o.Unload.Fence
-		b.report()
-		b.load(want("m1", 30), ledger.Coming)
+		f.ledger.Answer(f.now, ledger.Reply{})
+		f.assertLoad(request("m1", 30), ledger.NotReady)
+		f.state.Fence = o.Unload.Fence
+		f.report()
+		f.assertLoad(request("m1", 30), ledger.Coming)
 	})
-	t.Run("what the engine holds can be used before", func(t *testing.T) {
-		b := checker(t, 5)
-		b.state.Items = []core.EngineItem{{Name: "m1", State: core.Loaded, Accelerators: []int{0}, Bytes: core.GiB}}
-		b.report()
-		b.begin("m1")
-		assert.Assert(t, !b.ledger.Clear("m2"))
+	t.Run("items that the engine holds can be used before", func(t *testing.T) {
+		f := newCheckingFixture(t, 5)
+		f.state.Items = []core.EngineItem{{Name: "m1", State: core.Loaded, Accelerators: []int{0}, Bytes: core.GiB}}
+		f.report()
+		f.beginUse("m1")
+		assert.Assert(t, !f.ledger.Clear("m2"))
 	})
 	t.Run("numbers are exact in floating point and grow with time", func(t *testing.T) {
-		first := checker(t, 0).next().Unload.Fence
+		first := newCheckingFixture(t, 0).nextOrder().Unload.Fence
 		assert.Assert(t, first < 1<<53)
-		b := &bench{t: t, now: start.Add(time.Second)}
-		b.ledger = ledger.Ledger{Started: b.now, ChecksFence: true}
-		b.report()
-		assert.Assert(t, b.next().Unload.Fence > first)
+		f := &fixture{t: t, now: start.Add(time.Second)}
+		f.ledger = ledger.Ledger{Started: f.now, ChecksFence: true}
+		f.report()
+		assert.Assert(t, f.nextOrder().Unload.Fence > first)
 	})
-	t.Run("a larger number is another agent's", func(t *testing.T) {
-		b := checker(t, 0)
-		b.next()
-		b.fail(core.EngineStale)
-		assert.Assert(t, b.ledger.Superseded())
-		b.load(want("m1", 30), ledger.Fenced)
-		b.none()
+	t.Run("a larger number means another agent", func(t *testing.T) {
+		f := newCheckingFixture(t, 0)
+		f.nextOrder()
+		f.failOrder(core.EngineStale)
+		assert.Assert(t, f.ledger.Superseded())
+		f.assertLoad(request("m1", 30), ledger.Superseded)
+		f.assertNoOrder()
 	})
-	t.Run("also in a report", func(t *testing.T) {
-		b := checker(t, 0)
-		b.state.Fence = 1 << 60
-		b.report()
-		assert.Assert(t, b.ledger.Superseded())
+	t.Run("a larger number in a report means another agent", func(t *testing.T) {
+		f := newCheckingFixture(t, 0)
+		f.state.Fence = 1 << 60
+		f.report()
+		assert.Assert(t, f.ledger.Superseded())
 	})
-	t.Run("an engine that forgot it is told again", func(t *testing.T) {
-		b := checker(t, 0)
-		b.state.Fence = b.next().Unload.Fence
-		b.ledger.Answer(b.now, ledger.Reply{})
-		b.report()
-		b.state.Epoch, b.state.Fence = 2, 0
-		b.report()
-		b.load(want("m1", 30), ledger.NotReady)
-		b.pass(ledger.Resend)
-		assert.Equal(t, b.next().Kind, ledger.UnloadItem)
+	t.Run("the barrier is raised again after an engine restart", func(t *testing.T) {
+		f := newCheckingFixture(t, 0)
+		f.state.Fence = f.nextOrder().Unload.Fence
+		f.ledger.Answer(f.now, ledger.Reply{})
+		f.report()
+		f.state.Epoch, f.state.Fence = 2, 0
+		f.report()
+		f.assertLoad(request("m1", 30), ledger.NotReady)
+		f.advance(ledger.ResendInterval)
+		assert.Equal(t, f.nextOrder().Kind, ledger.UnloadItem)
 	})
-	t.Run("one that keeps no numbers is waited for instead", func(t *testing.T) {
-		b := checker(t, 0)
-		b.order()
-		b.report()
-		b.load(want("m1", 30), ledger.NotReady)
-		b.pass(ledger.Settle)
-		b.report()
-		b.load(want("m1", 30), ledger.Coming)
+	t.Run("an engine that keeps no numbers requires waiting instead", func(t *testing.T) {
+		f := newCheckingFixture(t, 0)
+		f.sendOrders()
+		f.report()
+		f.assertLoad(request("m1", 30), ledger.NotReady)
+		f.advance(ledger.Settle)
+		f.report()
+		f.assertLoad(request("m1", 30), ledger.Coming)
 	})
 }
