--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -10,33 +10,34 @@
 	"radishwell/core"
 )
 
-// Thresholds of the decider's lease. Its loss delays changes of grants only, so
-// the term is long enough to cost few platform calls (a contender reads at
-// most once in a term, the holder writes three times) and short enough that
+// These are the times of the decider's lease. Losing it only delays changes of
+// grants, so the term is long enough to cost few platform calls (a contender reads
+// at most once per term, the holder writes three times) and short enough that
 // demand which outgrows its grants waits seconds, not minutes.
 const (
-	// Term is how long an observed version of the lease keeps others out.
+	// Term is how long an observed version of the lease keeps other contenders from
+	// taking over.
 	Term = 12 * time.Second
-	// Margin is how much earlier the holder stops believing than the soonest
-	// that others may take over. It covers clocks whose rates differ by up to
-	// a fifth, far more than an undisciplined crystal, and slow scheduling.
+	// Margin is how much earlier the holder stops deciding than the earliest
+	// takeover. It covers clocks whose rates differ by up to a fifth, far more than
+	// an undisciplined crystal, and scheduling delays.
 	Margin = Term / 5
-	// renewals is how often the holder writes in a term: two may fail in a row
-	// before the lease lapses.
-	renewals = 3
-	// Retry is the pause after a call that failed.
-	Retry = 2 * time.Second
-	// spread is the time over which contenders spread their takeover, so that
+	// renewalsPerTerm is how often the holder writes in a term: two writes may fail
+	// in a row before the lease lapses.
+	renewalsPerTerm = 3
+	// RetryInterval is the delay after a failed call.
+	RetryInterval = 2 * time.Second
+	// takeoverSpread is the time over which contenders spread their takeover, so that
 	// hundreds of entries don't write to one object at once.
-	spread = 2 * time.Second
+	takeoverSpread = 2 * time.Second
 )
 
-// Call is what the machine asks its shell to do with the lease object.
+// Call is a call on the lease object that Next requests from the I/O layer.
 type Call uint8
 
-// Calls. At most one is outstanding; the next comes after its Answer.
+// At most one call is in flight; Next returns another after Answer.
 const (
-	// None: nothing to do before the returned time.
+	// None: there is nothing to do before the returned time.
 	None Call = iota
 	// Read: get the object.
 	Read
@@ -54,57 +55,58 @@
 
 // Reply is the answer to an Action.
 type Reply struct {
-	// Object is what the platform returned, where Failed is false.
+	// Object is the object that the platform returned, if Failed is false.
 	Object core.Object
 	Failed bool
-	// Fault is the kind of failure, where Failed is set.
+	// Fault is the kind of failure, if Failed is true.
 	Fault core.PlatformFault
 }
 
-// Lease is one contender's view of the lease. Its exported fields are set before
-// first use. It is not safe for concurrent use.
+// Lease is one contender's view of the lease. Its exported fields must be set
+// before first use. It is not safe for concurrent use.
 type Lease struct {
 	Host        core.HostName
 	Incarnation core.Incarnation
-	// Kind and Name are the lease object's; the decider's where they are empty.
+	// Kind and Name identify the lease object. The zero values stand for the
+	// decider's lease.
 	Kind core.Kind
 	Name string
-	// Term and Margin are used instead of the decider's where they are set.
+	// Term and Margin replace the constants of the same name unless they are zero.
 	Term, Margin time.Duration
-	// Blank tells that the platform held no grants when this process started.
-	// Then nobody has decided before, and who creates the lease decides at once:
-	// the fleet's first start needs no wait for the term.
+	// Blank is set if the platform held no grants when this process started. Nobody
+	// has decided before then, and the creator of the lease decides at once: the
+	// first start of a fleet does not wait for the term.
 	Blank bool
 
-	// known tells that version and spec describe the last observation;
-	// absent that it was an observation of no object.
-	known   bool
-	absent  bool
-	version core.Version
-	spec    Spec
-	// free is the soonest takeover that the last observation allows; checked is
-	// when the object was last found at that version.
-	free    time.Time
-	checked time.Time
-
-	// mine tells that the object names this process; fence is its number.
-	mine  bool
+	// observed is set if version and spec hold the last observation; absent is set if
+	// it found no object.
+	observed bool
+	absent   bool
+	version  core.Version
+	spec     Spec
+	// takeoverAt is the earliest takeover that the last observation allows; checkedAt
+	// is when the object was last found at that version.
+	takeoverAt time.Time
+	checkedAt  time.Time
+
+	// held is set if the object names this process; fence is its fencing number.
+	held  bool
 	fence core.Fence
-	// until is when this process stops believing, calm when it may begin to.
-	until time.Time
-	calm  time.Time
-	// floor is the largest fencing number met anywhere.
-	floor core.Fence
-
-	out    Call
-	sent   time.Time
-	lookAt time.Time
+	// This process may decide from validFrom until validUntil.
+	validUntil time.Time
+	validFrom  time.Time
+	// maxFence is the largest fencing number seen anywhere.
+	maxFence core.Fence
+
+	inFlight   Call
+	sentAt     time.Time
+	nextCallAt time.Time
 }
 
 func (l *Lease) term() time.Duration { return cmp.Or(l.Term, Term) }
 
-// belief is how long after a write was sent its holder believes.
-func (l *Lease) belief() time.Duration { return l.term() - cmp.Or(l.Margin, Margin) }
+// validity returns how long after the sending of a write its holder may decide.
+func (l *Lease) validity() time.Duration { return l.term() - cmp.Or(l.Margin, Margin) }
 
 func (l *Lease) object(s Spec, version core.Version) core.Object {
 	o := s.object(version)
@@ -112,165 +114,166 @@
 	return o
 }
 
-// Observe tells of a fencing number found in a grant or order. The lease's own
-// number will be larger even if the platform's versions were set back.
-func (l *Lease) Observe(f core.Fence) { l.floor = max(l.floor, f) }
+// Observe records a fencing number found in a grant or order. The lease's next
+// fencing number will be larger even if the platform's versions were reset.
+func (l *Lease) Observe(f core.Fence) { l.maxFence = max(l.maxFence, f) }
 
-// Decides reports whether this process may decide at now, and its fencing
-// number. It must be asked again right before each write.
+// Decides reports whether this process may decide at the given time, and its
+// fencing number. It must be called again right before each write.
 func (l *Lease) Decides(now time.Time) (core.Fence, bool) {
-	if !l.mine || now.Before(l.calm) || !now.Before(l.until) {
+	if !l.held || now.Before(l.validFrom) || !now.Before(l.validUntil) {
 		return 0, false
 	}
 	return l.fence, true
 }
 
-// Until returns when this process stops believing that it holds the lease,
-// unless it renews. It is the zero time if it never held it.
-func (l *Lease) Until() time.Time { return l.until }
+// Until returns when this process stops deciding unless it renews the lease. It is
+// zero if the process does not know that it holds the lease.
+func (l *Lease) Until() time.Time { return l.validUntil }
 
 // Holder returns the holder named by the newest observation; empty if unknown.
 func (l *Lease) Holder() core.HostName {
-	if !l.known || l.absent {
+	if !l.observed || l.absent {
 		return ""
 	}
 	return l.spec.Holder
 }
 
-// Next returns the call to make now, or None and when to ask again. After a
-// call other than None it returns None until Answer has been told its outcome.
+// Next returns the call to make now, or None and when to call Next again. After a
+// call other than None it returns None until Answer.
 func (l *Lease) Next(now time.Time) (Action, time.Time) {
-	if l.out != None {
-		return Action{}, now.Add(Retry)
+	if l.inFlight != None {
+		return Action{}, now.Add(RetryInterval)
 	}
-	if now.Before(l.lookAt) {
-		return Action{}, l.lookAt
+	if now.Before(l.nextCallAt) {
+		return Action{}, l.nextCallAt
 	}
-	a := l.choose(now)
-	l.out = a.Call
-	l.sent = now
-	return a, now.Add(Retry)
+	a := l.chooseAction(now)
+	l.inFlight = a.Call
+	l.sentAt = now
+	return a, now.Add(RetryInterval)
 }
 
-// choose is reached only when lookAt has passed.
-func (l *Lease) choose(now time.Time) Action {
+// chooseAction returns the next call once nextCallAt has passed.
+func (l *Lease) chooseAction(now time.Time) Action {
 	switch {
-	case !l.known:
+	case !l.observed:
 		return Action{Call: Read}
-	case l.mine:
+	case l.held:
 		return Action{Call: Update, Object: l.renewal(now)}
-	case l.checked.Before(l.free):
-		// A read is cheaper for the platform than an update that conflicts:
-		// most contenders find that the holder has renewed.
+	case l.checkedAt.Before(l.takeoverAt):
+		// A read is cheaper for the platform than an update that conflicts, and most
+		// contenders find that the holder has renewed.
 		return Action{Call: Read}
 	case l.absent:
-		return Action{Call: Create, Object: l.claim(now)}
+		return Action{Call: Create, Object: l.acquisition(now)}
 	}
-	return Action{Call: Update, Object: l.claim(now)}
+	return Action{Call: Update, Object: l.acquisition(now)}
 }
 
-func (l *Lease) claim(now time.Time) core.Object {
+func (l *Lease) acquisition(now time.Time) core.Object {
 	version := l.version
 	if l.absent {
 		version = 0
 	}
-	s := Spec{Holder: l.Host, Incarnation: l.Incarnation, Until: now.Add(l.belief()), Created: l.absent}
+	s := Spec{Holder: l.Host, Incarnation: l.Incarnation, Until: now.Add(l.validity()), Created: l.absent}
 	return l.object(s, version)
 }
 
 func (l *Lease) renewal(now time.Time) core.Object {
-	s := Spec{Holder: l.Host, Incarnation: l.Incarnation, Fence: l.fence, Until: now.Add(l.belief())}
+	s := Spec{Holder: l.Host, Incarnation: l.Incarnation, Fence: l.fence, Until: now.Add(l.validity())}
 	return l.object(s, l.version)
 }
 
-// Answer tells the outcome of the action that Next returned last.
+// Answer processes the reply to the action that Next returned last.
 func (l *Lease) Answer(now time.Time, r Reply) {
-	call := l.out
-	l.out = None
+	call := l.inFlight
+	l.inFlight = None
 	if call == None {
 		return
 	}
 	if !r.Failed {
-		l.accept(now, call, r.Object)
+		l.handleReply(now, call, r.Object)
 		return
 	}
-	l.reject(now, call, r.Fault)
+	l.handleFault(now, call, r.Fault)
 }
 
-func (l *Lease) accept(now time.Time, call Call, o core.Object) {
+func (l *Lease) handleReply(now time.Time, call Call, o core.Object) {
 	if o.Version < l.version {
 		// The platform itself is never behind a copy, unless it was restored.
 		l.version = 0
-		l.known = false
+		l.observed = false
 	}
 	l.Seen(now, o)
 	if call == Read {
 		return
 	}
-	// Only an answered write of its own makes a process believe, counted from
-	// when the write was sent: the platform can't have applied it earlier.
-	// A write whose answer was lost is found by reading back, and believed only
-	// after the next renewal has been answered.
-	if l.mine && l.version == o.Version {
-		l.until = l.sent.Add(l.belief())
-		l.lookAt = l.sent.Add(l.term() / renewals)
+	// Only the answer to a write of its own entitles a process to decide, counted
+	// from when the write was sent: the platform can't have applied it earlier. After
+	// a lost answer the process finds its write by reading, and decides only once the
+	// next renewal has been answered.
+	if l.held && l.version == o.Version {
+		l.validUntil = l.sentAt.Add(l.validity())
+		l.nextCallAt = l.sentAt.Add(l.term() / renewalsPerTerm)
 	}
 }
 
-func (l *Lease) reject(now time.Time, call Call, f core.PlatformFault) {
+func (l *Lease) handleFault(now time.Time, call Call, f core.PlatformFault) {
 	switch f {
 	case core.NotFound:
-		l.lost(now)
+		l.handleAbsence(now)
 		return
 	case core.Conflict, core.Exists:
-		// The object has moved on. If another holds it now, belief ends here
-		// and not when the term would have ended.
-		l.until = time.Time{}
-		l.known = false
-		l.lookAt = now
+		// The object has a newer version. If another process now holds the lease, this
+		// one must not decide until the end of its term.
+		l.validUntil = time.Time{}
+		l.observed = false
+		l.nextCallAt = now
 		return
 	}
 	if f == core.Unknown && call != Read {
-		// The write may have been applied or may be applied later. Reading back
-		// tells; a later write is conditional on the version read, so that at
-		// most one of the two takes effect.
-		l.known = false
+		// The write may have been applied or may be applied later; reading the object
+		// shows which. A later write is conditional on the version read, so that at most
+		// one of the two takes effect.
+		l.observed = false
 	}
-	l.lookAt = now.Add(Retry)
-	if f == core.Unavailable && !l.mine {
-		// Hundreds of contenders must not meet a platform that comes back with
-		// a call each at the same moment.
-		l.lookAt = now.Add(l.term()/2 + l.delay(l.version))
+	l.nextCallAt = now.Add(RetryInterval)
+	if f == core.Unavailable && !l.held {
+		// Hundreds of contenders must not all call a recovering platform at the same
+		// moment.
+		l.nextCallAt = now.Add(l.term()/2 + l.takeoverDelay(l.version))
 	}
 }
 
-// lost handles an observation of no object: never created, or deleted by hand.
-func (l *Lease) lost(now time.Time) {
-	l.checked = now
+// handleAbsence handles the observation that there is no object: it was never
+// created, or it was deleted manually.
+func (l *Lease) handleAbsence(now time.Time) {
+	l.checkedAt = now
 	if l.absent {
-		l.known = true
-		l.lookAt = later(now, l.free)
+		l.observed = true
+		l.nextCallAt = later(now, l.takeoverAt)
 		return
 	}
-	l.known = true
+	l.observed = true
 	l.absent = true
 	l.spec = Spec{}
-	l.drop()
-	l.free = now.Add(l.delay(0))
+	l.invalidate()
+	l.takeoverAt = now.Add(l.takeoverDelay(0))
 	if l.Blank {
-		l.free = now
+		l.takeoverAt = now
 	}
-	l.lookAt = l.free
+	l.nextCallAt = l.takeoverAt
 }
 
-// Seen tells of the lease object as found in a read, a watch or a peer's copy.
-// Older copies than the newest seen are ignored.
+// Seen processes the lease object as found in a read, a watch or a peer's copy.
+// Copies older than the newest seen are ignored.
 func (l *Lease) Seen(now time.Time, o core.Object) {
 	if o.Deleted {
 		if o.Version > l.version {
 			l.version = o.Version
 			l.absent = false
-			l.lost(now)
+			l.handleAbsence(now)
 		}
 		return
 	}
@@ -278,83 +281,83 @@
 		return
 	}
 	same := o.Version == l.version
-	if l.known && same {
-		l.again(now)
+	if l.observed && same {
+		l.sameVersion(now)
 		return
 	}
 	s, err := Parse(o)
-	l.known = true
+	l.observed = true
 	l.absent = false
 	l.version = o.Version
 	l.spec = s
 	l.Observe(s.Fence)
 	if err == nil && s.Holder == l.Host && s.Incarnation == l.Incarnation && s.Holder != "" {
-		l.own(now, o.Version, s.Created)
+		l.handleOwned(now, o.Version, s.Created)
 		return
 	}
-	l.drop()
-	if same && !l.free.IsZero() {
-		l.again(now)
+	l.invalidate()
+	if same && !l.takeoverAt.IsZero() {
+		l.sameVersion(now)
 		return
 	}
-	l.checked = now
-	l.free = now.Add(l.term() + l.delay(o.Version))
+	l.checkedAt = now
+	l.takeoverAt = now.Add(l.term() + l.takeoverDelay(o.Version))
 	if err == nil && s.Holder == "" {
-		l.free = now.Add(l.delay(o.Version))
+		l.takeoverAt = now.Add(l.takeoverDelay(o.Version))
 	}
-	l.lookAt = l.free
+	l.nextCallAt = l.takeoverAt
 }
 
-// again handles an observation of the version already known: it doesn't move
-// the soonest takeover.
-func (l *Lease) again(now time.Time) {
-	l.checked = now
-	if !l.mine {
-		l.lookAt = later(now, l.free)
+// sameVersion handles an observation of the version already known, which does not
+// change the earliest takeover.
+func (l *Lease) sameVersion(now time.Time) {
+	l.checkedAt = now
+	if !l.held {
+		l.nextCallAt = later(now, l.takeoverAt)
 	}
 }
 
-func (l *Lease) own(now time.Time, v core.Version, created bool) {
-	if !l.mine {
-		l.mine = true
+func (l *Lease) handleOwned(now time.Time, v core.Version, created bool) {
+	if !l.held {
+		l.held = true
 		if created && !l.Blank {
-			// There was no object, perhaps because it was deleted by hand a moment
-			// ago: its holder still believes, for less than a term. Waiting here and
-			// not before the creation holds also where the creation was long on its
-			// way and another one came and went meanwhile.
-			l.calm = now.Add(l.term())
+			// There was no object, perhaps because it was deleted manually a moment ago.
+			// Its holder may still decide, for less than a term. Waiting here and not
+			// before the creation is also safe if the creation was delayed on its way while
+			// another object was created and deleted.
+			l.validFrom = now.Add(l.term())
 		}
-		// The version of the acquiring write grows with every write of the kind,
-		// also over deletion by hand and creation anew.
-		l.fence = max(core.Fence(v), l.floor+1)
-		l.floor = l.fence
+		// The version of the acquiring write grows with every write of the kind, even
+		// after the object was deleted manually and created again.
+		l.fence = max(core.Fence(v), l.maxFence+1)
+		l.maxFence = l.fence
 	}
-	l.lookAt = now
+	l.nextCallAt = now
 }
 
-func (l *Lease) drop() {
-	l.mine = false
+func (l *Lease) invalidate() {
+	l.held = false
 	l.fence = 0
-	l.until = time.Time{}
-	l.calm = time.Time{}
+	l.validUntil = time.Time{}
+	l.validFrom = time.Time{}
 }
 
-// StepDown returns the update that gives the lease up at a planned stop, so
-// that the next decider need not wait for the term. The machine stops deciding
-// at once and must not be used for anything but Decides afterwards.
+// StepDown returns the update that releases the lease at a planned stop, so that
+// the next decider does not wait for the term, and whether this process held it.
+// The process stops deciding at once. Only Decides may be called afterwards.
 func (l *Lease) StepDown() (core.Object, bool) {
-	held := l.mine
+	held := l.held
 	o := l.object(Spec{Fence: l.fence}, l.version)
-	l.drop()
+	l.invalidate()
 	return o, held
 }
 
-// delay spreads contenders over the time after a lease has lapsed. Each host
-// has another place after each version, so that none is always first.
-func (l *Lease) delay(v core.Version) time.Duration {
+// takeoverDelay spreads contenders over the time after a lease has lapsed. The
+// delay of a host differs between versions, so that no host is always first.
+func (l *Lease) takeoverDelay(v core.Version) time.Duration {
 	name := binary.LittleEndian.AppendUint64(nil, uint64(v))
 	name = append(name, l.Host...)
-	return time.Duration(xxhash.Sum64(name) % uint64(spread))
+	return time.Duration(xxhash.Sum64(name) % uint64(takeoverSpread))
 }
 
 func later(a, b time.Time) time.Time {
--- a/core/lease/spec.go
+++ b/core/lease/spec.go
@@ -12,22 +12,22 @@
 
 // Spec is the lease object's specification.
 type Spec struct {
-	// Holder and Incarnation name the process that holds the lease. No holder
-	// means that the last one stepped down.
+	// Holder and Incarnation identify the process that holds the lease. Without a
+	// holder, the last one has stepped down.
 	Holder      core.HostName    `json:"holder,omitempty"`
 	Incarnation core.Incarnation `json:"incarnation,omitempty"`
-	// Fence is the holder's fencing number, zero until the first renewal: it is
-	// the version that the acquiring write was given.
+	// Fence is the holder's fencing number, which is the version of the acquiring
+	// write. It is zero until the first renewal.
 	Fence core.Fence `json:"fence,omitempty"`
-	// Created tells that the acquiring write found no object.
+	// Created is set if the acquiring write found no object.
 	Created bool `json:"created,omitempty"`
-	// Until is when the holder stops deciding unless it renews, by its own
-	// clock. It is for operators: contenders count from what they observe.
+	// Until is when the holder stops deciding unless it renews, by its own clock. It
+	// is for operators; contenders measure from their own observations.
 	Until time.Time `json:"until"`
 }
 
-// SpecError reports a lease object whose specification can't be read. Until it
-// changes it counts as held by somebody else.
+// SpecError reports a lease object whose specification can't be read. Such an
+// object counts as held by another process until it changes.
 type SpecError struct{ Cause error }
 
 // Error implements error.
