--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -8,8 +8,7 @@
 	"radishwell/core"
 )
 
-// Judge returns what a host may be used for. A host that nothing is known of is
-// live.
+// Judge returns the state of a host. An unknown host is live.
 func (t *Table) Judge(now time.Time, name core.HostName) Verdict {
 	h := t.hosts[name]
 	if h == nil {
@@ -18,30 +17,31 @@
 	if h.listed == core.HostGone {
 		return Verdict{State: Gone, Reason: NotListed}
 	}
-	if v, ok := h.leaving(now); ok {
+	if v, ok := h.leavingVerdict(now); ok {
 		return v
 	}
 	switch {
 	case h.failing:
 		return Verdict{State: Suspect, Reason: Failing}
-	case now.Before(h.holdUntil) && h.level > 1:
+	case now.Before(h.holdUntil) && h.failureLevel > 1:
 		return Verdict{State: Suspect, Reason: HeldBack, Until: h.holdUntil}
 	}
 	return Verdict{State: Live, Reason: Unremarkable}
 }
 
-// leaving tells whether the present life of the host's process is leaving. Of a
-// process that was never heard of any mark may be meant.
-func (h *host) leaving(now time.Time) (Verdict, bool) {
+// leavingVerdict reports whether the current incarnation of the host's process is
+// leaving, and why. While the incarnation is unknown, a mark of any incarnation
+// counts.
+func (h *host) leavingVerdict(now time.Time) (Verdict, bool) {
 	if h.listed == core.HostLeaving {
 		return Verdict{State: Leaving, Reason: ListedLeaving}, true
 	}
-	if h.saidLeaving != 0 && h.saidLeaving == h.incarnation {
+	if h.leavingIncarnation != 0 && h.leavingIncarnation == h.incarnation {
 		return Verdict{State: Leaving, Reason: SaidLeaving}, true
 	}
-	until := h.marks[h.incarnation]
+	until := h.leavingMarks[h.incarnation]
 	if h.incarnation == 0 {
-		for _, expires := range h.marks {
+		for _, expires := range h.leavingMarks {
 			if expires.After(until) {
 				until = expires
 			}
@@ -50,10 +50,10 @@
 	return Verdict{State: Leaving, Reason: MarkedLeaving, Until: until}, until.After(now)
 }
 
-// Choose returns those of the named hosts that may get work now: the live ones
-// in the order given or, where there is none, the suspects, the one whose
-// failure is longest ago first. So a model whose holders all lie in the lost
-// half of a data centre is still tried where it may work again soonest.
+// Choose returns those of the named hosts that may get work now: the live ones in
+// the given order or, if there are none, the suspects, the one with the oldest
+// failure first. So a model whose holders are all in the lost half of a data
+// centre is still tried on the host that may recover first.
 func (t *Table) Choose(now time.Time, names []core.HostName) []core.HostName {
 	var live, suspects []core.HostName
 	for _, name := range names {
@@ -68,19 +68,18 @@
 		return live
 	}
 	slices.SortStableFunc(suspects, func(a, b core.HostName) int {
-		return cmp.Or(t.hosts[a].failedAt.Compare(t.hosts[b].failedAt), cmp.Compare(a, b))
+		return cmp.Or(t.hosts[a].lastFailure.Compare(t.hosts[b].lastFailure), cmp.Compare(a, b))
 	})
 	return suspects
 }
 
-// Due returns, in the order of their names, the hosts that are to be probed
-// now: suspects after their time, and hosts that said they were leaving, whose
-// place another life may have taken. It counts them as probed; the outcome of
-// each is to be given to Note.
+// Due returns the sorted names of the hosts to probe now: suspects whose hold has
+// passed, and hosts that are leaving, whose process may have been replaced. It
+// counts them as probed. The result of each probe must be passed to Note.
 func (t *Table) Due(now time.Time) []core.HostName {
 	var due []core.HostName
 	for name, h := range t.hosts {
-		period, ok := h.probePeriod(now)
+		period, ok := h.probeInterval(now)
 		if !ok || now.Before(h.probeAt) {
 			continue
 		}
@@ -91,13 +90,13 @@
 	return due
 }
 
-// probePeriod returns how often a host is to be probed, if at all.
-func (h *host) probePeriod(now time.Time) (time.Duration, bool) {
+// probeInterval returns how often a host is to be probed, and false if it is not.
+func (h *host) probeInterval(now time.Time) (time.Duration, bool) {
 	if h.listed == core.HostGone || h.listed == core.HostLeaving {
 		return 0, false
 	}
-	if _, leaving := h.leaving(now); leaving {
-		return leavingProbe, true
+	if _, leaving := h.leavingVerdict(now); leaving {
+		return leavingProbeInterval, true
 	}
-	return holdOf(max(1, h.level)), h.failing
+	return holdTime(max(1, h.failureLevel)), h.failing
 }
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -10,63 +10,64 @@
 
 // Thresholds of suspicion.
 const (
-	// firstHold is how long a host is avoided after a first failure. A process
-	// restarts in less; an entry that tries a dead host once a second wastes
-	// one connection a second on it, and no request.
-	firstHold = time.Second
-	// maxHold bounds the avoidance of a host that fails again and again. A
-	// minute is about a cold start, beyond which waiting saves nothing.
+	// minHold is how long a host is avoided after a first failure. A process restarts
+	// in less time. An entry that tries a dead host once a second wastes one
+	// connection a second on it, and no request.
+	minHold = time.Second
+	// maxHold bounds the time for which a host with repeated failures is avoided. A
+	// minute is about a cold start; waiting longer saves nothing.
 	maxHold  = time.Minute
 	maxLevel = 7
-	// decayPeriod without a failure takes back one doubling: a host that fails
-	// less than once in it always comes back after firstHold.
-	decayPeriod = time.Minute
-	// freshLevel is the level from which a restart is taken for one of a series
-	// of crashes, so that it does not clear the suspicion.
-	freshLevel = 4
-	// leavingProbe is how often a host that said it is leaving is asked whether
-	// another life of its process has begun.
-	leavingProbe = 10 * time.Second
-	// silentNet: when at least so many hosts and more than half of those heard
-	// of within recent are suspect, the fault is taken to be on this side.
-	silentNet = 4
-	recent    = time.Minute
-	// maxGone bounds how many hosts that are no longer listed are remembered.
+	// decayInterval without a failure lowers the failure level by one, which halves
+	// the hold. A host that fails less than once in it is avoided only for minHold.
+	decayInterval = time.Minute
+	// crashLoopLevel is the failure level from which a restart counts as part of a
+	// crash loop, so that it does not clear the suspicion.
+	crashLoopLevel = 4
+	// leavingProbeInterval is how often a leaving host is probed for a new
+	// incarnation of its process.
+	leavingProbeInterval = 10 * time.Second
+	// If at least ownFaultHosts hosts and more than half of those with a contact
+	// within ownFaultWindow are failing, the fault is assumed to be on this side.
+	ownFaultHosts  = 4
+	ownFaultWindow = time.Minute
+	// maxGone bounds the number of remembered hosts that are no longer listed.
 	maxGone = 4096
-	// maxFormer bounds the lives remembered of one host.
-	maxFormer = 8
+	// maxPastIncarnations bounds the remembered incarnations of one host.
+	maxPastIncarnations = 8
 )
 
-// Table is what one process knows of the hosts. The zero value with Rand set
-// is ready. It is not safe for concurrent use.
+// Table is one process's view of the hosts. The zero value with Rand set is ready
+// for use. It is not safe for concurrent use.
 type Table struct {
-	// Rand spreads the returns of many processes to one host.
+	// Rand jitters the times at which processes return to a host.
 	Rand *rand.Rand
 
 	hosts map[core.HostName]*host
 	gone  []core.HostName
 }
 
-// host is what is known of one host.
+// host is the state of one host.
 type host struct {
 	listed      core.HostState
 	incarnation core.Incarnation
-	// former are earlier lives, which no late answer can bring back.
-	former []core.Incarnation
-	// saidLeaving is the life that said it is leaving.
-	saidLeaving core.Incarnation
-	// marks are the lives marked as leaving, and until when.
-	marks map[core.Incarnation]time.Time
-
-	// failing tells that the last contact failed. holdUntil is until when the
-	// host is avoided in any case, and when it is probed after a failure.
-	failing   bool
-	failedAt  time.Time
-	okAt      time.Time
-	holdUntil time.Time
-	// level counts the failures that have not decayed as of failedAt.
-	level   int
-	probeAt time.Time
+	// pastIncarnations has earlier incarnations, whose late answers are ignored.
+	pastIncarnations []core.Incarnation
+	// leavingIncarnation is the incarnation whose answer said that it is leaving.
+	leavingIncarnation core.Incarnation
+	// leavingMarks has the incarnations marked as leaving by peers, with the expiry
+	// of each mark.
+	leavingMarks map[core.Incarnation]time.Time
+
+	// failing is set if the last contact failed. Until holdUntil the host is avoided
+	// in any case; after a failure it is then probed.
+	failing     bool
+	lastFailure time.Time
+	lastOK      time.Time
+	holdUntil   time.Time
+	// failureLevel counts the failures that have not decayed as of lastFailure.
+	failureLevel int
+	probeAt      time.Time
 }
 
 func (t *Table) host(name core.HostName) *host {
@@ -81,8 +82,8 @@
 	return h
 }
 
-// Listed takes a host's state in the platform's list. A host that is listed
-// again after it was gone starts anew.
+// Listed sets the state of a host in the platform's list. A host that is listed
+// again after it was gone starts with an empty history.
 func (t *Table) Listed(name core.HostName, state core.HostState) {
 	h := t.host(name)
 	if h.listed == core.HostGone {
@@ -92,7 +93,7 @@
 	h.listed = state
 }
 
-// Unlisted notes that the platform's list no longer has a host.
+// Unlisted records that the platform's list no longer has a host.
 func (t *Table) Unlisted(name core.HostName) {
 	h := t.host(name)
 	if h.listed == core.HostGone {
@@ -106,112 +107,113 @@
 	}
 }
 
-// ProvenGone tells whether the platform's list had the host and no longer has
+// ProvenGone reports whether the platform's list had the host and no longer has
 // it. Nothing else proves that a host is gone.
 func (t *Table) ProvenGone(name core.HostName) bool {
 	h := t.hosts[name]
 	return h != nil && h.listed == core.HostGone
 }
 
-// Marked notes that a life of a host's process is leaving, as spread by peers.
-func (t *Table) Marked(now time.Time, name core.HostName, life core.Incarnation, expires time.Time) {
+// Marked records a mark that an incarnation of a host's process is leaving, as
+// spread by peers.
+func (t *Table) Marked(now time.Time, name core.HostName, incarnation core.Incarnation, expires time.Time) {
 	h := t.host(name)
-	if h.listed == core.HostGone || slices.Contains(h.former, life) {
+	if h.listed == core.HostGone || slices.Contains(h.pastIncarnations, incarnation) {
 		return
 	}
-	for old, until := range h.marks {
+	for old, until := range h.leavingMarks {
 		if !until.After(now) {
-			delete(h.marks, old)
+			delete(h.leavingMarks, old)
 		}
 	}
-	if h.marks == nil {
-		h.marks = map[core.Incarnation]time.Time{}
+	if h.leavingMarks == nil {
+		h.leavingMarks = map[core.Incarnation]time.Time{}
 	}
-	if expires.After(h.marks[life]) {
-		h.marks[life] = expires
+	if expires.After(h.leavingMarks[incarnation]) {
+		h.leavingMarks[incarnation] = expires
 	}
 }
 
-// Note takes in a contact with a host's process.
+// Note records a contact with a host's process.
 func (t *Table) Note(now time.Time, c Contact) {
 	h := t.host(c.Host)
 	if h.listed == core.HostGone {
 		return
 	}
 	if c.OK {
-		h.answered(now, c)
+		h.recordAnswer(now, c)
 		return
 	}
-	t.failed(now, h, c)
+	t.recordFailure(now, h, c)
 }
 
-// answered notes a sign of life.
-func (h *host) answered(now time.Time, c Contact) {
-	if c.Incarnation != 0 && slices.Contains(h.former, c.Incarnation) {
+// recordAnswer records a successful contact.
+func (h *host) recordAnswer(now time.Time, c Contact) {
+	if c.Incarnation != 0 && slices.Contains(h.pastIncarnations, c.Incarnation) {
 		return
 	}
 	if c.Incarnation != 0 && c.Incarnation != h.incarnation {
-		h.begin(now, c.Incarnation)
+		h.startIncarnation(now, c.Incarnation)
 	}
-	h.okAt = now
+	h.lastOK = now
 	h.failing = false
 	if c.Leaving {
-		h.saidLeaving = h.incarnation
+		h.leavingIncarnation = h.incarnation
 	}
 }
 
-// begin notes a new life: what was held against the old one is void, but for a
-// process that crashes again and again.
-func (h *host) begin(now time.Time, life core.Incarnation) {
+// startIncarnation records a new incarnation. It clears the suspicion, unless the
+// process is in a crash loop.
+func (h *host) startIncarnation(now time.Time, incarnation core.Incarnation) {
 	if h.incarnation != 0 {
-		h.former = append(h.former, h.incarnation)
-		h.former = h.former[max(0, len(h.former)-maxFormer):]
-		delete(h.marks, h.incarnation)
+		h.pastIncarnations = append(h.pastIncarnations, h.incarnation)
+		h.pastIncarnations = h.pastIncarnations[max(0, len(h.pastIncarnations)-maxPastIncarnations):]
+		delete(h.leavingMarks, h.incarnation)
 	}
-	h.incarnation = life
-	if h.levelAt(now) < freshLevel {
+	h.incarnation = incarnation
+	if h.decayedLevel(now) < crashLoopLevel {
 		h.holdUntil = time.Time{}
 	}
 }
 
-// failed notes a failure.
+// recordFailure records a failed contact.
 //
-// A connection can go silent while others to the same host work. Such a
-// failure tells of the time up to when the connection last carried something,
-// and a later success outweighs it; without that, every forgotten connection
-// would take a healthy host out of service.
-func (t *Table) failed(now time.Time, h *host, c Contact) {
+// A connection can go silent while others to the same host work. Such a failure
+// dates from when the connection last carried data, and a later success outweighs
+// it. Without this rule, every connection that was dropped silently would take a
+// healthy host out of service.
+func (t *Table) recordFailure(now time.Time, h *host, c Contact) {
 	since := c.Since
 	if since.IsZero() || since.After(now) {
 		since = now
 	}
-	if c.Incarnation != 0 && slices.Contains(h.former, c.Incarnation) || h.okAt.After(since) {
+	if c.Incarnation != 0 && slices.Contains(h.pastIncarnations, c.Incarnation) || h.lastOK.After(since) {
 		return
 	}
-	// Many requests fail together when a host goes. They are one failure.
+	// Requests that fail together when a host goes down count as one failure.
 	held := h.failing && now.Before(h.holdUntil)
 	if !held {
-		h.level = min(h.levelAt(now)+1, maxLevel)
+		h.failureLevel = min(h.decayedLevel(now)+1, maxLevel)
 	}
 	h.failing = true
-	h.failedAt = now
+	h.lastFailure = now
 	if held {
 		return
 	}
-	if t.blind(now) {
-		h.level = 1
+	if t.ownNetworkSuspect(now) {
+		h.failureLevel = 1
 	}
-	h.holdUntil = now.Add(t.spread(holdOf(h.level)))
+	h.holdUntil = now.Add(t.jitter(holdTime(h.failureLevel)))
 	h.probeAt = h.holdUntil
 }
 
-// blind tells whether this process's own network is the likelier cause: so many
-// hosts failed at once that holding them back longer and longer would only keep
-// this process from work once the network is back.
-func (t *Table) blind(now time.Time) bool {
+// ownNetworkSuspect reports whether this process's own network is the likelier
+// cause: so many hosts fail at once that longer holds would only keep this process
+// from work once the network is back.
+func (t *Table) ownNetworkSuspect(now time.Time) bool {
 	bad, all := 0, 0
 	for _, h := range t.hosts {
-		if now.Sub(h.okAt) > recent && now.Sub(h.failedAt) > recent {
+		if now.Sub(h.lastOK) > ownFaultWindow && now.Sub(h.lastFailure) > ownFaultWindow {
 			continue
 		}
 		all++
@@ -219,22 +221,22 @@
 			bad++
 		}
 	}
-	return bad >= silentNet && 2*bad > all
+	return bad >= ownFaultHosts && 2*bad > all
 }
 
-// levelAt returns the level less what has decayed.
-func (h *host) levelAt(now time.Time) int {
-	if h.level == 0 {
+// decayedLevel returns the failure level after decay.
+func (h *host) decayedLevel(now time.Time) int {
+	if h.failureLevel == 0 {
 		return 0
 	}
-	return max(0, h.level-int(now.Sub(h.failedAt)/decayPeriod))
+	return max(0, h.failureLevel-int(now.Sub(h.lastFailure)/decayInterval))
 }
 
-func holdOf(level int) time.Duration {
-	return min(firstHold<<(level-1), maxHold)
+func holdTime(level int) time.Duration {
+	return min(minHold<<(level-1), maxHold)
 }
 
-// spread returns d less up to a quarter.
-func (t *Table) spread(d time.Duration) time.Duration {
+// jitter returns d less up to a quarter.
+func (t *Table) jitter(d time.Duration) time.Duration {
 	return d - time.Duration(t.Rand.Int64N(int64(d/4)))
 }
--- a/core/member/naive_test.go
+++ b/core/member/naive_test.go
@@ -11,14 +11,14 @@
 	"radishwell/core"
 )
 
-// noSpread makes every hold its full length, so that the naive version can
-// work it out.
-type noSpread struct{}
+// noJitter gives every hold its full length, so that the naive version can compute
+// it.
+type noJitter struct{}
 
-func (noSpread) Uint64() uint64 { return 1 }
+func (noJitter) Uint64() uint64 { return 1 }
 
-// entry is one event of a naive log.
-type entry struct {
+// event is one event of a naive log.
+type event struct {
 	at      time.Time
 	host    core.HostName
 	listed  core.HostState
@@ -27,22 +27,22 @@
 	contact *Contact
 }
 
-// naive keeps all events and works every verdict out from the first one.
-type naive struct{ log []entry }
+// naive keeps all events and computes every state from the first one.
+type naive struct{ log []event }
 
 // judge is the specification of Judge.
 func (n *naive) judge(now time.Time, name core.HostName) State {
-	own := n.of(name)
-	lives, hold, level, failing := n.fold(own)
-	var life core.Incarnation
-	if len(lives) > 0 {
-		life = lives[len(lives)-1]
+	own := n.eventsOf(name)
+	incarnations, hold, level, failing := n.replay(own)
+	var incarnation core.Incarnation
+	if len(incarnations) > 0 {
+		incarnation = incarnations[len(incarnations)-1]
 	}
 	listed := lastListed(own)
 	switch {
 	case listed == core.HostGone:
 		return Gone
-	case listed == core.HostLeaving || saidLeaving(own, lives) || marked(own, life, now):
+	case listed == core.HostLeaving || saidLeaving(own, incarnations) || marked(own, incarnation, now):
 		return Leaving
 	case failing || level > 1 && now.Before(hold):
 		return Suspect
@@ -50,9 +50,9 @@
 	return Live
 }
 
-// of returns a host's events since it was last listed anew.
-func (n *naive) of(name core.HostName) []entry {
-	var own []entry
+// eventsOf returns the events of a host since it was last listed after being gone.
+func (n *naive) eventsOf(name core.HostName) []event {
+	var own []event
 	for _, e := range n.log {
 		if e.host != name {
 			continue
@@ -67,7 +67,7 @@
 	return own
 }
 
-func lastListed(own []entry) core.HostState {
+func lastListed(own []event) core.HostState {
 	var state core.HostState
 	for _, e := range own {
 		if e.listed != "" {
@@ -77,25 +77,25 @@
 	return state
 }
 
-// current tells whether a contact is not of a life that another has followed.
-func current(lives []core.Incarnation, c *Contact) bool {
-	for i, life := range lives {
-		if life == c.Incarnation && i < len(lives)-1 {
+// isCurrent reports whether a contact is not from a replaced incarnation.
+func isCurrent(incarnations []core.Incarnation, c *Contact) bool {
+	for i, incarnation := range incarnations {
+		if incarnation == c.Incarnation && i < len(incarnations)-1 {
 			return false
 		}
 	}
 	return true
 }
 
-func saidLeaving(own []entry, lives []core.Incarnation) bool {
+func saidLeaving(own []event, incarnations []core.Incarnation) bool {
 	var seen []core.Incarnation
 	said := false
 	for _, e := range own {
-		if e.contact == nil || !e.contact.OK || !current(seen, e.contact) {
+		if e.contact == nil || !e.contact.OK || !isCurrent(seen, e.contact) {
 			continue
 		}
-		if life := e.contact.Incarnation; life != 0 && (len(seen) == 0 || seen[len(seen)-1] != life) {
-			seen = append(seen, life)
+		if incarnation := e.contact.Incarnation; incarnation != 0 && (len(seen) == 0 || seen[len(seen)-1] != incarnation) {
+			seen = append(seen, incarnation)
 			said = false
 		}
 		said = said || e.contact.Leaving && len(seen) > 0
@@ -103,27 +103,28 @@
 	return said
 }
 
-func marked(own []entry, life core.Incarnation, now time.Time) bool {
+func marked(own []event, incarnation core.Incarnation, now time.Time) bool {
 	for _, e := range own {
-		if e.mark != 0 && (life == 0 || life == e.mark) && e.expires.After(now) {
+		if e.mark != 0 && (incarnation == 0 || incarnation == e.mark) && e.expires.After(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// fold works out the lives and the suspicion of one host. Failures of several
-// hosts at a time are left out: the differential test has three hosts.
-func (n *naive) fold(own []entry) (lives []core.Incarnation, hold time.Time, level int, failing bool) {
+// replay computes the incarnations and the suspicion of one host. It leaves out
+// failures of several hosts at a time, since the differential test has only three
+// hosts.
+func (n *naive) replay(own []event) (incarnations []core.Incarnation, hold time.Time, level int, failing bool) {
 	var lastOK, lastFail time.Time
-	decayed := func(at time.Time) int { return max(0, level-int(at.Sub(lastFail)/decayPeriod)) }
+	decayed := func(at time.Time) int { return max(0, level-int(at.Sub(lastFail)/decayInterval)) }
 	for _, e := range own {
 		switch c := e.contact; {
-		case c == nil || !current(lives, c):
+		case c == nil || !isCurrent(incarnations, c):
 		case c.OK:
-			if c.Incarnation != 0 && (len(lives) == 0 || lives[len(lives)-1] != c.Incarnation) {
-				lives = append(lives, c.Incarnation)
-				if decayed(e.at) < freshLevel {
+			if c.Incarnation != 0 && (len(incarnations) == 0 || incarnations[len(incarnations)-1] != c.Incarnation) {
+				incarnations = append(incarnations, c.Incarnation)
+				if decayed(e.at) < crashLoopLevel {
 					hold = time.Time{}
 				}
 			}
@@ -134,18 +135,18 @@
 		default:
 			level = min(decayed(e.at)+1, maxLevel)
 			lastFail, failing = e.at, true
-			hold = e.at.Add(min(firstHold<<(level-1), maxHold))
+			hold = e.at.Add(min(minHold<<(level-1), maxHold))
 		}
 	}
-	return lives, hold, level, failing
+	return incarnations, hold, level, failing
 }
 
-// TestAgainstNaive compares the table, which keeps what it needs, with a log
-// from which every verdict is worked out anew.
+// TestAgainstNaive compares the table with a log from which every state is
+// computed from scratch.
 func TestAgainstNaive(t *testing.T) {
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 7))
-		table := &Table{Rand: rand.New(noSpread{})}
+		table := &Table{Rand: rand.New(noJitter{})}
 		n := &naive{}
 		now := start
 		for range 80 {
@@ -153,7 +154,7 @@
 			name := core.HostName(fmt.Sprintf("qalam-%d", r.IntN(3)))
 			e := n.random(r, now, name)
 			n.log = append(n.log, e)
-			give(table, e)
+			feed(table, e)
 			for i := range 3 {
 				name := core.HostName(fmt.Sprintf("qalam-%d", i))
 				at := now.Add(time.Duration(r.IntN(3000)) * time.Millisecond)
@@ -163,17 +164,17 @@
 	}
 }
 
-// random makes an event; lives are drawn so that earlier ones come back.
-func (n *naive) random(r *rand.Rand, now time.Time, name core.HostName) entry {
-	e := entry{at: now, host: name}
-	life := core.Incarnation(r.IntN(4))
+// random returns an event; incarnations are drawn so that earlier ones return.
+func (n *naive) random(r *rand.Rand, now time.Time, name core.HostName) event {
+	e := event{at: now, host: name}
+	incarnation := core.Incarnation(r.IntN(4))
 	switch k := r.IntN(20); {
 	case k < 8:
-		e.contact = &Contact{Host: name, OK: true, Incarnation: life, Leaving: r.IntN(8) == 0}
+		e.contact = &Contact{Host: name, OK: true, Incarnation: incarnation, Leaving: r.IntN(8) == 0}
 	case k < 16:
-		e.contact = &Contact{Host: name, Incarnation: life, Since: now.Add(-time.Duration(r.IntN(4000)) * time.Millisecond)}
+		e.contact = &Contact{Host: name, Incarnation: incarnation, Since: now.Add(-time.Duration(r.IntN(4000)) * time.Millisecond)}
 	case k == 16:
-		e.mark = life + 1
+		e.mark = incarnation + 1
 		e.expires = now.Add(time.Duration(r.IntN(30000)) * time.Millisecond)
 	default:
 		states := []core.HostState{core.HostLive, core.HostLive, core.HostLeaving, core.HostGone}
@@ -182,7 +183,7 @@
 	return e
 }
 
-func give(t *Table, e entry) {
+func feed(t *Table, e event) {
 	switch {
 	case e.contact != nil:
 		t.Note(e.at, *e.contact)
--- a/core/member/state.go
+++ b/core/member/state.go
@@ -6,10 +6,10 @@
 	"radishwell/core"
 )
 
-// State is what a host may be used for, the best first.
+// State is the state of a host, best first.
 type State uint8
 
-// States.
+// Host states.
 const (
 	// Live hosts get work.
 	Live State = iota
@@ -37,7 +37,7 @@
 
 // Reasons.
 const (
-	// Unremarkable: nothing speaks against the host.
+	// Unremarkable: there is no reason against the host.
 	Unremarkable Reason = "nothing against it"
 	// Failing: the last contact failed.
 	Failing Reason = "last contact failed"
@@ -45,7 +45,7 @@
 	HeldBack Reason = "held back after repeated failures"
 	// SaidLeaving: the host's process said so in an answer.
 	SaidLeaving Reason = "said that it is leaving"
-	// MarkedLeaving: the host's process told its peers.
+	// MarkedLeaving: the host's process sent a mark to its peers.
 	MarkedLeaving Reason = "marked as leaving"
 	// ListedLeaving: the platform's list says so.
 	ListedLeaving Reason = "leaving in the platform's list"
@@ -57,20 +57,20 @@
 type Verdict struct {
 	State  State
 	Reason Reason
-	// Until is when the state may change by itself; zero where it does not.
+	// Until is when the state may change without a new event; zero if it does not.
 	Until time.Time
 }
 
-// Contact is one attempt to reach a host's process, or something heard of it.
+// Contact is one attempt to reach a host's process, or a report about it.
 type Contact struct {
 	Host core.HostName
-	// OK tells that the host answered, a refusal included.
+	// OK is set if the host answered, even with a refusal.
 	OK bool
-	// Since is when the host was last known to live before a failure: when the
-	// failed connection was begun or last carried something. Zero is now.
+	// Since is when the host was last known to be up before a failure: when the
+	// failed connection was started or last carried data. Zero means now.
 	Since time.Time
-	// Incarnation is the life of the process that answered, zero if not known.
+	// Incarnation is the incarnation of the process that answered, zero if unknown.
 	Incarnation core.Incarnation
-	// Leaving tells that the answer said so.
+	// Leaving is set if the answer said that the process is leaving.
 	Leaving bool
 }
