--- a/core/strike/book_test.go
+++ b/core/strike/book_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
 
-func book(name core.HostName) *Book { return &Book{Self: name, MaxRecords: 100} }
+func newBook(name core.HostName) *Book { return &Book{Self: name, MaxRecords: 100} }
 
 func assertStanding(t *testing.T, b *Book, now time.Time, f core.Fingerprint, want Standing) {
 	t.Helper()
@@ -22,7 +22,7 @@
 }
 
 func TestStandings(t *testing.T) {
-	b := book("a")
+	b := newBook("a")
 	assertStanding(t, b, start, 1, Clean)
 	b.Crashed(start, []core.Fingerprint{1, 2, 2, 3})
 	assertStanding(t, b, start, 1, Suspect)
@@ -36,18 +36,18 @@
 	assert.Equal(t, len(b.Records(start.Add(TTL+1))), 0)
 }
 
-// A host dies under a long request that ran alone there. One such loss isn't
-// the request's fault.
+// A host dies under a long request that ran alone there. One such crash must not
+// quarantine the request.
 func TestOneCrashAloneIsNoProof(t *testing.T) {
-	b := book("a")
+	b := newBook("a")
 	b.Crashed(start, []core.Fingerprint{1})
 	assertStanding(t, b, start, 1, Suspect)
 }
 
-// A request crashes engines only together with others. It passes each trial,
-// so it has to pass ever more of them before it runs in company again.
+// A request crashes engines only together with others. It passes each trial, so
+// the number of trials before it may run with others again must grow.
 func TestCrashesOnlyInCompany(t *testing.T) {
-	b := book("a")
+	b := newBook("a")
 	for i, trials := range []int{1, 2, 3, 4} {
 		now := start.Add(time.Duration(i) * time.Second)
 		b.Crashed(now, []core.Fingerprint{1, 2})
@@ -60,10 +60,10 @@
 	assertStanding(t, b, start, 2, Quarantined)
 }
 
-// A prompt that many callers share was in the batch of three engines that died
-// of something else. It had ended well before, so it is not refused.
+// A prompt that many callers share was in the batch of three engines that died of
+// another cause. It had ended well before, so it must not be refused.
 func TestSharedPromptIsNotQuarantined(t *testing.T) {
-	b, entry := book("a"), book("entry")
+	b, entry := newBook("a"), newBook("entry")
 	copies := &Copies{MaxProven: 10}
 	copies.End(start, 1, true)
 	for range 3 {
@@ -82,7 +82,7 @@
 }
 
 func TestPassDoesntExcuseLaterCrash(t *testing.T) {
-	b := book("a")
+	b := newBook("a")
 	b.Crashed(start, []core.Fingerprint{1, 2})
 	b.Passed(start.Add(TTL/2), 1)
 	later := start.Add(TTL + time.Second)
@@ -90,10 +90,10 @@
 	assertStanding(t, b, later, 1, Suspect)
 }
 
-// An operator clears a request; a peer that hasn't heard of it still spreads
-// the old strikes. They must not count again, but a new crash must.
+// An operator clears a request while a peer that doesn't have the clear mark still
+// spreads the old strikes. They must not count again, but a new crash must.
 func TestClearIsNotUndoneByOldRecords(t *testing.T) {
-	a, b, c := book("a"), book("b"), book("c")
+	a, b, c := newBook("a"), newBook("b"), newBook("c")
 	a.Crashed(start, []core.Fingerprint{1})
 	a.Crashed(start, []core.Fingerprint{1})
 	old := a.Records(start)
@@ -112,11 +112,11 @@
 	}
 }
 
-// Records reach processes in any order, twice and late; all must agree.
+// Records reach processes in any order, repeated and late. All must agree.
 func TestJoinIsOrderless(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	for range 200 {
-		sources := []*Book{book("a"), book("b"), book("c")}
+		sources := []*Book{newBook("a"), newBook("b"), newBook("c")}
 		var all []Record
 		for i := range 12 {
 			s := sources[rng.IntN(3)]
@@ -130,7 +130,7 @@
 				all = append(all, s.Crashed(now, []core.Fingerprint{1, core.Fingerprint(2 + rng.IntN(3))})...)
 			}
 		}
-		x, y := book("x"), book("y")
+		x, y := newBook("x"), newBook("y")
 		now := start.Add(time.Minute)
 		x.Merge(now, all)
 		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -140,7 +140,7 @@
 }
 
 func TestBookIsBounded(t *testing.T) {
-	b := book("a")
+	b := newBook("a")
 	for i := range 1000 {
 		b.Crashed(start.Add(time.Duration(i)*time.Second), []core.Fingerprint{core.Fingerprint(i)})
 		assert.Assert(t, b.size <= b.MaxRecords)
@@ -148,18 +148,18 @@
 	assertStanding(t, b, start.Add(1000*time.Second), 999, Suspect)
 }
 
-// A suspect reaches a busy engine. It must run alone within bounds, and the
-// engine's other work must not be held back for long.
+// A suspect reaches a busy engine. It must run alone within a bounded time, and
+// the engine's other requests must not be held back for long.
 func TestGateDrainsForSuspect(t *testing.T) {
-	b := book("a")
+	b := newBook("a")
 	b.Crashed(start, []core.Fingerprint{1, 2})
 	g := &Gate{Book: b}
 	busy := []core.Fingerprint{7, 8}
-	assert.Equal(t, g.MayRun(start, 1, true, nil).At, start.Add(settle))
-	now := start.Add(settle)
+	assert.Equal(t, g.MayRun(start, 1, true, nil).At, start.Add(trialDelay))
+	now := start.Add(trialDelay)
 	assert.Equal(t, g.MayRun(now, 1, true, busy).Action, Wait)
 	assert.Equal(t, g.MayRun(now, 9, false, busy).Action, Run)
-	now = now.Add(patience)
+	now = now.Add(idleTimeout)
 	assert.Equal(t, g.MayRun(now, 1, true, busy).Action, Wait)
 	assert.Equal(t, g.MayRun(now, 9, false, busy).Action, Wait)
 	v := g.MayRun(now.Add(time.Second), 1, true, nil)
@@ -168,14 +168,14 @@
 	_, passed := g.Ended(now.Add(2*time.Second), 1, true)
 	assert.Assert(t, passed)
 	assert.Equal(t, g.MayRun(now.Add(2*time.Second), 9, false, nil).Action, Run)
-	// The second suspect waits before it holds back others again.
+	// The second suspect must wait before the engine is drained again.
 	assert.Equal(t, g.MayRun(now.Add(2*time.Second), 2, true, busy).Action, Wait)
 	assert.Equal(t, g.MayRun(now.Add(6*time.Second), 2, true, busy).Action, Wait)
 	assert.Equal(t, g.MayRun(now.Add(6*time.Second), 9, false, busy).Action, Run)
 }
 
 func TestGateDeniesQuarantined(t *testing.T) {
-	b := book("a")
+	b := newBook("a")
 	b.Crashed(start, []core.Fingerprint{1})
 	b.Crashed(start, []core.Fingerprint{1})
 	v := (&Gate{Book: b}).MayRun(start, 1, true, nil)
@@ -183,8 +183,8 @@
 	assert.Equal(t, v.Refusal.Code, core.CodeQuarantined)
 }
 
-// A caller sends one request many times at once. Until it has ended well once,
-// an entry keeps the copies together.
+// A caller sends one request many times at once. Until it has ended well once, an
+// entry must keep the copies on one host.
 func TestCopiesStayTogetherUntilProven(t *testing.T) {
 	c := &Copies{MaxProven: 2}
 	assert.Equal(t, c.Host(1), core.HostName(""))
@@ -199,15 +199,15 @@
 		c.Start(f, "a")
 		c.End(start, f, true)
 	}
-	assert.Equal(t, c.Host(1), core.HostName("b")) // forgotten as proven
+	assert.Equal(t, c.Host(1), core.HostName("b")) // no longer remembered as proven
 }
 
-// A request becomes a suspect while it waits in a queue. It must leave it: its
-// trial is on another host.
+// A request becomes a suspect while it waits in a queue. It must be refused there,
+// since its trial is on another host.
 func TestGateReturnsNewSuspects(t *testing.T) {
-	b := book("a")
+	b := newBook("a")
 	b.Crashed(start, []core.Fingerprint{1, 2})
-	v := (&Gate{Book: b}).MayRun(start.Add(settle), 1, false, nil)
+	v := (&Gate{Book: b}).MayRun(start.Add(trialDelay), 1, false, nil)
 	assert.Equal(t, v.Action, Deny)
 	assert.Equal(t, v.Refusal.Outcome, core.NotRun)
 	assert.Equal(t, v.Refusal.Code, core.CodeOverload)
--- a/core/strike/copies.go
+++ b/core/strike/copies.go
@@ -9,57 +9,60 @@
 // Copies keeps, at one entry, identical requests that are in flight at the same
 // time on one host until one of them has ended well.
 //
-// It answers a caller that sends a request many times at once: were the copies
-// spread, a request that crashes engines would kill one for each copy before
-// the first crash is known. On one host they die together, and the fleet loses
-// one engine for each entry at most. Requests known to end well are spread, so
-// a prompt that many callers share makes no hot spot. Fields are set before the
-// first call.
+// If a caller sends a request many times at once and the copies were spread, a
+// request that crashes engines would crash one for each copy before the first
+// crash is known. On one host they crash one engine together, and the fleet loses
+// at most one engine for each entry. Requests known to end well are spread, so
+// that a prompt shared by many callers does not overload one host. The exported
+// field must be set before first use.
 type Copies struct {
-	// MaxProven bounds the fingerprints remembered as ending well.
+	// MaxProven bounds the fingerprints remembered as having ended well.
 	MaxProven int
 
-	flying map[core.Fingerprint]flight
-	proven map[core.Fingerprint]time.Time // since when
-	// order is the order in which fingerprints were proven, for eviction.
-	order []core.Fingerprint
+	inFlight map[core.Fingerprint]copyGroup
+	// proven has the time at which each fingerprint last ended well.
+	proven map[core.Fingerprint]time.Time
+	// provenOrder has the fingerprints in the order in which they were first proven,
+	// for eviction.
+	provenOrder []core.Fingerprint
 }
 
-type flight struct {
+type copyGroup struct {
 	host   core.HostName
 	copies int
 }
 
-// Host returns where a copy of the request is in flight that the next one has
-// to join; empty where it may go anywhere.
+// Host returns the host that the next copy of a request must join; empty if it may
+// run on any host.
 func (c *Copies) Host(f core.Fingerprint) core.HostName {
 	if !c.proven[f].IsZero() {
 		return ""
 	}
-	return c.flying[f].host
+	return c.inFlight[f].host
 }
 
-// At returns where copies of the request are in flight; empty where none are.
-func (c *Copies) At(f core.Fingerprint) core.HostName { return c.flying[f].host }
+// At returns the host where copies of the request are in flight; empty if there
+// are none.
+func (c *Copies) At(f core.Fingerprint) core.HostName { return c.inFlight[f].host }
 
-// Start notes that a request was handed to a host.
+// Start records that a request was forwarded to a host.
 func (c *Copies) Start(f core.Fingerprint, host core.HostName) {
-	if c.flying == nil {
-		c.flying = make(map[core.Fingerprint]flight)
+	if c.inFlight == nil {
+		c.inFlight = make(map[core.Fingerprint]copyGroup)
 	}
-	have := c.flying[f]
-	c.flying[f] = flight{host: host, copies: have.copies + 1}
+	have := c.inFlight[f]
+	c.inFlight[f] = copyGroup{host: host, copies: have.copies + 1}
 }
 
-// End notes that a request handed over has come back, and whether with a whole
-// answer.
+// End records that a forwarded request has ended; whole is set if it had a
+// complete answer.
 func (c *Copies) End(now time.Time, f core.Fingerprint, whole bool) {
-	have := c.flying[f]
+	have := c.inFlight[f]
 	have.copies--
 	if have.copies > 0 {
-		c.flying[f] = have
+		c.inFlight[f] = have
 	} else {
-		delete(c.flying, f)
+		delete(c.inFlight, f)
 	}
 	if whole {
 		c.prove(now, f)
@@ -71,17 +74,17 @@
 		c.proven = make(map[core.Fingerprint]time.Time)
 	}
 	if c.proven[f].IsZero() {
-		c.order = append(c.order, f)
+		c.provenOrder = append(c.provenOrder, f)
 	}
 	c.proven[f] = now
-	for len(c.order) > c.MaxProven {
-		delete(c.proven, c.order[0])
-		c.order = c.order[1:]
+	for len(c.provenOrder) > c.MaxProven {
+		delete(c.proven, c.provenOrder[0])
+		c.provenOrder = c.provenOrder[1:]
 	}
 }
 
-// Take tells whether a struck request ended well here in the TTL before, and
-// forgets it: one good end speaks for a request once.
+// Take reports whether a request with strikes had ended well here within the TTL,
+// and forgets it: one good end counts only once.
 func (c *Copies) Take(now time.Time, f core.Fingerprint) bool {
 	at := c.proven[f]
 	delete(c.proven, f)
--- a/core/strike/play_test.go
+++ b/core/strike/play_test.go
@@ -17,21 +17,21 @@
 
 const poison core.Fingerprint = 1
 
-// fleet is sixteen agents with engines and three entries in fake time. A
-// request with the poison fingerprint kills its engine 100 ms after its start.
+// fleet is sixteen agents with engines and three entries on a simulated clock. A
+// request with the poison fingerprint crashes its engine 100 ms after its start.
 type fleet struct {
-	rng     *rand.Rand
-	now     time.Time
-	queue   agenda.Agenda[func()]
-	naive   bool    // no strikes at all
-	loss    float64 // of messages between processes
-	agents  []*upstream
-	entries []*Book
-	copies  []*Copies
-	killed  int
-	done    map[string]int
-	took    []time.Duration // from arrival to end, of the others' requests
-	repeats int
+	rng       *rand.Rand
+	now       time.Time
+	queue     agenda.Agenda[func()]
+	naive     bool    // strikes are disabled
+	loss      float64 // fraction of lost messages between processes
+	agents    []*upstream
+	entries   []*Book
+	copies    []*Copies
+	crashes   int
+	outcomes  map[string]int
+	durations []time.Duration // from arrival to end, of innocent requests
+	repeats   int
 }
 
 type upstream struct {
@@ -41,20 +41,20 @@
 	running []*job
 	epoch   int
 	down    bool
-	wakes   time.Time
+	wakeAt  time.Time
 }
 
 type job struct {
-	finger core.Fingerprint
-	entry  int
-	tries  int
-	since  time.Time
-	trial  bool
-	alone  bool
+	fingerprint core.Fingerprint
+	entry       int
+	tries       int
+	arrived     time.Time
+	trial       bool
+	alone       bool
 }
 
 func newFleet(seed uint64) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 9)), now: start, done: make(map[string]int)}
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 9)), now: start, outcomes: make(map[string]int)}
 	for i := range 16 {
 		name := core.HostName(fmt.Sprintf("upstream-%02d", i))
 		f.agents = append(f.agents, &upstream{name: name, gate: &Gate{Book: &Book{Self: name, MaxRecords: 1000}}})
@@ -63,11 +63,11 @@
 		f.entries = append(f.entries, &Book{Self: core.HostName(fmt.Sprintf("entry-%d", i)), MaxRecords: 1000})
 		f.copies = append(f.copies, &Copies{MaxProven: 100})
 	}
-	f.after(time.Second, f.gossip)
+	f.schedule(time.Second, f.gossip)
 	return f
 }
 
-func (f *fleet) after(d time.Duration, do func()) {
+func (f *fleet) schedule(d time.Duration, do func()) {
 	f.queue.Put(f.now.Add(d), do)
 }
 
@@ -81,11 +81,11 @@
 	f.now = end
 }
 
-func (f *fleet) between(low, high time.Duration) time.Duration {
+func (f *fleet) randomDelay(low, high time.Duration) time.Duration {
 	return low + time.Duration(f.rng.Int64N(int64(high-low)))
 }
 
-// gossip has every process exchange with one other, once a second.
+// gossip makes every process exchange records with one other, once a second.
 func (f *fleet) gossip() {
 	books := slices.Clone(f.entries)
 	for _, a := range f.agents {
@@ -99,22 +99,22 @@
 		peer.Merge(f.now, b.Records(f.now))
 		b.Merge(f.now, peer.Records(f.now))
 	}
-	f.after(time.Second, f.gossip)
+	f.schedule(time.Second, f.gossip)
 }
 
-// arrive takes a request at an entry, which refuses or routes it.
+// arrive processes a request at an entry, which refuses or routes it.
 func (f *fleet) arrive(j *job) {
 	book := f.entries[j.entry]
-	if !f.naive && book.Refuse(f.now, j.finger) != nil {
-		f.end(j, "refused")
+	if !f.naive && book.Refuse(f.now, j.fingerprint) != nil {
+		f.finish(j, "refused")
 		return
 	}
-	if settled := book.Settled(f.now, j.finger); !f.naive && f.now.Before(settled) {
-		f.after(settled.Sub(f.now), func() { f.arrive(j) })
+	if trialTime := book.Settled(f.now, j.fingerprint); !f.naive && f.now.Before(trialTime) {
+		f.schedule(trialTime.Sub(f.now), func() { f.arrive(j) })
 		return
 	}
 	if j.tries > 8 {
-		f.end(j, "given up")
+		f.finish(j, "given up")
 		return
 	}
 	j.tries++
@@ -125,29 +125,30 @@
 		}
 	}
 	if len(hosts) == 0 {
-		f.after(100*time.Millisecond, func() { f.arrive(j) })
+		f.schedule(100*time.Millisecond, func() { f.arrive(j) })
 		return
 	}
 	to := hosts[f.rng.IntN(len(hosts))]
-	if flying := f.copies[j.entry].Host(j.finger); !f.naive && slices.Contains(hosts, flying) {
-		to = flying
+	if joined := f.copies[j.entry].Host(j.fingerprint); !f.naive && slices.Contains(hosts, joined) {
+		to = joined
 	}
-	j.trial = book.Find(f.now, j.finger).Standing == Suspect
+	j.trial = book.Find(f.now, j.fingerprint).Standing == Suspect
 	if j.trial && !f.naive {
-		to = Trial(j.finger, hosts)
+		to = Trial(j.fingerprint, hosts)
 	}
-	f.copies[j.entry].Start(j.finger, to)
-	records := book.Against(f.now, j.finger)
+	f.copies[j.entry].Start(j.fingerprint, to)
+	records := book.Against(f.now, j.fingerprint)
 	a := f.agents[slices.IndexFunc(f.agents, func(a *upstream) bool { return a.name == to })]
-	f.after(f.between(time.Millisecond, 5*time.Millisecond), func() {
+	f.schedule(f.randomDelay(time.Millisecond, 5*time.Millisecond), func() {
 		a.gate.Book.Merge(f.now, records)
 		a.waiting = append(a.waiting, j)
-		f.advance(a)
+		f.startWaiting(a)
 	})
 }
 
-// advance starts what may start at an agent, up to 8 requests at once.
-func (f *fleet) advance(a *upstream) {
+// startWaiting starts the waiting requests of an agent that may run, up to 8 at
+// once.
+func (f *fleet) startWaiting(a *upstream) {
 	if a.down {
 		return
 	}
@@ -155,7 +156,7 @@
 		j := a.waiting[i]
 		v := Verdict{Action: Run}
 		if !f.naive {
-			v = a.gate.MayRun(f.now, j.finger, j.trial, fingerprints(a.running))
+			v = a.gate.MayRun(f.now, j.fingerprint, j.trial, fingerprints(a.running))
 		}
 		if v.Action == Wait {
 			f.wake(a, v.At)
@@ -164,51 +165,53 @@
 		a.waiting = slices.Delete(a.waiting, i, i+1)
 		i--
 		if v.Action == Deny {
-			f.copies[j.entry].End(f.now, j.finger, false)
+			f.copies[j.entry].End(f.now, j.fingerprint, false)
 			f.arrive(j)
 			continue
 		}
 		j.alone = v.Alone
 		a.running = append(a.running, j)
-		f.begin(a, j)
+		f.start(a, j)
 	}
 }
 
-// wake has an agent look at its queue again; one timer for all that wait.
+// wake schedules another look at an agent's queue, with one timer for all waiting
+// requests.
 func (f *fleet) wake(a *upstream, at time.Time) {
-	if !at.After(f.now) || (a.wakes.After(f.now) && !at.Before(a.wakes)) {
+	if !at.After(f.now) || (a.wakeAt.After(f.now) && !at.Before(a.wakeAt)) {
 		return
 	}
-	a.wakes = at
-	f.after(at.Sub(f.now), func() { f.advance(a) })
+	a.wakeAt = at
+	f.schedule(at.Sub(f.now), func() { f.startWaiting(a) })
 }
 
-func (f *fleet) begin(a *upstream, j *job) {
+func (f *fleet) start(a *upstream, j *job) {
 	epoch := a.epoch
-	takes := f.between(200*time.Millisecond, 2*time.Second)
-	if j.finger == poison {
+	takes := f.randomDelay(200*time.Millisecond, 2*time.Second)
+	if j.fingerprint == poison {
 		takes = 100 * time.Millisecond
 	}
-	f.after(takes, func() {
+	f.schedule(takes, func() {
 		if a.epoch != epoch {
 			return
 		}
-		if j.finger == poison {
+		if j.fingerprint == poison {
 			f.crash(a)
 			return
 		}
 		a.running = slices.DeleteFunc(a.running, func(o *job) bool { return o == j })
-		a.gate.Ended(f.now, j.finger, j.alone)
-		f.copies[j.entry].End(f.now, j.finger, true)
-		f.end(j, "done")
-		f.advance(a)
+		a.gate.Ended(f.now, j.fingerprint, j.alone)
+		f.copies[j.entry].End(f.now, j.fingerprint, true)
+		f.finish(j, "done")
+		f.startWaiting(a)
 	})
 }
 
-// crash kills an engine. The agent tells all entries, again and again until
-// they acknowledge, and answers the requests when all have, or after a second.
+// crash crashes an engine. The agent sends the records to all entries, repeatedly
+// until they acknowledge. It answers the requests when all have acknowledged, or
+// after a second.
 func (f *fleet) crash(a *upstream) {
-	f.killed++
+	f.crashes++
 	a.epoch++
 	a.down = true
 	victims := a.running
@@ -222,65 +225,67 @@
 		}
 		answered = true
 		for _, j := range victims {
-			f.after(f.between(time.Millisecond, 5*time.Millisecond), func() {
-				f.copies[j.entry].End(f.now, j.finger, false)
+			f.schedule(f.randomDelay(time.Millisecond, 5*time.Millisecond), func() {
+				f.copies[j.entry].End(f.now, j.fingerprint, false)
 				f.arrive(j)
 			})
 		}
 	}
 	for i := range f.entries {
-		f.push(i, records, func() {
+		f.notifyEntry(i, records, func() {
 			missing--
 			if missing == 0 {
 				answer()
 			}
 		})
 	}
-	f.after(time.Second, answer)
-	f.after(5*time.Second, func() {
+	f.schedule(time.Second, answer)
+	f.schedule(5*time.Second, func() {
 		a.down = false
-		f.advance(a)
+		f.startWaiting(a)
 	})
 }
 
-// push tells an entry, which tells the hosts where it has such a request.
-func (f *fleet) push(i int, records []Record, acknowledged func()) {
+// notifyEntry sends records to an entry, which forwards them to the host where it
+// has such a request.
+func (f *fleet) notifyEntry(i int, records []Record, acknowledged func()) {
 	if f.rng.Float64() < f.loss {
-		f.after(100*time.Millisecond, func() { f.push(i, records, acknowledged) })
+		f.schedule(100*time.Millisecond, func() { f.notifyEntry(i, records, acknowledged) })
 		return
 	}
-	f.after(f.between(time.Millisecond, 20*time.Millisecond), func() {
-		for _, finger := range f.entries[i].Merge(f.now, records) {
-			f.forward(i, finger)
+	f.schedule(f.randomDelay(time.Millisecond, 20*time.Millisecond), func() {
+		for _, fingerprint := range f.entries[i].Merge(f.now, records) {
+			f.forwardToHost(i, fingerprint)
 		}
 		acknowledged()
 	})
 }
 
-func (f *fleet) forward(i int, finger core.Fingerprint) {
-	if f.copies[i].Take(f.now, finger) {
-		f.entries[i].Known(f.now, finger)
+func (f *fleet) forwardToHost(i int, fingerprint core.Fingerprint) {
+	if f.copies[i].Take(f.now, fingerprint) {
+		f.entries[i].Known(f.now, fingerprint)
 	}
-	at := f.copies[i].At(finger)
-	known := f.entries[i].Against(f.now, finger)
+	at := f.copies[i].At(fingerprint)
+	known := f.entries[i].Against(f.now, fingerprint)
 	for _, a := range f.agents {
 		if a.name == at && f.rng.Float64() >= f.loss {
-			f.after(f.between(time.Millisecond, 5*time.Millisecond), func() { a.gate.Book.Merge(f.now, known) })
+			f.schedule(f.randomDelay(time.Millisecond, 5*time.Millisecond), func() { a.gate.Book.Merge(f.now, known) })
 		}
 	}
 }
 
-// end counts an outcome. The poison's caller sends it again, through any entry.
-func (f *fleet) end(j *job, outcome string) {
-	if j.finger != poison {
-		f.done[outcome]++
-		f.took = append(f.took, f.now.Sub(j.since))
+// finish counts an outcome. The caller of the poison request repeats it through a
+// random entry.
+func (f *fleet) finish(j *job, outcome string) {
+	if j.fingerprint != poison {
+		f.outcomes[outcome]++
+		f.durations = append(f.durations, f.now.Sub(j.arrived))
 		return
 	}
 	if f.repeats > 0 {
 		f.repeats--
-		f.after(f.between(time.Millisecond, time.Second), func() {
-			f.arrive(&job{finger: poison, entry: f.rng.IntN(3)})
+		f.schedule(f.randomDelay(time.Millisecond, time.Second), func() {
+			f.arrive(&job{fingerprint: poison, entry: f.rng.IntN(3)})
 		})
 	}
 }
@@ -288,45 +293,46 @@
 func fingerprints(jobs []*job) []core.Fingerprint {
 	out := make([]core.Fingerprint, 0, len(jobs))
 	for _, j := range jobs {
-		out = append(out, j.finger)
+		out = append(out, j.fingerprint)
 	}
 	return out
 }
 
-// load sends innocent requests for a time, 40 a second over the fleet, some of
-// them alike.
-func (f *fleet) load(d time.Duration) int {
+// sendInnocent sends innocent requests for a time, 40 a second over the fleet, one
+// in ten of them identical.
+func (f *fleet) sendInnocent(d time.Duration) int {
 	n := int(d.Seconds() * 40)
 	for i := range n {
-		f.after(time.Duration(f.rng.Int64N(int64(d))), func() {
-			finger := core.Fingerprint(1000 + i)
+		f.schedule(time.Duration(f.rng.Int64N(int64(d))), func() {
+			fingerprint := core.Fingerprint(1000 + i)
 			if i%10 == 0 {
-				finger = 500
+				fingerprint = 500
 			}
-			f.arrive(&job{finger: finger, entry: f.rng.IntN(3), since: f.now})
+			f.arrive(&job{fingerprint: fingerprint, entry: f.rng.IntN(3), arrived: f.now})
 		})
 	}
 	return n
 }
 
-// poisoned plays 90 s with a request that crashes each engine it runs on,
-// sent at once through some entries and again thirty times.
-func poisoned(seed uint64, atOnce int, loss float64, naive bool) (*fleet, int) {
+// runPoisoned simulates 90 s with a request that crashes each engine it runs on.
+// It is sent atOnce times at the same time through the entries, and repeated
+// thirty times.
+func runPoisoned(seed uint64, atOnce int, loss float64, naive bool) (*fleet, int) {
 	f := newFleet(seed)
 	f.naive, f.loss, f.repeats = naive, loss, 30
-	n := f.load(20 * time.Second)
-	f.after(5*time.Second, func() {
+	n := f.sendInnocent(20 * time.Second)
+	f.schedule(5*time.Second, func() {
 		for i := range atOnce {
-			f.arrive(&job{finger: poison, entry: i % 3})
+			f.arrive(&job{fingerprint: poison, entry: i % 3})
 		}
 	})
 	f.run(90 * time.Second)
 	return f, n
 }
 
-// A caller's request kills the engine that runs it, again and again, with the
-// work of others in the same batch. It must be refused everywhere after three
-// engines at most; the others' work, which is repeatable, must be done.
+// A caller's request crashes the engine that runs it, again and again, together
+// with the other requests in the batch. It must be refused everywhere after three
+// crashes at most. The other requests, which are repeatable, must complete.
 func TestCrashingRequestLosesThreeEnginesAtMost(t *testing.T) {
 	for _, atOnce := range []int{1, 2, 3, 12} {
 		for _, loss := range []float64{0, 0.2} {
@@ -334,11 +340,11 @@
 				lost := make(map[int]int)
 				var took []time.Duration
 				for seed := range uint64(schedules(t, 2)) {
-					f, n := poisoned(seed, atOnce, loss, false)
-					lost[f.killed]++
-					took = append(took, f.took...)
-					assert.Assert(t, f.killed <= 3, "seed %d: %d engines lost", seed, f.killed)
-					assert.Equal(t, f.done["done"], n, "seed %d: %v", seed, f.done)
+					f, n := runPoisoned(seed, atOnce, loss, false)
+					lost[f.crashes]++
+					took = append(took, f.durations...)
+					assert.Assert(t, f.crashes <= 3, "seed %d: %d engines lost", seed, f.crashes)
+					assert.Equal(t, f.outcomes["done"], n, "seed %d: %v", seed, f.outcomes)
 					for _, e := range f.entries {
 						assert.Equal(t, e.Find(f.now, poison).Standing, Quarantined)
 						assert.Assert(t, e.Find(f.now, 500).Standing != Quarantined)
@@ -353,8 +359,8 @@
 	}
 }
 
-// schedules is the number of random schedules of a test run; RADISHWELL_SCHEDULES
-// sets another for a long run.
+// schedules returns the number of random schedules of a test run, which
+// RADISHWELL_SCHEDULES overrides for a long run.
 func schedules(t *testing.T, usual int) int {
 	t.Helper()
 	text := os.Getenv("RADISHWELL_SCHEDULES")
@@ -366,10 +372,10 @@
 	return n
 }
 
-// Without strikes the same request kills engines as long as it is repeated.
+// Without strikes the same request crashes engines as long as it is repeated.
 func TestNaiveLosesEnginesWithoutEnd(t *testing.T) {
-	f, n := poisoned(1, 1, 0, true)
-	slices.Sort(f.took)
-	t.Logf("%d engines lost, %v of %d others; p99 %v", f.killed, f.done, n, f.took[len(f.took)*99/100].Round(time.Millisecond))
-	assert.Assert(t, f.killed > 30)
+	f, n := runPoisoned(1, 1, 0, true)
+	slices.Sort(f.durations)
+	t.Logf("%d engines lost, %v of %d others; p99 %v", f.crashes, f.outcomes, n, f.durations[len(f.durations)*99/100].Round(time.Millisecond))
+	assert.Assert(t, f.crashes > 30)
 }
--- a/core/strike/record.go
+++ b/core/strike/record.go
@@ -7,34 +7,34 @@
 	"radishwell/core"
 )
 
-// TTL is how long a strike counts after its crash. It outlasts a caller's
-// repeats by hand, and an innocent request that was struck three times by
-// chance is free again within the session.
+// TTL is how long a strike counts. It is longer than a caller's manual repeats,
+// and short enough that an innocent request with three strikes by chance is
+// accepted again within the session.
 const TTL = 30 * time.Minute
 
-// Record is what one agent saw against one fingerprint. A Record with an empty
-// Source is a clear mark: it voids all records of its fingerprint that expire
-// no later than it. One with neither Count nor Passed says that the fingerprint
-// ended well at its source before it was struck.
+// Record holds what one process knows against or for one fingerprint. A Record
+// with an empty Source is a clear mark: it voids all records of its fingerprint
+// that expire no later than it. A Record with neither Count nor Passed says that
+// the fingerprint had ended well at its source before its strikes.
 type Record struct {
 	Fingerprint core.Fingerprint
-	// Source is the host of the agent, or of the entry that knows it to end well.
+	// Source is the host of the agent, or of the entry where it had ended well.
 	Source core.HostName
-	// Count is the number of engines that died with the fingerprint in flight,
-	// Alone the number of them where nothing else was.
+	// Count is the number of engines that crashed with the fingerprint in flight,
+	// Alone the number of those with no other request in flight.
 	Count uint32
 	Alone uint32
-	// Passed is the number of times it ran alone to a good end.
+	// Passed is the number of times it ran alone and ended well.
 	Passed uint32
 	// Expires is TTL after the last of the strikes.
 	Expires time.Time
 }
 
-// newer tells whether r is to replace old, which has the same fingerprint and
-// source. Only its source changes a record, and each time to a later expiry;
-// so the maximum is the latest, whatever order the records arrive in, and a
-// count that started again after a clear isn't raised by an old one.
-func (r Record) newer(old Record) bool {
+// supersedes reports whether r replaces old, which has the same fingerprint and
+// source. Only its source changes a record, and each change has a later expiry. So
+// the maximum is the latest record, in whatever order they arrive, and a count
+// that started again after a clear mark isn't raised by an old record.
+func (r Record) supersedes(old Record) bool {
 	if c := r.Expires.Compare(old.Expires); c != 0 {
 		return c > 0
 	}
@@ -47,14 +47,14 @@
 	return r.Passed > old.Passed
 }
 
-// Standing is what is held against a fingerprint.
+// Standing is the state of a fingerprint that results from its records.
 type Standing uint8
 
 // Standings.
 const (
-	// Clean: nothing counts against it.
+	// Clean: no records count against it.
 	Clean Standing = iota
-	// Suspect: it may run alone.
+	// Suspect: it may only run alone.
 	Suspect
 	// Quarantined: it is refused.
 	Quarantined
@@ -72,44 +72,45 @@
 }
 
 const (
-	// quarantineAfter is the number of engines lost with a fingerprint in flight
-	// that quarantines it without a trial, if it is not known to end well. Since
-	// a suspect runs alone, only identical requests that were in flight on
-	// several engines before the first crash was known get there.
-	quarantineAfter = 3
-	// quarantineAlone is the number that suffices when it was alone in one of
-	// them. A single crash doesn't suffice: hosts and engines die for other
-	// reasons, and then an innocent long request would be refused.
-	quarantineAlone = 2
+	// quarantineCrashes is the number of crashes with a fingerprint in flight that
+	// quarantines it without a trial, unless it is known to end well. Since a suspect
+	// runs alone, only identical requests that were in flight on several engines
+	// before the first crash was known reach this number.
+	quarantineCrashes = 3
+	// quarantineCrashesAlone is the number of crashes that suffices if it was alone
+	// in one of them. A single crash doesn't suffice: hosts and engines die for other
+	// reasons, and an innocent long request would then be refused.
+	quarantineCrashesAlone = 2
 )
 
-// Finding is all that is held against one fingerprint.
+// Finding is the sum of the records of one fingerprint.
 type Finding struct {
 	Fingerprint          core.Fingerprint
 	Standing             Standing
 	Count, Alone, Passed uint32
-	// Known tells that it had ended well, by itself or in company, before it was
-	// struck. A prompt that many callers share is in every batch, so three
-	// crashes of others would else quarantine it.
+	// Known is set if it had ended well, alone or not, before its strikes. Otherwise
+	// three unrelated crashes would quarantine a prompt that many callers share,
+	// since it is in every batch.
 	Known bool
 	// Expires is when the last strike expires.
 	Expires time.Time
 }
 
-// passesNeeded is how often a fingerprint has to pass before it runs in company
-// again: 1 after one strike, then 3, 6, 10. It grows because a request may
-// crash engines only in company, and would pass every trial in between.
+// passesNeeded returns how often a fingerprint must pass before it may run with
+// others again: 1 after one strike, then 3, 6, 10. The number grows because a
+// request may crash engines only together with others, and would pass every trial
+// in between.
 func passesNeeded(strikes uint32) uint32 { return strikes * (strikes + 1) / 2 }
 
-func (f *Finding) judge() {
+func (f *Finding) setStanding() {
 	passes := f.Passed
 	if f.Known {
 		passes++
 	}
 	switch {
-	case f.Count >= quarantineAlone && f.Alone > 0:
+	case f.Count >= quarantineCrashesAlone && f.Alone > 0:
 		f.Standing = Quarantined
-	case f.Count >= quarantineAfter && passes == 0:
+	case f.Count >= quarantineCrashes && passes == 0:
 		f.Standing = Quarantined
 	case passes < passesNeeded(f.Count):
 		f.Standing = Suspect
