--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -17,10 +17,11 @@
 	// or lost. An engine that leaves it unread for longer has not answered any report
 	// either.
 	Settle = 10 * time.Second
-	// ResendInterval is the delay before an order without visible effect is sent again.
+	// ResendInterval is the delay before an order without visible effect is sent
+	// again.
 	ResendInterval = 2 * time.Second
-	// UnloadTimeout is the timeout of an unload. After it, further items are evicted instead
-	// of waiting for the memory.
+	// UnloadTimeout is the timeout of an unload. After it, further items are evicted
+	// instead of waiting for the memory.
 	UnloadTimeout = 20 * time.Second
 )
 
@@ -150,7 +151,7 @@
 	NoBase
 	// NoMemory: every item that could be evicted is in use or pinned.
 	NoMemory
-	// TooLarge: the item is larger than the host's accelerators.
+	// TooLarge: the accelerators of the host could never hold the item.
 	TooLarge
 	// NotReady: the ledger isn't rebuilt yet. Loaded items can be used.
 	NotReady
