--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -73,10 +73,10 @@
 	Name string
 	// Term and Margin replace the constants of the same name unless they are zero.
 	Term, Margin time.Duration
-	// Blank is set if the platform held no grants when this process started. Nobody
+	// NoPriorHolder is set if the platform held no grants when this process started. Nobody
 	// has decided before then, and the creator of the lease decides at once: the
 	// first start of a fleet does not wait for the term.
-	Blank bool
+	NoPriorHolder bool
 
 	// observed is set if version and spec hold the last observation; absent is set if
 	// it found no object.
@@ -114,9 +114,9 @@
 	return o
 }
 
-// Observe records a fencing number found in a grant or order. The lease's next
+// ObserveFence records a fencing number found in a grant or order. The lease's next
 // fencing number will be larger even if the platform's versions were reset.
-func (l *Lease) Observe(f core.Fence) { l.maxFence = max(l.maxFence, f) }
+func (l *Lease) ObserveFence(f core.Fence) { l.maxFence = max(l.maxFence, f) }
 
 // Decides reports whether this process may decide at the given time, and its
 // fencing number. It must be called again right before each write.
@@ -205,7 +205,7 @@
 		l.version = 0
 		l.observed = false
 	}
-	l.Seen(now, o)
+	l.ObserveObject(now, o)
 	if call == Read {
 		return
 	}
@@ -260,15 +260,15 @@
 	l.spec = Spec{}
 	l.invalidate()
 	l.takeoverAt = now.Add(l.takeoverDelay(0))
-	if l.Blank {
+	if l.NoPriorHolder {
 		l.takeoverAt = now
 	}
 	l.nextCallAt = l.takeoverAt
 }
 
-// Seen processes the lease object as found in a read, a watch or a peer's copy.
+// ObserveObject processes the lease object as found in a read, a watch or a peer's copy.
 // Copies older than the newest seen are ignored.
-func (l *Lease) Seen(now time.Time, o core.Object) {
+func (l *Lease) ObserveObject(now time.Time, o core.Object) {
 	if o.Deleted {
 		if o.Version > l.version {
 			l.version = o.Version
@@ -290,7 +290,7 @@
 	l.absent = false
 	l.version = o.Version
 	l.spec = s
-	l.Observe(s.Fence)
+	l.ObserveFence(s.Fence)
 	if err == nil && s.Holder == l.Host && s.Incarnation == l.Incarnation && s.Holder != "" {
 		l.handleOwned(now, o.Version, s.Created)
 		return
@@ -320,7 +320,7 @@
 func (l *Lease) handleOwned(now time.Time, v core.Version, created bool) {
 	if !l.held {
 		l.held = true
-		if created && !l.Blank {
+		if created && !l.NoPriorHolder {
 			// There was no object, perhaps because it was deleted manually a moment ago.
 			// Its holder may still decide, for less than a term. Waiting here and not
 			// before the creation is also safe if the creation was delayed on its way while
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -86,7 +86,7 @@
 	})
 	t.Run("takes the lease at once where no grants exist", func(t *testing.T) {
 		s, l := &store{}, newContender("d1")
-		l.Blank = true
+		l.NoPriorHolder = true
 		now := run(s, start, 1, l)
 		assertDecides(t, l, now, true)
 		assert.Equal(t, l.Holder(), core.HostName("d1"))
@@ -118,7 +118,7 @@
 		assert.Assert(t, held)
 		s.execute(lease.Action{Call: lease.Update, Object: o})
 		assertDecides(t, b, now, false)
-		a.Seen(now, s.object)
+		a.ObserveObject(now, s.object)
 		now = run(s, now, 3, a)
 		assert.Assert(t, assertDecides(t, a, now, true) > first)
 	})
@@ -172,7 +172,7 @@
 // fencing number of the next holder must still be above those seen in grants.
 func TestVersionsSetBack(t *testing.T) {
 	s, l := &store{}, newContender("d1")
-	l.Observe(900)
+	l.ObserveFence(900)
 	now := run(s, start, 20, l)
 	assert.Equal(t, assertDecides(t, l, now, true), core.Fence(901))
 }
@@ -182,7 +182,7 @@
 // own has been answered: it doesn't know when the first one was applied.
 func TestLostAnswer(t *testing.T) {
 	s, l := &store{}, newContender("d1")
-	l.Blank = true
+	l.NoPriorHolder = true
 	now := start
 	a, _ := l.Next(now)
 	l.Answer(now, s.execute(a))
@@ -254,7 +254,7 @@
 		for ; real < 2*time.Minute; real += time.Duration(r.Int64N(int64(200 * time.Millisecond))) {
 			if real < stop {
 				drive(a, s, slow(real))
-				b.Seen(fast(real), s.object)
+				b.ObserveObject(fast(real), s.object)
 			}
 			drive(b, s, fast(real))
 			_, first := a.Decides(slow(real))
--- a/core/ledger/barrier_test.go
+++ b/core/ledger/barrier_test.go
@@ -25,7 +25,7 @@
 		f.failOrder(core.EngineLost)
 		f.report()
 		assert.Assert(t, f.ledger.Rebuilt())
-		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.assertLoad(request("m1", 30), ledger.Loading)
 		assert.Equal(t, f.nextOrder().Kind, ledger.LoadItem)
 	})
 	t.Run("a number that was not accepted is sent again", func(t *testing.T) {
--- a/core/ledger/evict.go
+++ b/core/ledger/evict.go
@@ -20,7 +20,7 @@
 type placement struct {
 	l    *Ledger
 	now  time.Time
-	want Want
+	want LoadRequest
 	keep Score
 	// free is the unreserved memory of each accelerator; freeSoon adds the memory of
 	// items being unloaded.
@@ -30,13 +30,13 @@
 
 func (p *placement) place() Verdict {
 	accs, v := p.candidates()
-	if v != Coming {
+	if v != Loading {
 		return v
 	}
 	p.countFree()
 	if fit := p.fitting(accs, p.free); len(fit) >= p.needed(accs) {
 		p.reserve(fit[:p.needed(accs)])
-		return Coming
+		return Loading
 	}
 	if fit := p.fitting(accs, p.freeSoon); len(fit) >= p.needed(accs) {
 		return Evicting
@@ -65,7 +65,7 @@
 	if len(fit) < need {
 		return nil, TooLarge
 	}
-	return fit, Coming
+	return fit, Loading
 }
 
 func (p *placement) needed(accs []int) int {
@@ -90,7 +90,7 @@
 
 func (p *placement) countFree() {
 	p.free = p.l.Capacity()
-	for a, b := range p.l.Promised() {
+	for a, b := range p.l.Reserved() {
 		p.free[a] -= b
 	}
 	p.freeSoon = slices.Clone(p.free)
--- a/core/ledger/info.go
+++ b/core/ledger/info.go
@@ -15,10 +15,10 @@
 	Accelerators []int
 	Bytes        core.Bytes
 	Users        int
-	// Used is the end of the last use, Since the time at which the item entered
+	// LastUsed is the end of the last use, Since the time at which the item entered
 	// State.
-	Used  time.Time
-	Since time.Time
+	LastUsed time.Time
+	Since    time.Time
 }
 
 // Items returns all items by name. Absent marks an item that is kept only because
@@ -52,6 +52,6 @@
 	}
 	return Info{
 		Name: it.name, Base: it.base, State: state, Accelerators: slices.Clone(it.accelerators),
-		Bytes: it.bytes, Users: it.users, Used: it.lastUsed, Since: it.since,
+		Bytes: it.bytes, Users: it.users, LastUsed: it.lastUsed, Since: it.since,
 	}
 }
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -11,12 +11,12 @@
 
 // Thresholds of the ledger.
 const (
-	// Settle is how long an order may still reach an engine after its sender has lost
+	// MaxOrderDelay is how long an order may still reach an engine after its sender has lost
 	// contact or has died, if the engine does not check fencing numbers. Agent and
 	// engine share a host, so the order is either in the engine's own socket buffer
 	// or lost. An engine that leaves it unread for longer has not answered any report
 	// either.
-	Settle = 10 * time.Second
+	MaxOrderDelay = 10 * time.Second
 	// ResendInterval is the delay before an order without visible effect is sent
 	// again.
 	ResendInterval = 2 * time.Second
@@ -120,8 +120,8 @@
 	inFlight       Order
 }
 
-// Want is a request to load an item.
-type Want struct {
+// LoadRequest is a request to load an item.
+type LoadRequest struct {
 	Name core.ModelName
 	// Base is the model an adapter is loaded on; empty for a model.
 	Base core.ModelName
@@ -140,13 +140,13 @@
 const (
 	// Ready: the item is loaded; Begin will succeed.
 	Ready Verdict = iota
-	// Coming: the load is decided or in progress.
-	Coming
+	// Loading: the load is decided or in progress.
+	Loading
 	// Evicting: idle items are being unloaded to make room. Call Load again after the
 	// next report.
 	Evicting
-	// Leaving: the item itself is being unloaded. Call Load again once it is gone.
-	Leaving
+	// Unloading: the item itself is being unloaded. Call Load again once it is gone.
+	Unloading
 	// NoBase: the adapter's base isn't loaded and must be loaded first.
 	NoBase
 	// NoMemory: every item that could be evicted is in use or pinned.
@@ -165,7 +165,7 @@
 
 // Load requests an item and reports its state. It is idempotent. After Evicting
 // and Coming, Next returns the orders.
-func (l *Ledger) Load(now time.Time, w Want, keep Score) Verdict {
+func (l *Ledger) Load(now time.Time, w LoadRequest, keep Score) Verdict {
 	if l.superseded {
 		return Superseded
 	}
@@ -176,13 +176,13 @@
 	case !l.Rebuilt():
 		return NotReady
 	case l.hasLostOrder(w.Name):
-		return Leaving
+		return Unloading
 	}
 	p := placement{l: l, now: now, want: w, keep: keep}
 	return p.place()
 }
 
-func (l *Ledger) loadExisting(now time.Time, it *item, w Want) Verdict {
+func (l *Ledger) loadExisting(now time.Time, it *item, w LoadRequest) Verdict {
 	switch it.phase {
 	case loaded:
 		if l.baseLoaded(it) {
@@ -191,20 +191,20 @@
 		return NoBase
 	case unloading:
 		if it.sent || !it.reported {
-			return Leaving
+			return Unloading
 		}
 		// The unload was never sent, so it can be dropped.
 		it.enter(loaded, now)
 		return Ready
 	case uncertain:
 		if l.hasLostUnload(it.name) || !l.Rebuilt() {
-			return Leaving
+			return Unloading
 		}
 		it.source = w.Source
 		it.giveUp = w.GiveUp
 		it.enter(queued, now)
 	}
-	return Coming
+	return Loading
 }
 
 func (it *item) enter(p phase, now time.Time) {
@@ -297,17 +297,17 @@
 // holds, and no order of a previous agent process can still change that.
 func (l *Ledger) Rebuilt() bool { return l.hasReport && l.confirmed && !l.superseded }
 
-// Clear reports whether the host certainly does not hold the item and no order in
+// ProvenAbsent reports whether the host certainly does not hold the item and no order in
 // flight can still load it. Only then may its grant be released.
-func (l *Ledger) Clear(name core.ModelName) bool {
+func (l *Ledger) ProvenAbsent(name core.ModelName) bool {
 	return l.Rebuilt() && l.items[name] == nil && !l.hasLostOrder(name) && l.inFlight.name() != name
 }
 
 // Superseded reports whether another agent controls this engine.
 func (l *Ledger) Superseded() bool { return l.superseded }
 
-// Promised returns the bytes reserved on each accelerator.
-func (l *Ledger) Promised() []core.Bytes {
+// Reserved returns the bytes reserved on each accelerator.
+func (l *Ledger) Reserved() []core.Bytes {
 	sum := make([]core.Bytes, len(l.capacity))
 	for _, it := range l.items {
 		for _, a := range it.accelerators {
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -32,7 +32,7 @@
 		f.state.Capacity = append(f.state.Capacity, core.Bytes(n)*core.GiB)
 	}
 	f.report()
-	f.advance(ledger.Settle)
+	f.advance(ledger.MaxOrderDelay)
 	f.report()
 	assert.Assert(t, f.ledger.Rebuilt())
 	return f
@@ -41,7 +41,7 @@
 func (f *fixture) advance(d time.Duration) { f.now = f.now.Add(d) }
 
 func (f *fixture) report() {
-	f.ledger.Report(f.now, f.ledger.Ask(f.now), f.state)
+	f.ledger.Report(f.now, f.ledger.NewTicket(f.now), f.state)
 }
 
 // sendOrders sends all orders that are due, and the engine executes them.
@@ -91,20 +91,20 @@
 	f.report()
 }
 
-func request(name core.ModelName, gib int) ledger.Want {
-	return ledger.Want{Name: name, Bytes: core.Bytes(gib) * core.GiB}
+func request(name core.ModelName, gib int) ledger.LoadRequest {
+	return ledger.LoadRequest{Name: name, Bytes: core.Bytes(gib) * core.GiB}
 }
 
-func (f *fixture) assertLoad(w ledger.Want, v ledger.Verdict) {
+func (f *fixture) assertLoad(w ledger.LoadRequest, v ledger.Verdict) {
 	f.t.Helper()
 	assert.Equal(f.t, f.ledger.Load(f.now, w, nil), v, "load of %s", w.Name)
 }
 
 // loadAll loads items one after the other.
-func (f *fixture) loadAll(list ...ledger.Want) {
+func (f *fixture) loadAll(list ...ledger.LoadRequest) {
 	f.t.Helper()
 	for _, w := range list {
-		f.assertLoad(w, ledger.Coming)
+		f.assertLoad(w, ledger.Loading)
 		f.sendOrders()
 		f.advance(time.Second)
 		f.completeAll()
@@ -134,10 +134,10 @@
 func TestLoad(t *testing.T) {
 	t.Run("is idempotent", func(t *testing.T) {
 		f := newFixture(t, 80)
-		f.assertLoad(request("m1", 30), ledger.Coming)
-		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.assertLoad(request("m1", 30), ledger.Loading)
+		f.assertLoad(request("m1", 30), ledger.Loading)
 		assert.Equal(t, len(f.sendOrders()), 1)
-		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.assertLoad(request("m1", 30), ledger.Loading)
 		assert.Equal(t, len(f.sendOrders()), 0)
 		f.completeAll()
 		f.assertLoad(request("m1", 30), ledger.Ready)
@@ -145,7 +145,7 @@
 	t.Run("an item larger than the host is refused for good", func(t *testing.T) {
 		f := newFixture(t, 80, 80)
 		f.assertLoad(request("m1", 81), ledger.TooLarge)
-		f.assertLoad(ledger.Want{Name: "m1", Bytes: core.GiB, Accelerators: 3}, ledger.TooLarge)
+		f.assertLoad(ledger.LoadRequest{Name: "m1", Bytes: core.GiB, Accelerators: 3}, ledger.TooLarge)
 	})
 	t.Run("the fullest accelerator that has room is taken", func(t *testing.T) {
 		f := newFixture(t, 80, 80)
@@ -155,16 +155,16 @@
 	})
 	t.Run("an adapter needs its base and shares its accelerators", func(t *testing.T) {
 		f := newFixture(t, 80, 80)
-		a := ledger.Want{Name: "a1", Base: "m1", Bytes: core.GiB}
+		a := ledger.LoadRequest{Name: "a1", Base: "m1", Bytes: core.GiB}
 		f.assertLoad(a, ledger.NoBase)
-		f.loadAll(ledger.Want{Name: "m1", Bytes: 30 * core.GiB, Accelerators: 2}, a)
+		f.loadAll(ledger.LoadRequest{Name: "m1", Bytes: 30 * core.GiB, Accelerators: 2}, a)
 		assert.DeepEqual(t, f.ledger.Item("a1").Accelerators, []int{0, 1})
-		assert.DeepEqual(t, f.ledger.Promised(), []core.Bytes{31 * core.GiB, 31 * core.GiB})
+		assert.DeepEqual(t, f.ledger.Reserved(), []core.Bytes{31 * core.GiB, 31 * core.GiB})
 	})
 }
 
 func TestEvict(t *testing.T) {
-	three := []ledger.Want{request("m1", 25), request("m2", 25), request("m3", 25)}
+	three := []ledger.LoadRequest{request("m1", 25), request("m2", 25), request("m3", 25)}
 	t.Run("the least recently used item is evicted first", func(t *testing.T) {
 		f := newFixture(t, 80)
 		f.loadAll(three...)
@@ -197,11 +197,11 @@
 		f.assertUnloading("m1")
 		f.sendOrders()
 		f.completeAll()
-		f.assertLoad(request("m4", 25), ledger.Coming)
+		f.assertLoad(request("m4", 25), ledger.Loading)
 	})
 	t.Run("a base is not evicted while an adapter on it is in use", func(t *testing.T) {
 		f := newFixture(t, 80)
-		f.loadAll(request("m1", 50), ledger.Want{Name: "a1", Base: "m1", Bytes: core.GiB})
+		f.loadAll(request("m1", 50), ledger.LoadRequest{Name: "a1", Base: "m1", Bytes: core.GiB})
 		u := f.beginUse("a1")
 		f.assertLoad(request("m2", 60), ledger.NoMemory)
 		assert.Assert(t, !f.ledger.Unload(f.now, "m1"))
@@ -217,7 +217,7 @@
 	t.Run("all accelerators of a large model are cleared", func(t *testing.T) {
 		f := newFixture(t, 80, 80)
 		f.loadAll(request("m1", 50), request("m2", 50))
-		f.assertLoad(ledger.Want{Name: "m3", Bytes: 60 * core.GiB, Accelerators: 2}, ledger.Evicting)
+		f.assertLoad(ledger.LoadRequest{Name: "m3", Bytes: 60 * core.GiB, Accelerators: 2}, ledger.Evicting)
 		f.assertUnloading("m1", "m2")
 	})
 }
@@ -237,10 +237,10 @@
 	f.advance(time.Second)
 	f.assertLoad(request("m3", 40), ledger.Evicting)
 	f.assertUnloading("m1", "m2")
-	assert.Equal(t, f.ledger.Promised()[0], 80*core.GiB)
+	assert.Equal(t, f.ledger.Reserved()[0], 80*core.GiB)
 	f.sendOrders()
 	f.completeAll()
-	f.assertLoad(request("m3", 40), ledger.Coming)
+	f.assertLoad(request("m3", 40), ledger.Loading)
 }
 
 // A burst requests many models at once, a few of them repeatedly. Models in use
@@ -268,7 +268,7 @@
 		f.sendOrders()
 		f.advance(time.Second)
 		f.completeAll()
-		assert.Assert(t, f.ledger.Promised()[0] <= 80*core.GiB)
+		assert.Assert(t, f.ledger.Reserved()[0] <= 80*core.GiB)
 	}
 }
 
@@ -277,13 +277,13 @@
 		f := newFixture(t, 80)
 		f.state.Items = []core.EngineItem{{Name: "x", State: core.Loaded, Accelerators: []int{0}, Bytes: 70 * core.GiB}}
 		f.report()
-		assert.Equal(t, f.ledger.Promised()[0], 70*core.GiB)
+		assert.Equal(t, f.ledger.Reserved()[0], 70*core.GiB)
 		f.assertLoad(request("m1", 20), ledger.Evicting)
 	})
 	t.Run("a report older than the newest request is ignored", func(t *testing.T) {
 		f := newFixture(t, 80)
 		f.loadAll(request("m1", 30))
-		old := f.ledger.Ask(f.now)
+		old := f.ledger.NewTicket(f.now)
 		empty := f.state
 		empty.Items = nil
 		f.report()
@@ -305,6 +305,6 @@
 		f.loadAll(request("m1", 30))
 		f.state.Items[0].Bytes = 35 * core.GiB
 		f.report()
-		assert.Equal(t, f.ledger.Promised()[0], 35*core.GiB)
+		assert.Equal(t, f.ledger.Reserved()[0], 35*core.GiB)
 	})
 }
--- a/core/ledger/naive_test.go
+++ b/core/ledger/naive_test.go
@@ -54,18 +54,18 @@
 		n := &naive{}
 		for range 300 {
 			f.randomStep(r, n)
-			promised := f.ledger.Promised()
+			promised := f.ledger.Reserved()
 			for a, least := range n.sum(f.state) {
 				assert.Assert(t, promised[a] >= least, "seed %d: reserved %s, may hold %s", seed, promised[a], least)
 				assert.Assert(t, promised[a] <= f.state.Capacity[a], "seed %d: reserved %s", seed, promised[a])
 			}
 		}
 		f.settle(n)
-		assert.DeepEqual(t, f.ledger.Promised(), n.sum(f.state))
+		assert.DeepEqual(t, f.ledger.Reserved(), n.sum(f.state))
 	}
 }
 
-var items = []ledger.Want{
+var items = []ledger.LoadRequest{
 	request("m1", 30), request("m2", 50), request("m3", 70),
 	{Name: "m4", Bytes: 40 * core.GiB, Accelerators: 2},
 	{Name: "a1", Base: "m1", Bytes: 5 * core.GiB},
@@ -103,7 +103,7 @@
 	switch r.IntN(4) {
 	case 0:
 		n.inFlight = append(n.inFlight, o)
-		n.expiries = append(n.expiries, f.now.Add(ledger.Settle))
+		n.expiries = append(n.expiries, f.now.Add(ledger.MaxOrderDelay))
 		f.failOrder(core.EngineLost)
 	case 1:
 		f.applyOnce(o)
@@ -160,7 +160,7 @@
 
 func (f *fixture) settle(n *naive) {
 	for range 20 {
-		f.advance(ledger.Settle)
+		f.advance(ledger.MaxOrderDelay)
 		n.expire(f.now)
 		f.sendOrders()
 		f.completeAll()
--- a/core/ledger/order.go
+++ b/core/ledger/order.go
@@ -175,7 +175,7 @@
 	}
 	if r.Failed && r.Fault == core.EngineLost {
 		l.lost = append(l.lost, lostOrder{
-			name: o.name(), load: o.Kind == LoadItem, fence: o.fence(), expires: now.Add(Settle),
+			name: o.name(), load: o.Kind == LoadItem, fence: o.fence(), expires: now.Add(MaxOrderDelay),
 		})
 	}
 	it := l.items[o.name()]
--- a/core/ledger/order_test.go
+++ b/core/ledger/order_test.go
@@ -31,22 +31,22 @@
 func TestAnswer(t *testing.T) {
 	t.Run("one order at a time", func(t *testing.T) {
 		f := newFixture(t, 80)
-		f.assertLoad(request("m1", 30), ledger.Coming)
-		f.assertLoad(request("m2", 30), ledger.Coming)
+		f.assertLoad(request("m1", 30), ledger.Loading)
+		f.assertLoad(request("m2", 30), ledger.Loading)
 		f.nextOrder()
 		f.assertNoOrder()
 	})
 	t.Run("a refused load releases its reservation", func(t *testing.T) {
 		f := newFixture(t, 80)
-		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.assertLoad(request("m1", 30), ledger.Loading)
 		f.nextOrder()
 		f.failOrder(core.EngineNoMemory)
-		assert.Equal(t, f.ledger.Promised()[0], core.Bytes(0))
-		assert.Assert(t, f.ledger.Clear("m1"))
+		assert.Equal(t, f.ledger.Reserved()[0], core.Bytes(0))
+		assert.Assert(t, f.ledger.ProvenAbsent("m1"))
 	})
 	t.Run("an order that never left is sent again", func(t *testing.T) {
 		f := newFixture(t, 80)
-		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.assertLoad(request("m1", 30), ledger.Loading)
 		first := f.nextOrder()
 		f.failOrder(core.EngineUnreached)
 		f.assertNoOrder()
@@ -55,12 +55,12 @@
 	})
 	t.Run("a load that the engine abandoned is detected from its report", func(t *testing.T) {
 		f := newFixture(t, 80)
-		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.assertLoad(request("m1", 30), ledger.Loading)
 		f.sendOrders()
 		f.report()
 		f.state.Items = nil
 		f.report()
-		assert.Assert(t, f.ledger.Clear("m1"))
+		assert.Assert(t, f.ledger.ProvenAbsent("m1"))
 	})
 }
 
@@ -70,22 +70,22 @@
 // the memory.
 func TestLostOrder(t *testing.T) {
 	f := newFixture(t, 80)
-	f.assertLoad(request("m1", 60), ledger.Coming)
+	f.assertLoad(request("m1", 60), ledger.Loading)
 	f.nextOrder()
 	f.failOrder(core.EngineLost)
 	assert.Assert(t, f.ledger.Unload(f.now, "m1"))
-	f.advance(ledger.Settle - time.Second)
+	f.advance(ledger.MaxOrderDelay - time.Second)
 	f.report()
-	assert.Equal(t, f.ledger.Promised()[0], 60*core.GiB)
-	assert.Assert(t, !f.ledger.Clear("m1"))
+	assert.Equal(t, f.ledger.Reserved()[0], 60*core.GiB)
+	assert.Assert(t, !f.ledger.ProvenAbsent("m1"))
 	f.assertLoad(request("m2", 60), ledger.NoMemory)
-	early := f.ledger.Ask(f.now)
+	early := f.ledger.NewTicket(f.now)
 	f.advance(time.Second)
 	f.ledger.Report(f.now, early, f.state)
-	assert.Assert(t, !f.ledger.Clear("m1"), "the report was requested too early")
+	assert.Assert(t, !f.ledger.ProvenAbsent("m1"), "the report was requested too early")
 	f.report()
-	assert.Assert(t, f.ledger.Clear("m1"))
-	f.assertLoad(request("m2", 60), ledger.Coming)
+	assert.Assert(t, f.ledger.ProvenAbsent("m1"))
+	f.assertLoad(request("m2", 60), ledger.Loading)
 }
 
 // newCheckingFixture returns a fixture whose engine is configured to check fencing
@@ -110,14 +110,14 @@
 		f.assertLoad(request("m1", 30), ledger.NotReady)
 		f.state.Fence = o.Unload.Fence
 		f.report()
-		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.assertLoad(request("m1", 30), ledger.Loading)
 	})
 	t.Run("items that the engine holds can be used before", func(t *testing.T) {
 		f := newCheckingFixture(t, 5)
 		f.state.Items = []core.EngineItem{{Name: "m1", State: core.Loaded, Accelerators: []int{0}, Bytes: core.GiB}}
 		f.report()
 		f.beginUse("m1")
-		assert.Assert(t, !f.ledger.Clear("m2"))
+		assert.Assert(t, !f.ledger.ProvenAbsent("m2"))
 	})
 	t.Run("numbers are exact in floating point and grow with time", func(t *testing.T) {
 		first := newCheckingFixture(t, 0).nextOrder().Unload.Fence
@@ -157,8 +157,8 @@
 		f.sendOrders()
 		f.report()
 		f.assertLoad(request("m1", 30), ledger.NotReady)
-		f.advance(ledger.Settle)
+		f.advance(ledger.MaxOrderDelay)
 		f.report()
-		f.assertLoad(request("m1", 30), ledger.Coming)
+		f.assertLoad(request("m1", 30), ledger.Loading)
 	})
 }
--- a/core/ledger/report.go
+++ b/core/ledger/report.go
@@ -15,10 +15,10 @@
 	requested time.Time
 }
 
-// Ask must be called right before the engine's state is requested. Only the report
+// NewTicket must be called right before the engine's state is requested. Only the report
 // of the newest ticket is accepted, so that reports are processed in the order in
 // which the engine made them.
-func (l *Ledger) Ask(now time.Time) Ticket {
+func (l *Ledger) NewTicket(now time.Time) Ticket {
 	l.lastTicket++
 	l.step++
 	return Ticket{number: l.lastTicket, step: l.step, requested: now}
@@ -114,7 +114,7 @@
 	case l.fenceChecked():
 		l.confirmed = l.barrier != 0 && st.Fence >= l.barrier
 	default:
-		l.confirmed = !t.requested.Before(l.Started.Add(Settle))
+		l.confirmed = !t.requested.Before(l.Started.Add(MaxOrderDelay))
 	}
 }
 
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -82,9 +82,9 @@
 	return h
 }
 
-// Listed sets the state of a host in the platform's list. A host that is listed
+// SetListed sets the state of a host in the platform's list. A host that is listed
 // again after it was gone starts with an empty history.
-func (t *Table) Listed(name core.HostName, state core.HostState) {
+func (t *Table) SetListed(name core.HostName, state core.HostState) {
 	h := t.host(name)
 	if h.listed == core.HostGone {
 		t.gone = slices.DeleteFunc(t.gone, func(n core.HostName) bool { return n == name })
@@ -93,8 +93,8 @@
 	h.listed = state
 }
 
-// Unlisted records that the platform's list no longer has a host.
-func (t *Table) Unlisted(name core.HostName) {
+// SetUnlisted records that the platform's list no longer has a host.
+func (t *Table) SetUnlisted(name core.HostName) {
 	h := t.host(name)
 	if h.listed == core.HostGone {
 		return
@@ -114,9 +114,9 @@
 	return h != nil && h.listed == core.HostGone
 }
 
-// Marked records a mark that an incarnation of a host's process is leaving, as
+// MarkLeaving records a mark that an incarnation of a host's process is leaving, as
 // spread by peers.
-func (t *Table) Marked(now time.Time, name core.HostName, incarnation core.Incarnation, expires time.Time) {
+func (t *Table) MarkLeaving(now time.Time, name core.HostName, incarnation core.Incarnation, expires time.Time) {
 	h := t.host(name)
 	if h.listed == core.HostGone || slices.Contains(h.pastIncarnations, incarnation) {
 		return
@@ -134,8 +134,8 @@
 	}
 }
 
-// Note records a contact with a host's process.
-func (t *Table) Note(now time.Time, c Contact) {
+// RecordContact records a contact with a host's process.
+func (t *Table) RecordContact(now time.Time, c Contact) {
 	h := t.host(c.Host)
 	if h.listed == core.HostGone {
 		return
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -30,10 +30,10 @@
 }
 
 func (s *scenario) answer(name core.HostName, incarnation core.Incarnation) {
-	s.Note(s.now, Contact{Host: name, OK: true, Incarnation: incarnation})
+	s.RecordContact(s.now, Contact{Host: name, OK: true, Incarnation: incarnation})
 }
 
-func (s *scenario) fail(name core.HostName) { s.Note(s.now, Contact{Host: name}) }
+func (s *scenario) fail(name core.HostName) { s.RecordContact(s.now, Contact{Host: name}) }
 
 func (s *scenario) assertState(name core.HostName, want State, why Reason) {
 	s.t.Helper()
@@ -44,7 +44,7 @@
 
 func (s *scenario) assertDue(want ...core.HostName) {
 	s.t.Helper()
-	got := s.Due(s.now)
+	got := s.DueProbes(s.now)
 	assert.Equal(s.t, fmt.Sprint(got), fmt.Sprint(want))
 }
 
@@ -61,7 +61,7 @@
 	t.Run("said in an answer", func(t *testing.T) {
 		s := newScenario(t)
 		s.answer(qalam, 1)
-		s.Note(s.now, Contact{Host: qalam, OK: true, Incarnation: 1, Leaving: true})
+		s.RecordContact(s.now, Contact{Host: qalam, OK: true, Incarnation: 1, Leaving: true})
 		s.assertState(qalam, Leaving, SaidLeaving)
 		assert.Equal(t, len(s.Choose(s.now, []core.HostName{qalam})), 0)
 		s.answer(qalam, 2)
@@ -70,34 +70,34 @@
 	t.Run("marked by peers", func(t *testing.T) {
 		s := newScenario(t)
 		s.answer(qalam, 1)
-		s.Marked(s.now, qalam, 1, s.now.Add(time.Minute))
+		s.MarkLeaving(s.now, qalam, 1, s.now.Add(time.Minute))
 		s.assertState(qalam, Leaving, MarkedLeaving)
 		s.answer(qalam, 2)
 		s.assertState(qalam, Live, Unremarkable)
-		s.Marked(s.now, qalam, 1, s.now.Add(time.Hour))
+		s.MarkLeaving(s.now, qalam, 1, s.now.Add(time.Hour))
 		s.assertState(qalam, Live, Unremarkable)
 	})
 	t.Run("marked before any contact", func(t *testing.T) {
 		s := newScenario(t)
-		s.Marked(s.now, qalam, 1, s.now.Add(time.Minute))
+		s.MarkLeaving(s.now, qalam, 1, s.now.Add(time.Minute))
 		s.assertState(qalam, Leaving, MarkedLeaving)
 		s.advance(time.Minute).assertState(qalam, Live, Unremarkable)
 	})
 	t.Run("the successor is found by probing", func(t *testing.T) {
 		s := newScenario(t)
 		s.answer(qalam, 1)
-		s.Marked(s.now, qalam, 1, s.now.Add(time.Hour))
+		s.MarkLeaving(s.now, qalam, 1, s.now.Add(time.Hour))
 		s.assertDue(qalam)
 		s.assertDue()
 		s.advance(leavingProbeInterval).assertDue(qalam)
 	})
 	t.Run("listed as leaving", func(t *testing.T) {
 		s := newScenario(t)
-		s.Listed(qalam, core.HostLeaving)
+		s.SetListed(qalam, core.HostLeaving)
 		s.answer(qalam, 2)
 		s.assertState(qalam, Leaving, ListedLeaving)
 		s.assertDue()
-		s.Listed(qalam, core.HostLive)
+		s.SetListed(qalam, core.HostLive)
 		s.assertState(qalam, Live, Unremarkable)
 	})
 }
@@ -127,9 +127,9 @@
 	s := newScenario(t)
 	lastData := s.now
 	s.advance(2*time.Second).answer(qalam, 1)
-	s.advance(time.Second).Note(s.now, Contact{Host: qalam, Since: lastData})
+	s.advance(time.Second).RecordContact(s.now, Contact{Host: qalam, Since: lastData})
 	s.assertState(qalam, Live, Unremarkable)
-	s.Note(s.now, Contact{Host: qalam, Since: s.now})
+	s.RecordContact(s.now, Contact{Host: qalam, Since: s.now})
 	s.assertState(qalam, Suspect, Failing)
 }
 
@@ -143,7 +143,7 @@
 		from := s.now
 		for s.Judge(s.now, qalam).State != Live {
 			s.advance(100 * time.Millisecond)
-			for range s.Due(s.now) {
+			for range s.DueProbes(s.now) {
 				s.answer(qalam, 1)
 			}
 		}
@@ -191,18 +191,18 @@
 // platform's list may let its grants move.
 func TestSuspicionIsNoProof(t *testing.T) {
 	s := newScenario(t)
-	s.Listed(qalam, core.HostLive)
+	s.SetListed(qalam, core.HostLive)
 	for range 1000 {
 		s.advance(10 * time.Second).fail(qalam)
 		assert.Assert(t, !s.ProvenGone(qalam))
 	}
-	s.Listed(qalam, core.HostLeaving)
+	s.SetListed(qalam, core.HostLeaving)
 	assert.Assert(t, !s.ProvenGone(qalam))
-	s.Unlisted(qalam)
+	s.SetUnlisted(qalam)
 	assert.Assert(t, s.ProvenGone(qalam))
 	s.answer(qalam, 1)
 	s.assertState(qalam, Gone, NotListed)
-	s.Listed(qalam, core.HostLive)
+	s.SetListed(qalam, core.HostLive)
 	assert.Assert(t, !s.ProvenGone(qalam))
 	s.assertState(qalam, Live, Unremarkable)
 }
@@ -229,7 +229,7 @@
 	assert.Equal(t, len(got), len(holders))
 	assert.Equal(t, got[0], core.HostName("qalam-7"))
 	s.advance(minHold)
-	for _, name := range s.Due(s.now) {
+	for _, name := range s.DueProbes(s.now) {
 		s.answer(name, 1)
 	}
 	live := 0
@@ -244,7 +244,7 @@
 func TestGoneIsBounded(t *testing.T) {
 	s := newScenario(t)
 	for i := range maxGone + 10 {
-		s.Unlisted(core.HostName(fmt.Sprint(i)))
+		s.SetUnlisted(core.HostName(fmt.Sprint(i)))
 	}
 	assert.Equal(t, len(s.hosts), maxGone)
 	assert.Assert(t, !s.ProvenGone("0"))
--- a/core/member/naive_test.go
+++ b/core/member/naive_test.go
@@ -186,12 +186,12 @@
 func feed(t *Table, e event) {
 	switch {
 	case e.contact != nil:
-		t.Note(e.at, *e.contact)
+		t.RecordContact(e.at, *e.contact)
 	case e.mark != 0:
-		t.Marked(e.at, e.host, e.mark, e.expires)
+		t.MarkLeaving(e.at, e.host, e.mark, e.expires)
 	case e.listed == core.HostGone:
-		t.Unlisted(e.host)
+		t.SetUnlisted(e.host)
 	default:
-		t.Listed(e.host, e.listed)
+		t.SetListed(e.host, e.listed)
 	}
 }
--- a/core/place/bench_test.go
+++ b/core/place/bench_test.go
@@ -45,7 +45,7 @@
 	for _, w := range grants {
 		p.SetGrant(w.Name, w.Spec, 1)
 	}
-	p.Listed()
+	p.CatalogueListed()
 	return p
 }
 
@@ -75,7 +75,7 @@
 		count += len(writes)
 		for _, w := range writes {
 			p.SetGrant(w.Name, w.Spec, benchVersion)
-			p.Answered(w, place.Applied)
+			p.SetOutcome(w, place.Applied)
 			for _, h := range w.Spec.Holders {
 				if less, ok := place.Release(w.Spec, place.HostID{Host: h.Host, UID: h.UID}); ok {
 					benchVersion++
--- a/core/place/decide.go
+++ b/core/place/decide.go
@@ -9,10 +9,10 @@
 	"radishwell/core"
 )
 
-// Listed records that all entries of the catalogue, as the platform listed it,
+// CatalogueListed records that all entries of the catalogue, as the platform listed it,
 // have been set. From then on, a grant without an entry counts as one whose entry
 // was deleted. Round writes nothing before.
-func (p *Planner) Listed() { p.catalogueListed = true }
+func (p *Planner) CatalogueListed() { p.catalogueListed = true }
 
 // Round returns at most budget writes for what has changed, most urgent first.
 // fence is the decider's current fencing number from the lease. The I/O layer
@@ -53,8 +53,8 @@
 	return writes
 }
 
-// Waiting returns the number of models with undecided changes, for metrics.
-func (p *Planner) Waiting() int { return len(p.dirty) }
+// PendingModels returns the number of models with undecided changes, for metrics.
+func (p *Planner) PendingModels() int { return len(p.dirty) }
 
 func (p *Planner) takeOver(fence core.Fence) {
 	if fence == p.fence {
--- a/core/place/holder.go
+++ b/core/place/holder.go
@@ -6,12 +6,12 @@
 	"radishwell/core"
 )
 
-// Held returns the state of a host in a grant, and false if the host is not a
+// HolderState returns the state of a host in a grant, and false if the host is not a
 // holder. An agent may load a model only while the newest version of the grant
 // that it knows has the host active, and only after it has read the grants from
 // the platform itself since it started: the copy of a peer may be older than a
 // release by the agent's previous process.
-func Held(spec core.GrantSpec, id HostID) (core.GrantState, bool) {
+func HolderState(spec core.GrantSpec, id HostID) (core.GrantState, bool) {
 	for _, h := range spec.Holders {
 		if h.Host == id.Host && h.UID == id.UID {
 			return h.State, true
@@ -29,7 +29,7 @@
 // nothing, and any version that grants the host again makes the condition of the
 // release fail.
 func Release(spec core.GrantSpec, id HostID) (core.GrantSpec, bool) {
-	state, ok := Held(spec, id)
+	state, ok := HolderState(spec, id)
 	if !ok || state != core.GrantRevoked {
 		return core.GrantSpec{}, false
 	}
--- a/core/place/model.go
+++ b/core/place/model.go
@@ -114,9 +114,9 @@
 	Applied Outcome = iota
 	// Refused: the write certainly had no effect (core.Unavailable, core.Invalid).
 	Refused
-	// Overtaken: the object has another version (core.Conflict, core.Exists,
+	// Conflict: the object has another version (core.Conflict, core.Exists,
 	// core.NotFound). Nothing is written until SetGrant brings a newer one.
-	Overtaken
-	// Unsure: the write may have had an effect or may still have one (core.Unknown).
-	Unsure
+	Conflict
+	// Unknown: the write may have had an effect or may still have one (core.Unknown).
+	Unknown
 )
--- a/core/place/move_test.go
+++ b/core/place/move_test.go
@@ -80,7 +80,7 @@
 	e.Version = f.grants["m1"].Entry
 	next.SetEntry(e)
 	next.SetGrant("m1", f.grants["m1"], f.version)
-	next.Listed()
+	next.CatalogueListed()
 	assert.Equal(t, len(next.Round(f.now, 8, 100)), 0)
 }
 
@@ -202,7 +202,7 @@
 	case 0:
 		i := r.IntN(9)
 		if h, ok := n.hosts[i]; ok && r.IntN(2) == 0 {
-			n.planner.Gone(place.HostID{Host: h.Name, UID: h.UID})
+			n.planner.RemoveHost(place.HostID{Host: h.Name, UID: h.UID})
 			delete(n.hosts, i)
 			return
 		}
@@ -275,7 +275,7 @@
 	for name, spec := range n.grants {
 		whole.SetGrant(name, spec, n.version)
 	}
-	whole.Listed()
+	whole.CatalogueListed()
 	writes := whole.Round(n.now, 7, 100)
 	assert.Equal(n.t, len(writes), 0, "seed %d: the whole recomputation writes %v", seed, writes)
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -32,7 +32,7 @@
 	for _, h := range hosts {
 		f.planner.SetHost(h)
 	}
-	f.planner.Listed()
+	f.planner.CatalogueListed()
 	return f
 }
 
@@ -85,7 +85,7 @@
 	f.version++
 	f.writes++
 	f.grants[w.Name] = w.Spec
-	f.planner.Answered(w, place.Applied)
+	f.planner.SetOutcome(w, place.Applied)
 	f.planner.SetGrant(w.Name, w.Spec, f.version)
 }
 
@@ -207,7 +207,7 @@
 		f.setModel("m1", 2)
 		f.settle()
 		f.version++
-		f.planner.DropEntry("m1", f.version)
+		f.planner.DeleteEntry("m1", f.version)
 		f.settle()
 		f.assertHolders("m1", 0, 2)
 		f.releaseRevoked()
@@ -264,7 +264,7 @@
 	}
 	replaceModel := func(f *fleet) {
 		f.version++
-		f.planner.DropEntry("m1", f.version)
+		f.planner.DeleteEntry("m1", f.version)
 		f.setModel("m2", 1)
 		f.settle()
 	}
@@ -280,8 +280,8 @@
 		f := newFullFleet(t)
 		h := f.grants["m1"].Holders[0]
 		f.version++
-		f.planner.DropGrant("m1", f.version)
-		f.planner.Gone(place.HostID{Host: h.Host, UID: h.UID})
+		f.planner.DeleteGrant("m1", f.version)
+		f.planner.RemoveHost(place.HostID{Host: h.Host, UID: h.UID})
 		replaceModel(f)
 		f.assertHolders("m2", 1, 0)
 	})
@@ -308,11 +308,11 @@
 		f.settle()
 		f.assertHolders("m1", 1, 0)
 		id := place.HostID{Host: "h50", UID: "u50"}
-		assert.DeepEqual(t, f.planner.Unproven(), []place.HostID{id})
-		f.planner.Gone(id)
+		assert.DeepEqual(t, f.planner.UnknownHolders(), []place.HostID{id})
+		f.planner.RemoveHost(id)
 		f.settle()
 		assert.Assert(t, f.holder("m1", 0) != "h50")
-		assert.Equal(t, len(f.planner.Unproven()), 0)
+		assert.Equal(t, len(f.planner.UnknownHolders()), 0)
 	})
 	t.Run("a new incarnation of a host holds nothing", func(t *testing.T) {
 		f := newFleet(t, host(0))
@@ -323,9 +323,9 @@
 		again.UID = "new"
 		f.planner.SetHost(again)
 		f.settle()
-		_, held := place.Held(f.grants["m1"], old)
+		_, held := place.HolderState(f.grants["m1"], old)
 		assert.Assert(t, !held)
-		state, _ := place.Held(f.grants["m1"], place.HostID{Host: "h00", UID: "new"})
+		state, _ := place.HolderState(f.grants["m1"], place.HostID{Host: "h00", UID: "new"})
 		assert.Equal(t, state, core.GrantActive)
 	})
 	t.Run("a host that is too small is never chosen", func(t *testing.T) {
@@ -408,11 +408,11 @@
 		f.setModel("m1", 1)
 		for range 2 {
 			for _, w := range f.planner.Round(f.now, 7, 1000) {
-				f.planner.Answered(w, place.Unsure)
+				f.planner.SetOutcome(w, place.Unknown)
 			}
 		}
 		f.version++
-		f.planner.DropEntry("m1", f.version)
+		f.planner.DeleteEntry("m1", f.version)
 		f.setModel("m0", 2)
 		for _, w := range f.planner.Round(f.now, 7, 1000) {
 			assert.Assert(t, w.Name != "m0" || len(w.Spec.Holders) < 2)
@@ -426,7 +426,7 @@
 		f := newFleet(t, hosts(9)...)
 		f.setModel("m1", 1)
 		w := f.planner.Round(f.now, 7, 10)[0]
-		f.planner.Answered(w, place.Overtaken)
+		f.planner.SetOutcome(w, place.Conflict)
 		assert.Equal(t, len(f.round()), 0)
 		f.planner.SetGrant("m1", core.GrantSpec{Fence: 3}, 4)
 		assert.Equal(t, len(f.round()), 1)
@@ -436,7 +436,7 @@
 		f.setModel("m1", 1)
 		w := f.planner.Round(f.now, 7, 10)[0]
 		assert.Equal(t, len(f.round()), 0)
-		f.planner.Answered(w, place.Refused)
+		f.planner.SetOutcome(w, place.Refused)
 		assert.Equal(t, len(f.round()), 1)
 	})
 	t.Run("a manually deleted grant is written again with its holders", func(t *testing.T) {
@@ -445,7 +445,7 @@
 		f.settle()
 		before := f.holders("m1")
 		f.version++
-		f.planner.DropGrant("m1", f.version)
+		f.planner.DeleteGrant("m1", f.version)
 		w := f.round()[0]
 		assert.Equal(t, w.Version, core.Version(0))
 		assert.Equal(t, f.holders("m1"), before)
@@ -472,7 +472,7 @@
 		f.apply(w)
 	}
 	f.settle()
-	assert.Equal(t, f.planner.Waiting(), 0)
+	assert.Equal(t, f.planner.PendingModels(), 0)
 }
 
 func TestRelease(t *testing.T) {
--- a/core/place/planner.go
+++ b/core/place/planner.go
@@ -137,8 +137,8 @@
 	p.updateAdapterUsage(e.Name)
 }
 
-// DropEntry records that an entry was deleted in the catalogue at version v.
-func (p *Planner) DropEntry(name core.ModelName, v core.Version) {
+// DeleteEntry records that an entry was deleted in the catalogue at version v.
+func (p *Planner) DeleteEntry(name core.ModelName, v core.Version) {
 	m := p.model(name)
 	if m.deletedAt >= v || m.entry != nil && m.entry.Version >= v {
 		return
@@ -176,7 +176,7 @@
 		return
 	}
 	if h.State == core.HostGone {
-		p.Gone(HostID{h.Name, h.UID})
+		p.RemoveHost(HostID{h.Name, h.UID})
 		return
 	}
 	old := p.hosts[h.Name]
@@ -185,7 +185,7 @@
 	}
 	if old != nil && old.UID != h.UID {
 		// A name has one object at a time, so the previous incarnation is gone.
-		p.Gone(HostID{old.Name, old.UID})
+		p.RemoveHost(HostID{old.Name, old.UID})
 	}
 	p.removeHost(h.Name)
 	p.hosts[h.Name] = &h
@@ -215,12 +215,12 @@
 	}
 }
 
-// Gone records that the platform no longer lists this incarnation of a host: a
+// RemoveHost records that the platform no longer lists this incarnation of a host: a
 // deletion was seen, or a read of the host found nothing or another UID. Apart
 // from a release, this is the only proof on which a holder is removed. A host that
 // is merely absent from a copy of the list is not gone: the copy may be older than
 // the grant.
-func (p *Planner) Gone(id HostID) {
+func (p *Planner) RemoveHost(id HostID) {
 	p.init()
 	p.gone[id] = true
 	p.balanced, p.unknownValid = false, false
@@ -231,9 +231,9 @@
 	p.markHostDirty(id.Host)
 }
 
-// Unproven returns the holders whose host is not known here. The I/O layer reads
+// UnknownHolders returns the holders whose host is not known here. The I/O layer reads
 // each from the platform and calls SetHost or Gone.
-func (p *Planner) Unproven() []HostID {
+func (p *Planner) UnknownHolders() []HostID {
 	if !p.unknownValid {
 		// The search reads all grants. Doing so in each round took half of the time of
 		// an idle decider. Only hosts and grants change the result.
@@ -291,10 +291,10 @@
 	p.setGrant(m, spec, v, false)
 }
 
-// DropGrant records that a grant object was deleted at version v. Its last known
+// DeleteGrant records that a grant object was deleted at version v. Its last known
 // holders still count and are written again, because a deletion does not prove
 // that the model is unloaded.
-func (p *Planner) DropGrant(name core.ModelName, v core.Version) {
+func (p *Planner) DeleteGrant(name core.ModelName, v core.Version) {
 	m := p.model(name)
 	if v <= m.version {
 		return
@@ -321,21 +321,21 @@
 	p.markAdaptersDirty(m.name)
 }
 
-// Answered records the outcome of a write. After Applied the new version must
+// SetOutcome records the outcome of a write. After Applied the new version must
 // follow with SetGrant, unless it came before.
-func (p *Planner) Answered(w Write, out Outcome) {
+func (p *Planner) SetOutcome(w Write, out Outcome) {
 	m := p.model(w.Name)
 	if w.Version != m.condition() {
 		return
 	}
 	m.inFlight = false
 	switch out {
-	case Refused, Overtaken:
-		m.outdated = out == Overtaken
+	case Refused, Conflict:
+		m.outdated = out == Conflict
 		m.pending = slices.DeleteFunc(m.pending, func(s core.GrantSpec) bool { return equalSpec(s, w.Spec) })
 	case Applied:
 		m.outdated = true
-	case Unsure:
+	case Unknown:
 	}
 	p.updateUsage(m)
 	p.markDirty(m)
--- a/core/place/sums.go
+++ b/core/place/sums.go
@@ -34,10 +34,10 @@
 // sweepInterval bounds how long an expired report still counts.
 const sweepInterval = time.Second
 
-// Take replaces the report of an entry, which counts until the given time. It
+// SetReport replaces the report of an entry, which counts until the given time. It
 // returns the sorted names of the models whose sums changed, including those of
 // expired reports.
-func (s *Sums) Take(now, until time.Time, entry core.HostName, work map[core.ModelName]float64) []core.ModelName {
+func (s *Sums) SetReport(now, until time.Time, entry core.HostName, work map[core.ModelName]float64) []core.ModelName {
 	if s.reports == nil {
 		s.reports = map[core.HostName]report{}
 		s.sums = map[core.ModelName]int64{}
--- a/core/place/sums_test.go
+++ b/core/place/sums_test.go
@@ -50,7 +50,7 @@
 		}
 		until := now.Add(3 * time.Second)
 		naive[entry] = naiveReport{until, work}
-		for _, name := range sums.Take(now, until, entry, work) {
+		for _, name := range sums.SetReport(now, until, entry, work) {
 			reported[name] = sums.Of(name)
 		}
 		// Sums removes expired reports once a second, and the next step of this test may
@@ -64,11 +64,11 @@
 		}
 	}
 	now = now.Add(time.Hour)
-	sums.Take(now, now.Add(time.Second), "entry-new", nil)
+	sums.SetReport(now, now.Add(time.Second), "entry-new", nil)
 	assert.Equal(t, len(sums.Names()), 0)
 	live := map[core.ModelName]float64{"model-1": 1.5}
-	assert.DeepEqual(t, sums.Take(now, now.Add(time.Second), "a", live), []core.ModelName{"model-1"})
-	sums.Take(now, now.Add(time.Second), "b", live)
+	assert.DeepEqual(t, sums.SetReport(now, now.Add(time.Second), "a", live), []core.ModelName{"model-1"})
+	sums.SetReport(now, now.Add(time.Second), "b", live)
 	assert.Equal(t, math.Round(sums.Of("model-1")*100)/100, 3.0)
 }
 
@@ -83,6 +83,6 @@
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(5 * time.Millisecond)
 		work["model-1"] = float64(i % 7)
-		sums.Take(now, now.Add(7*time.Second), core.HostName(fmt.Sprint("entry-", i%400)), work)
+		sums.SetReport(now, now.Add(7*time.Second), core.HostName(fmt.Sprint("entry-", i%400)), work)
 	}
 }
--- a/core/script/agent_test.go
+++ b/core/script/agent_test.go
@@ -46,7 +46,7 @@
 	a.proc = proc{name: string(m.host.Name), rate: 1, step: a.step, take: a.take}
 	a.ledger = ledger.Ledger{ChecksFence: m.engine.checks, Started: w.now}
 	if w.faults["no-settle"] {
-		a.ledger.Started = w.now.Add(-ledger.Settle)
+		a.ledger.Started = w.now.Add(-ledger.MaxOrderDelay)
 	}
 	m.agent = a
 }
@@ -81,7 +81,7 @@
 	if !ok || o.deleted {
 		return "", false
 	}
-	return place.Held(o.grant, a.id)
+	return place.HolderState(o.grant, a.id)
 }
 
 func (a *agent) list() {
@@ -111,7 +111,7 @@
 		return
 	}
 	a.reporting = true
-	t := a.ledger.Ask(a.now())
+	t := a.ledger.NewTicket(a.now())
 	done := func(st core.EngineState) {
 		a.reporting = false
 		a.ledger.Report(a.now(), t, st)
@@ -143,7 +143,7 @@
 	if !held || a.releasing[name] || state == core.GrantActive && !a.w.faults["release-active"] {
 		return
 	}
-	if !a.ledger.Clear(name) && !a.w.faults["release-loaded"] {
+	if !a.ledger.ProvenAbsent(name) && !a.w.faults["release-loaded"] {
 		a.ledger.Unload(a.now(), name)
 		return
 	}
@@ -175,7 +175,7 @@
 		return ledger.NotReady
 	}
 	e := a.w.sizes[name]
-	v := a.ledger.Load(a.now(), ledger.Want{
+	v := a.ledger.Load(a.now(), ledger.LoadRequest{
 		Name: name, Base: e.Base, Bytes: e.Memory, Accelerators: e.Accelerators,
 	}, nil)
 	if v == ledger.NoBase {
--- a/core/script/check_test.go
+++ b/core/script/check_test.go
@@ -81,7 +81,7 @@
 	id := place.HostID{Host: m.host.Name, UID: m.host.UID}
 	for _, name := range slices.Sorted(maps.Keys(m.engine.items)) {
 		o := w.store.objects[key{core.KindGrant, string(name)}]
-		if _, ok := place.Held(o.grant, id); !ok {
+		if _, ok := place.HolderState(o.grant, id); !ok {
 			c.fail("grant: %s has %s loaded without a grant", m.host.Name, name)
 		}
 		if base := m.engine.items[name].Base; base != "" {
@@ -97,7 +97,7 @@
 
 func (c *checker) agent(m *machine) {
 	l := &m.agent.ledger
-	for a, p := range l.Promised() {
+	for a, p := range l.Reserved() {
 		if p > l.Capacity()[a] {
 			c.fail("promise: %s promises %s of %s on accelerator %d", m.host.Name, p, l.Capacity()[a], a)
 		}
@@ -133,7 +133,7 @@
 	}
 	for _, h := range before.grant.Holders {
 		id := place.HostID{Host: h.Host, UID: h.UID}
-		if _, kept := place.Held(after.grant, id); !kept || after.deleted {
+		if _, kept := place.HolderState(after.grant, id); !kept || after.deleted {
 			c.removed(w, by, after.name, id)
 		}
 	}
--- a/core/script/decider_test.go
+++ b/core/script/decider_test.go
@@ -51,7 +51,7 @@
 }
 
 func (d *decider) round(fence core.Fence) {
-	for _, id := range d.planner.Unproven() {
+	for _, id := range d.planner.UnknownHolders() {
 		d.lookUp(id)
 	}
 	if d.w.faults["move-on-timeout"] {
@@ -109,7 +109,7 @@
 		for _, o := range l.objects {
 			d.take(o)
 		}
-		d.planner.Listed()
+		d.planner.CatalogueListed()
 		d.listed = fence
 	}
 	call(d.w, &d.proc, nil, "list", do, done, func() { d.listing = false })
@@ -127,7 +127,7 @@
 		case !r.failed && r.object.host.UID == id.UID:
 			d.take(r.object)
 		case !r.failed || r.fault == core.NotFound:
-			d.planner.Gone(id)
+			d.planner.RemoveHost(id)
 		}
 	}
 	call(d.w, &d.proc, nil, "host", do, done, func() { delete(d.asking, id) })
@@ -137,7 +137,7 @@
 func (d *decider) presumeGone() {
 	for _, m := range d.w.hosts {
 		if m.agent == nil || m.agent.paused {
-			d.planner.Gone(place.HostID{Host: m.host.Name, UID: m.host.UID})
+			d.planner.RemoveHost(place.HostID{Host: m.host.Name, UID: m.host.UID})
 		}
 	}
 }
@@ -151,9 +151,9 @@
 		if !r.failed {
 			d.take(r.object)
 		}
-		d.planner.Answered(wr, outcome(r))
+		d.planner.SetOutcome(wr, outcome(r))
 	}
-	call(d.w, &d.proc, nil, "grant", do, done, func() { d.planner.Answered(wr, place.Unsure) })
+	call(d.w, &d.proc, nil, "grant", do, done, func() { d.planner.SetOutcome(wr, place.Unknown) })
 }
 
 func outcome(r result) place.Outcome {
@@ -163,7 +163,7 @@
 	case r.fault == core.Unavailable:
 		return place.Refused
 	}
-	return place.Overtaken
+	return place.Conflict
 }
 
 // take gets an object from a list, a watch or a peer; it may be an old one.
@@ -178,18 +178,18 @@
 	switch o.kind {
 	case core.KindLease:
 		if o.version != 0 {
-			d.lease.Seen(d.now(), o.asLease())
+			d.lease.ObserveObject(d.now(), o.asLease())
 		}
 	case core.KindGrant:
-		d.lease.Observe(o.grant.Fence)
+		d.lease.ObserveFence(o.grant.Fence)
 		if o.deleted {
-			d.planner.DropGrant(name, o.version)
+			d.planner.DeleteGrant(name, o.version)
 			return
 		}
 		d.planner.SetGrant(name, o.grant, o.version)
 	case core.KindModel:
 		if o.deleted {
-			d.planner.DropEntry(name, o.version)
+			d.planner.DeleteEntry(name, o.version)
 			return
 		}
 		e := o.entry
@@ -206,7 +206,7 @@
 		d.planner.SetOwner(core.OwnerName(o.name), limit)
 	case core.KindHost:
 		if o.deleted {
-			d.planner.Gone(place.HostID{Host: o.host.Name, UID: o.host.UID})
+			d.planner.RemoveHost(place.HostID{Host: o.host.Name, UID: o.host.UID})
 			return
 		}
 		d.planner.SetHost(o.host)
--- a/core/script/lang_test.go
+++ b/core/script/lang_test.go
@@ -346,7 +346,7 @@
 		have = w.converged()
 		a = append(a, "")
 	case "clear":
-		w.agent(a[1:], func(g *agent) { have = strconv.FormatBool(g.ledger.Clear(core.ModelName(a.word(2)))) })
+		w.agent(a[1:], func(g *agent) { have = strconv.FormatBool(g.ledger.ProvenAbsent(core.ModelName(a.word(2)))) })
 		a = a[1:]
 	}
 	if want := strings.Join(a[2:], " "); have != want {
--- a/core/script/random_test.go
+++ b/core/script/random_test.go
@@ -121,7 +121,7 @@
 		return "converged: nobody decides"
 	}
 	d := w.deciders[w.holder()]
-	if n := len(d.planner.Unproven()); n > 0 {
+	if n := len(d.planner.UnknownHolders()); n > 0 {
 		return fmt.Sprintf("converged: %d holders unproven", n)
 	}
 	for _, name := range []core.ModelName{"m1", "m2", "m3", "m4"} {
--- a/core/script/world_test.go
+++ b/core/script/world_test.go
@@ -188,7 +188,7 @@
 func (w *world) abandon(m *message) {
 	m.fail = nil
 	if m.host != nil && !m.host.engine.checks {
-		m.until = w.now.Add(ledger.Settle)
+		m.until = w.now.Add(ledger.MaxOrderDelay)
 	}
 }
 
--- a/core/strike/book.go
+++ b/core/strike/book.go
@@ -24,11 +24,11 @@
 	size    int
 }
 
-// Crashed gives a strike to each distinct fingerprint that was in flight when the
+// RecordCrash gives a strike to each distinct fingerprint that was in flight when the
 // engine died, and returns the records to send to peers at once. The agent sends
 // them before it answers the requests: a caller repeats a request once it has the
 // failure, and by then all entries should have the records.
-func (b *Book) Crashed(now time.Time, inFlight []core.Fingerprint) []Record {
+func (b *Book) RecordCrash(now time.Time, inFlight []core.Fingerprint) []Record {
 	seen := slices.Clone(inFlight)
 	slices.Sort(seen)
 	seen = slices.Compact(seen)
@@ -62,10 +62,10 @@
 	return r
 }
 
-// Passed records that a suspect ran alone and ended well, and returns the record
+// RecordPass records that a suspect ran alone and ended well, and returns the record
 // to send to peers. The record expires with the strikes that it answers, so that
 // it doesn't excuse a later crash.
-func (b *Book) Passed(now time.Time, f core.Fingerprint) Record {
+func (b *Book) RecordPass(now time.Time, f core.Fingerprint) Record {
 	strikes := b.Find(now, f).Expires
 	r := b.ownRecord(now, f)
 	r.Passed++
@@ -75,10 +75,10 @@
 	return r
 }
 
-// Known records that a fingerprint with strikes had ended well here before, and
+// RecordKnownGood records that a fingerprint with strikes had ended well here before, and
 // returns the record to send to peers. An entry calls it once for each fingerprint
 // with new strikes for which Copies.Take returns true.
-func (b *Book) Known(now time.Time, f core.Fingerprint) Record {
+func (b *Book) RecordKnownGood(now time.Time, f core.Fingerprint) Record {
 	r := Record{Fingerprint: f, Source: b.Self, Expires: b.Find(now, f).Expires}
 	b.upsert(r)
 	b.evict(now)
@@ -112,10 +112,10 @@
 	return changed
 }
 
-// Settled returns when the trial of a suspect may begin, or the zero time if the
+// TrialTime returns when the trial of a suspect may begin, or the zero time if the
 // fingerprint is not a suspect. An entry holds the request until then and forwards
 // it with all records known by that time.
-func (b *Book) Settled(now time.Time, f core.Fingerprint) time.Time {
+func (b *Book) TrialTime(now time.Time, f core.Fingerprint) time.Time {
 	found := b.Find(now, f)
 	if found.Standing != Suspect {
 		return time.Time{}
@@ -127,16 +127,16 @@
 func (b *Book) Records(now time.Time) []Record {
 	var out []Record
 	for f := range b.records {
-		out = append(out, b.Against(now, f)...)
+		out = append(out, b.RecordsOf(now, f)...)
 	}
 	slices.SortFunc(out, compareRecords)
 	return out
 }
 
-// Against returns the records of one fingerprint that have not expired, including
+// RecordsOf returns the records of one fingerprint that have not expired, including
 // its clear mark. An entry sends them with the request, so that the agent can
 // identify a suspect before it has the records from peers.
-func (b *Book) Against(now time.Time, f core.Fingerprint) []Record {
+func (b *Book) RecordsOf(now time.Time, f core.Fingerprint) []Record {
 	var out []Record
 	for _, r := range b.records[f] {
 		if r.Expires.After(now) {
@@ -259,11 +259,11 @@
 	}
 }
 
-// Trial returns the host on which a suspect runs, chosen from those that may run
+// TrialHost returns the host on which a suspect runs, chosen from those that may run
 // it by rendezvous hashing; empty if there is none. All entries choose the same
 // host, so that repeats of a suspect queue there instead of crashing several
 // engines at once.
-func Trial(f core.Fingerprint, hosts []core.HostName) core.HostName {
+func TrialHost(f core.Fingerprint, hosts []core.HostName) core.HostName {
 	var best core.HostName
 	var most uint64
 	for _, h := range hosts {
--- a/core/strike/book_test.go
+++ b/core/strike/book_test.go
@@ -24,12 +24,12 @@
 func TestStandings(t *testing.T) {
 	b := newBook("a")
 	assertStanding(t, b, start, 1, Clean)
-	b.Crashed(start, []core.Fingerprint{1, 2, 2, 3})
+	b.RecordCrash(start, []core.Fingerprint{1, 2, 2, 3})
 	assertStanding(t, b, start, 1, Suspect)
 	assertStanding(t, b, start, 2, Suspect)
-	b.Passed(start, 2)
+	b.RecordPass(start, 2)
 	assertStanding(t, b, start, 2, Clean)
-	b.Crashed(start, []core.Fingerprint{1})
+	b.RecordCrash(start, []core.Fingerprint{1})
 	assertStanding(t, b, start, 1, Quarantined)
 	assert.Equal(t, len(b.List(start)), 2)
 	assertStanding(t, b, start.Add(TTL+1), 1, Clean)
@@ -40,7 +40,7 @@
 // quarantine the request.
 func TestOneCrashAloneIsNoProof(t *testing.T) {
 	b := newBook("a")
-	b.Crashed(start, []core.Fingerprint{1})
+	b.RecordCrash(start, []core.Fingerprint{1})
 	assertStanding(t, b, start, 1, Suspect)
 }
 
@@ -50,10 +50,10 @@
 	b := newBook("a")
 	for i, trials := range []int{1, 2, 3, 4} {
 		now := start.Add(time.Duration(i) * time.Second)
-		b.Crashed(now, []core.Fingerprint{1, 2})
+		b.RecordCrash(now, []core.Fingerprint{1, 2})
 		for range trials {
 			assertStanding(t, b, now, 1, Suspect)
-			b.Passed(now, 1)
+			b.RecordPass(now, 1)
 		}
 		assertStanding(t, b, now, 1, Clean)
 	}
@@ -67,26 +67,26 @@
 	copies := &Copies{MaxProven: 10}
 	copies.End(start, 1, true)
 	for range 3 {
-		b.Crashed(start, []core.Fingerprint{1, 2})
+		b.RecordCrash(start, []core.Fingerprint{1, 2})
 	}
 	for _, f := range entry.Merge(start, b.Records(start)) {
-		if copies.Take(start, f) {
-			b.Merge(start, []Record{entry.Known(start, f)})
+		if copies.TakeProven(start, f) {
+			b.Merge(start, []Record{entry.RecordKnownGood(start, f)})
 		}
 	}
 	for _, each := range []*Book{b, entry} {
 		assertStanding(t, each, start, 1, Suspect)
 		assertStanding(t, each, start, 2, Quarantined)
 	}
-	assert.Assert(t, !copies.Take(start, 1))
+	assert.Assert(t, !copies.TakeProven(start, 1))
 }
 
 func TestPassDoesntExcuseLaterCrash(t *testing.T) {
 	b := newBook("a")
-	b.Crashed(start, []core.Fingerprint{1, 2})
-	b.Passed(start.Add(TTL/2), 1)
+	b.RecordCrash(start, []core.Fingerprint{1, 2})
+	b.RecordPass(start.Add(TTL/2), 1)
 	later := start.Add(TTL + time.Second)
-	b.Crashed(later, []core.Fingerprint{1, 3})
+	b.RecordCrash(later, []core.Fingerprint{1, 3})
 	assertStanding(t, b, later, 1, Suspect)
 }
 
@@ -94,8 +94,8 @@
 // spreads the old strikes. They must not count again, but a new crash must.
 func TestClearIsNotUndoneByOldRecords(t *testing.T) {
 	a, b, c := newBook("a"), newBook("b"), newBook("c")
-	a.Crashed(start, []core.Fingerprint{1})
-	a.Crashed(start, []core.Fingerprint{1})
+	a.RecordCrash(start, []core.Fingerprint{1})
+	a.RecordCrash(start, []core.Fingerprint{1})
 	old := a.Records(start)
 	b.Merge(start, old)
 	c.Merge(start, old)
@@ -103,7 +103,7 @@
 	b.Merge(start.Add(time.Second), c.Records(start))
 	assertStanding(t, b, start.Add(time.Second), 1, Clean)
 	a.Merge(start, []Record{mark})
-	a.Crashed(start.Add(2*time.Second), []core.Fingerprint{1})
+	a.RecordCrash(start.Add(2*time.Second), []core.Fingerprint{1})
 	now := start.Add(3 * time.Second)
 	b.Merge(now, a.Records(now))
 	c.Merge(now, b.Records(now))
@@ -125,9 +125,9 @@
 			case 0:
 				all = append(all, s.Clear(now, 1))
 			case 1:
-				all = append(all, s.Passed(now, 1))
+				all = append(all, s.RecordPass(now, 1))
 			default:
-				all = append(all, s.Crashed(now, []core.Fingerprint{1, core.Fingerprint(2 + rng.IntN(3))})...)
+				all = append(all, s.RecordCrash(now, []core.Fingerprint{1, core.Fingerprint(2 + rng.IntN(3))})...)
 			}
 		}
 		x, y := newBook("x"), newBook("y")
@@ -142,7 +142,7 @@
 func TestBookIsBounded(t *testing.T) {
 	b := newBook("a")
 	for i := range 1000 {
-		b.Crashed(start.Add(time.Duration(i)*time.Second), []core.Fingerprint{core.Fingerprint(i)})
+		b.RecordCrash(start.Add(time.Duration(i)*time.Second), []core.Fingerprint{core.Fingerprint(i)})
 		assert.Assert(t, b.size <= b.MaxRecords)
 	}
 	assertStanding(t, b, start.Add(1000*time.Second), 999, Suspect)
@@ -152,7 +152,7 @@
 // the engine's other requests must not be held back for long.
 func TestGateDrainsForSuspect(t *testing.T) {
 	b := newBook("a")
-	b.Crashed(start, []core.Fingerprint{1, 2})
+	b.RecordCrash(start, []core.Fingerprint{1, 2})
 	g := &Gate{Book: b}
 	busy := []core.Fingerprint{7, 8}
 	assert.Equal(t, g.MayRun(start, 1, true, nil).At, start.Add(trialDelay))
@@ -165,7 +165,7 @@
 	v := g.MayRun(now.Add(time.Second), 1, true, nil)
 	assert.Assert(t, v.Action == Run && v.Alone)
 	assert.Equal(t, g.MayRun(now.Add(time.Second), 9, false, []core.Fingerprint{1}).Action, Wait)
-	_, passed := g.Ended(now.Add(2*time.Second), 1, true)
+	_, passed := g.RecordEnd(now.Add(2*time.Second), 1, true)
 	assert.Assert(t, passed)
 	assert.Equal(t, g.MayRun(now.Add(2*time.Second), 9, false, nil).Action, Run)
 	// The second suspect must wait before the engine is drained again.
@@ -176,8 +176,8 @@
 
 func TestGateDeniesQuarantined(t *testing.T) {
 	b := newBook("a")
-	b.Crashed(start, []core.Fingerprint{1})
-	b.Crashed(start, []core.Fingerprint{1})
+	b.RecordCrash(start, []core.Fingerprint{1})
+	b.RecordCrash(start, []core.Fingerprint{1})
 	v := (&Gate{Book: b}).MayRun(start, 1, true, nil)
 	assert.Equal(t, v.Action, Deny)
 	assert.Equal(t, v.Refusal.Code, core.CodeQuarantined)
@@ -187,26 +187,26 @@
 // entry must keep the copies on one host.
 func TestCopiesStayTogetherUntilProven(t *testing.T) {
 	c := &Copies{MaxProven: 2}
-	assert.Equal(t, c.Host(1), core.HostName(""))
+	assert.Equal(t, c.RequiredHost(1), core.HostName(""))
 	c.Start(1, "a")
 	c.Start(1, "a")
 	c.End(start, 1, false)
-	assert.Equal(t, c.Host(1), core.HostName("a"))
+	assert.Equal(t, c.RequiredHost(1), core.HostName("a"))
 	c.End(start, 1, true)
 	c.Start(1, "b")
-	assert.Equal(t, c.Host(1), core.HostName(""))
+	assert.Equal(t, c.RequiredHost(1), core.HostName(""))
 	for f := core.Fingerprint(2); f < 4; f++ {
 		c.Start(f, "a")
 		c.End(start, f, true)
 	}
-	assert.Equal(t, c.Host(1), core.HostName("b")) // no longer remembered as proven
+	assert.Equal(t, c.RequiredHost(1), core.HostName("b")) // no longer remembered as proven
 }
 
 // A request becomes a suspect while it waits in a queue. It must be refused there,
 // since its trial is on another host.
 func TestGateReturnsNewSuspects(t *testing.T) {
 	b := newBook("a")
-	b.Crashed(start, []core.Fingerprint{1, 2})
+	b.RecordCrash(start, []core.Fingerprint{1, 2})
 	v := (&Gate{Book: b}).MayRun(start.Add(trialDelay), 1, false, nil)
 	assert.Equal(t, v.Action, Deny)
 	assert.Equal(t, v.Refusal.Outcome, core.NotRun)
@@ -218,7 +218,7 @@
 	turned := slices.Clone(hosts)
 	slices.Reverse(turned)
 	for f := range core.Fingerprint(100) {
-		assert.Equal(t, Trial(f, hosts), Trial(f, turned))
+		assert.Equal(t, TrialHost(f, hosts), TrialHost(f, turned))
 	}
-	assert.Equal(t, Trial(1, nil), core.HostName(""))
+	assert.Equal(t, TrialHost(1, nil), core.HostName(""))
 }
--- a/core/strike/copies.go
+++ b/core/strike/copies.go
@@ -32,18 +32,18 @@
 	copies int
 }
 
-// Host returns the host that the next copy of a request must join; empty if it may
+// RequiredHost returns the host that the next copy of a request must join; empty if it may
 // run on any host.
-func (c *Copies) Host(f core.Fingerprint) core.HostName {
+func (c *Copies) RequiredHost(f core.Fingerprint) core.HostName {
 	if !c.proven[f].IsZero() {
 		return ""
 	}
 	return c.inFlight[f].host
 }
 
-// At returns the host where copies of the request are in flight; empty if there
+// HostOf returns the host where copies of the request are in flight; empty if there
 // are none.
-func (c *Copies) At(f core.Fingerprint) core.HostName { return c.inFlight[f].host }
+func (c *Copies) HostOf(f core.Fingerprint) core.HostName { return c.inFlight[f].host }
 
 // Start records that a request was forwarded to a host.
 func (c *Copies) Start(f core.Fingerprint, host core.HostName) {
@@ -83,9 +83,9 @@
 	}
 }
 
-// Take reports whether a request with strikes had ended well here within the TTL,
+// TakeProven reports whether a request with strikes had ended well here within the TTL,
 // and forgets it: one good end counts only once.
-func (c *Copies) Take(now time.Time, f core.Fingerprint) bool {
+func (c *Copies) TakeProven(now time.Time, f core.Fingerprint) bool {
 	at := c.proven[f]
 	delete(c.proven, f)
 	return !at.IsZero() && now.Before(at.Add(TTL))
--- a/core/strike/gate.go
+++ b/core/strike/gate.go
@@ -67,7 +67,7 @@
 	if refusal := g.Book.Refuse(now, f); refusal != nil {
 		return Verdict{Action: Deny, Refusal: refusal}
 	}
-	trialTime := g.Book.Settled(now, f)
+	trialTime := g.Book.TrialTime(now, f)
 	if !trialTime.IsZero() && !trial {
 		refusal := core.RefuseUntil(core.CodeOverload, "the request has to run alone on another host", trialTime)
 		return Verdict{Action: Deny, Refusal: refusal}
@@ -114,13 +114,13 @@
 
 func (g *Gate) draining(now time.Time) bool { return now.Before(g.drainEnd) }
 
-// Ended records that a request ended well; alone is set if no other request ran at
+// RecordEnd records that a request ended well; alone is set if no other request ran at
 // the same time. A suspect that ran alone has passed: its record to send to peers
 // is returned with true. Its neighbours in the crash stay suspects until they have
 // run alone, too.
-func (g *Gate) Ended(now time.Time, f core.Fingerprint, alone bool) (Record, bool) {
+func (g *Gate) RecordEnd(now time.Time, f core.Fingerprint, alone bool) (Record, bool) {
 	if !alone || g.Book.Find(now, f).Standing != Suspect {
 		return Record{}, false
 	}
-	return g.Book.Passed(now, f), true
+	return g.Book.RecordPass(now, f), true
 }
--- a/core/strike/play_test.go
+++ b/core/strike/play_test.go
@@ -109,7 +109,7 @@
 		f.finish(j, "refused")
 		return
 	}
-	if trialTime := book.Settled(f.now, j.fingerprint); !f.naive && f.now.Before(trialTime) {
+	if trialTime := book.TrialTime(f.now, j.fingerprint); !f.naive && f.now.Before(trialTime) {
 		f.schedule(trialTime.Sub(f.now), func() { f.arrive(j) })
 		return
 	}
@@ -129,15 +129,15 @@
 		return
 	}
 	to := hosts[f.rng.IntN(len(hosts))]
-	if joined := f.copies[j.entry].Host(j.fingerprint); !f.naive && slices.Contains(hosts, joined) {
+	if joined := f.copies[j.entry].RequiredHost(j.fingerprint); !f.naive && slices.Contains(hosts, joined) {
 		to = joined
 	}
 	j.trial = book.Find(f.now, j.fingerprint).Standing == Suspect
 	if j.trial && !f.naive {
-		to = Trial(j.fingerprint, hosts)
+		to = TrialHost(j.fingerprint, hosts)
 	}
 	f.copies[j.entry].Start(j.fingerprint, to)
-	records := book.Against(f.now, j.fingerprint)
+	records := book.RecordsOf(f.now, j.fingerprint)
 	a := f.agents[slices.IndexFunc(f.agents, func(a *upstream) bool { return a.name == to })]
 	f.schedule(f.randomDelay(time.Millisecond, 5*time.Millisecond), func() {
 		a.gate.Book.Merge(f.now, records)
@@ -200,7 +200,7 @@
 			return
 		}
 		a.running = slices.DeleteFunc(a.running, func(o *job) bool { return o == j })
-		a.gate.Ended(f.now, j.fingerprint, j.alone)
+		a.gate.RecordEnd(f.now, j.fingerprint, j.alone)
 		f.copies[j.entry].End(f.now, j.fingerprint, true)
 		f.finish(j, "done")
 		f.startWaiting(a)
@@ -216,7 +216,7 @@
 	a.down = true
 	victims := a.running
 	a.running = nil
-	records := a.gate.Book.Crashed(f.now, fingerprints(victims))
+	records := a.gate.Book.RecordCrash(f.now, fingerprints(victims))
 	missing := len(f.entries)
 	answered := false
 	answer := func() {
@@ -262,11 +262,11 @@
 }
 
 func (f *fleet) forwardToHost(i int, fingerprint core.Fingerprint) {
-	if f.copies[i].Take(f.now, fingerprint) {
-		f.entries[i].Known(f.now, fingerprint)
+	if f.copies[i].TakeProven(f.now, fingerprint) {
+		f.entries[i].RecordKnownGood(f.now, fingerprint)
 	}
-	at := f.copies[i].At(fingerprint)
-	known := f.entries[i].Against(f.now, fingerprint)
+	at := f.copies[i].HostOf(fingerprint)
+	known := f.entries[i].RecordsOf(f.now, fingerprint)
 	for _, a := range f.agents {
 		if a.name == at && f.rng.Float64() >= f.loss {
 			f.schedule(f.randomDelay(time.Millisecond, 5*time.Millisecond), func() { a.gate.Book.Merge(f.now, known) })
--- a/io/agent/drive.go
+++ b/io/agent/drive.go
@@ -63,7 +63,7 @@
 func (a *Agent) poll(ctx context.Context) {
 	a.mu.Lock()
 	a.ledger.ChecksFence = a.checksFence()
-	ticket := a.ledger.Ask(a.Clock.Now())
+	ticket := a.ledger.NewTicket(a.Clock.Now())
 	a.mu.Unlock()
 	call, stop := context.WithTimeout(ctx, stateTime)
 	state, err := a.Engine.State(call)
@@ -306,7 +306,7 @@
 	for _, name := range a.Revoked() {
 		a.mu.Lock()
 		now := a.Clock.Now()
-		gone := a.ledger.Unload(now, name) && a.ledger.Clear(name)
+		gone := a.ledger.Unload(now, name) && a.ledger.ProvenAbsent(name)
 		a.mu.Unlock()
 		if !gone {
 			continue
@@ -387,7 +387,7 @@
 			lost = append(lost, o)
 		}
 	}
-	records := a.book.Crashed(a.Clock.Now(), prints)
+	records := a.book.RecordCrash(a.Clock.Now(), prints)
 	for _, o := range lost {
 		o.strikes = records
 	}
--- a/io/agent/explain.go
+++ b/io/agent/explain.go
@@ -60,7 +60,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	lines := []string{fmt.Sprintf("%s of %s: engine reached %t, leaving %t, %d requests in the engine", a.Host, a.Service, a.reached, a.leaving, a.inWork)}
-	promised, capacity := a.ledger.Promised(), a.ledger.Capacity()
+	promised, capacity := a.ledger.Reserved(), a.ledger.Capacity()
 	for i := range capacity {
 		lines = append(lines, fmt.Sprintf("accelerator %d: %s of %s promised", i, promised[i], capacity[i]))
 	}
--- a/io/agent/load.go
+++ b/io/agent/load.go
@@ -56,7 +56,7 @@
 
 // mostFree is the unpromised memory of the accelerator that has most.
 func (a *Agent) mostFree() core.Bytes {
-	promised, capacity := a.ledger.Promised(), a.ledger.Capacity()
+	promised, capacity := a.ledger.Reserved(), a.ledger.Capacity()
 	var most core.Bytes
 	for i := range capacity {
 		most = max(most, capacity[i]-promised[i])
--- a/io/agent/sched.go
+++ b/io/agent/sched.go
@@ -180,7 +180,7 @@
 	switch verdict {
 	case ledger.NoMemory, ledger.TooLarge:
 		a.refuseLane(now, l, core.CodeNoMemory, "no accelerator has room for "+l.name)
-	case ledger.Ready, ledger.Coming, ledger.Evicting, ledger.Leaving, ledger.NotReady:
+	case ledger.Ready, ledger.Loading, ledger.Evicting, ledger.Unloading, ledger.NotReady:
 		a.queue.Ready(now, l.name, a.readyAt(now, l))
 		loop.Poke(a.orders)
 	}
@@ -231,9 +231,9 @@
 	}
 	tier := a.tier(name)
 	if tier == core.TierStore && a.ledger.Rebuilt() && a.ledger.Item(name).State == core.Absent && !a.leaveTo(now, name, base, class, deadline) {
-		return ledger.Coming
+		return ledger.Loading
 	}
-	verdict := a.ledger.Load(now, ledger.Want{
+	verdict := a.ledger.Load(now, ledger.LoadRequest{
 		Name: name, Base: base, Bytes: e.Memory, Accelerators: e.Accelerators, Source: tier,
 	}, func(name core.ModelName) float64 { return a.keep(now, name) })
 	if verdict == ledger.Evicting {
@@ -304,7 +304,7 @@
 		a.ledger.End(now, r.use)
 	}
 	if refusal == nil {
-		if record, ok := a.gate.Ended(now, r.call.Fingerprint, r.alone); ok {
+		if record, ok := a.gate.RecordEnd(now, r.call.Fingerprint, r.alone); ok {
 			go a.Spread([]strike.Record{record})
 		}
 	}
--- a/io/agent/warm.go
+++ b/io/agent/warm.go
@@ -153,7 +153,7 @@
 		a.loadItem(now, base, "", core.Overnight, now.Add(prewarmTime))
 		return
 	}
-	if a.loadItem(now, name, e.Target.Base, core.Overnight, now.Add(prewarmTime)) == ledger.Coming {
+	if a.loadItem(now, name, e.Target.Base, core.Overnight, now.Add(prewarmTime)) == ledger.Loading {
 		events.Log(events.LoadStarted, "model", name, "host", a.Host, "ahead-of-need", true)
 		loop.Poke(a.orders)
 	}
--- a/io/deploy/tend.go
+++ b/io/deploy/tend.go
@@ -74,7 +74,7 @@
 			Host: s.Name, Incarnation: core.Incarnation(time.Now().UnixNano()), Kind: core.KindOrders, Name: string(s.DataCentre),
 			Term: tend.LeaseTerm, Margin: tend.LeaseMargin,
 			// Nothing deletes the object, so where there is none nobody has held it.
-			Blank: true,
+			NoPriorHolder: true,
 		},
 	}
 }
--- a/io/entry/hosts.go
+++ b/io/entry/hosts.go
@@ -124,15 +124,15 @@
 // entry. Identical requests that nobody has seen end well stay together: if they
 // crash engines they lose one and not one each.
 func (e *Entry) allowed(now time.Time, r core.Request, hosts []Host, tried []core.HostName) []Host {
-	only := e.copies.Host(r.Fingerprint)
-	if !e.book.Settled(now, r.Fingerprint).IsZero() {
+	only := e.copies.RequiredHost(r.Fingerprint)
+	if !e.book.TrialTime(now, r.Fingerprint).IsZero() {
 		names := make([]core.HostName, 0, len(hosts))
 		for _, h := range hosts {
 			if h.Health == route.Live {
 				names = append(names, h.Name)
 			}
 		}
-		only = strike.Trial(r.Fingerprint, names)
+		only = strike.TrialHost(r.Fingerprint, names)
 	}
 	i := slices.IndexFunc(hosts, func(h Host) bool { return h.Name == only })
 	if i < 0 || slices.Contains(tried, only) {
--- a/io/entry/note.go
+++ b/io/entry/note.go
@@ -114,7 +114,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
-	return relay.StrikesOut(e.book.Against(now, f)), !e.book.Settled(now, f).IsZero()
+	return relay.StrikesOut(e.book.RecordsOf(now, f)), !e.book.TrialTime(now, f).IsZero()
 }
 
 // cancelAt tells a host in the background that a request's caller has gone.
@@ -146,11 +146,11 @@
 	now := e.Clock.Now()
 	news := e.book.Merge(now, list)
 	for _, f := range news {
-		if e.copies.Take(now, f) {
-			go e.Spread([]strike.Record{e.book.Known(now, f)})
+		if e.copies.TakeProven(now, f) {
+			go e.Spread([]strike.Record{e.book.RecordKnownGood(now, f)})
 		}
-		if host := e.copies.At(f); host != "" {
-			go e.Tell(host, e.book.Against(now, f))
+		if host := e.copies.HostOf(f); host != "" {
+			go e.Tell(host, e.book.RecordsOf(now, f))
 		}
 	}
 	return len(news) > 0
--- a/io/node/decide.go
+++ b/io/node/decide.go
@@ -71,7 +71,7 @@
 	switch o.Kind {
 	case core.KindLease:
 		if o.Name == lease.Name {
-			d.lease.Seen(d.clock.Now(), o)
+			d.lease.ObserveObject(d.clock.Now(), o)
 		}
 	case core.KindHost:
 		d.seenHost(o)
@@ -83,7 +83,7 @@
 
 func (d *decider) seenHost(o core.Object) {
 	if o.Deleted {
-		d.planner.Gone(place.HostID{Host: core.HostName(o.Name), UID: o.UID})
+		d.planner.RemoveHost(place.HostID{Host: core.HostName(o.Name), UID: o.UID})
 		return
 	}
 	var s core.HostSpec
@@ -99,14 +99,14 @@
 func (d *decider) seenGrant(o core.Object) {
 	name := core.ModelName(o.Name)
 	if o.Deleted {
-		d.planner.DropGrant(name, o.Version)
+		d.planner.DeleteGrant(name, o.Version)
 		return
 	}
 	var s core.GrantSpec
 	if json.Unmarshal(o.Spec, &s) != nil {
 		return
 	}
-	d.lease.Observe(s.Fence)
+	d.lease.ObserveFence(s.Fence)
 	d.planner.SetGrant(name, s, o.Version)
 }
 
@@ -132,7 +132,7 @@
 	name := core.ModelName(r.Name)
 	e, ok := s.Model(name)
 	if r.Deleted {
-		d.planner.DropEntry(name, r.Version)
+		d.planner.DeleteEntry(name, r.Version)
 	}
 	if !ok {
 		return
@@ -197,7 +197,7 @@
 	blank := fresh && d.world.blank()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lease.Blank = blank
+	d.lease.NoPriorHolder = blank
 }
 
 // keepLease makes the calls that the lease asks for.
@@ -255,7 +255,7 @@
 		return
 	}
 	d.decides = decides
-	d.took(decides, d.lease.Blank)
+	d.took(decides, d.lease.NoPriorHolder)
 	if decides {
 		events.Log(events.LeaseTaken, "host", d.self, "fence", fence)
 		return
@@ -276,7 +276,7 @@
 		return
 	}
 	d.mu.Lock()
-	unproven := d.planner.Unproven()
+	unproven := d.planner.UnknownHolders()
 	writes := d.planner.Round(d.clock.Now(), fence, roundBudget)
 	d.mu.Unlock()
 	for _, id := range unproven {
@@ -309,7 +309,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listedAt = fence
-	d.planner.Listed()
+	d.planner.CatalogueListed()
 	return true
 }
 
@@ -324,7 +324,7 @@
 	case err == nil && o.UID == id.UID:
 		d.seenHost(o)
 	case err == nil, faultOf(err) == core.NotFound:
-		d.planner.Gone(id)
+		d.planner.RemoveHost(id)
 	}
 }
 
--- a/io/node/demand.go
+++ b/io/node/demand.go
@@ -23,7 +23,7 @@
 	for _, one := range c.GetDemands() {
 		work[core.ModelName(one.GetName())] = one.GetRequests()
 	}
-	changed := d.demand.Take(now, now.Add(demandAge), core.HostName(c.GetEntry()), work)
+	changed := d.demand.SetReport(now, now.Add(demandAge), core.HostName(c.GetEntry()), work)
 	if !now.Before(d.retellAt) {
 		d.retellAt = now.Add(retellTime)
 		changed = append(changed, d.demand.Names()...)
--- a/io/node/grants.go
+++ b/io/node/grants.go
@@ -44,7 +44,7 @@
 		}
 	}
 	d.mu.Lock()
-	d.planner.Answered(w, outcome)
+	d.planner.SetOutcome(w, outcome)
 	d.mu.Unlock()
 	if outcome == place.Applied {
 		d.logGrant(w)
@@ -79,9 +79,9 @@
 	case core.Unavailable, core.Invalid:
 		return place.Refused
 	case core.Conflict, core.Exists, core.NotFound:
-		return place.Overtaken
+		return place.Conflict
 	default:
-		return place.Unsure
+		return place.Unknown
 	}
 }
 
--- a/io/node/member.go
+++ b/io/node/member.go
@@ -34,17 +34,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if gone {
-		m.table.Unlisted(name)
+		m.table.SetUnlisted(name)
 		return
 	}
-	m.table.Listed(name, state)
+	m.table.SetListed(name, state)
 }
 
 // note takes a contact with a host.
 func (m *members) note(c member.Contact) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.Note(m.clock.Now(), c)
+	m.table.RecordContact(m.clock.Now(), c)
 	m.tell(c.Host)
 }
 
@@ -78,9 +78,9 @@
 	for _, one := range list {
 		switch one.Kind {
 		case peer.MarkLeaving:
-			m.table.Marked(now, one.Host, one.Incarnation, one.Expires)
+			m.table.MarkLeaving(now, one.Host, one.Incarnation, one.Expires)
 		case markStarted:
-			m.table.Note(now, member.Contact{Host: one.Host, OK: true, Incarnation: one.Incarnation})
+			m.table.RecordContact(now, member.Contact{Host: one.Host, OK: true, Incarnation: one.Incarnation})
 		}
 		m.tell(one.Host)
 	}
@@ -113,7 +113,7 @@
 func (m *members) due() []core.HostName {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Due(m.clock.Now())
+	return m.table.DueProbes(m.clock.Now())
 }
 
 const (
--- a/io/node/world.go
+++ b/io/node/world.go
@@ -216,7 +216,7 @@
 	if !ok {
 		return "", false
 	}
-	return place.Held(w.grants[name].spec, place.HostID{Host: host, UID: h.uid})
+	return place.HolderState(w.grants[name].spec, place.HostID{Host: host, UID: h.uid})
 }
 
 // revokedOf lists the items whose grant to a host was taken back.
@@ -229,7 +229,7 @@
 	}
 	var names []core.ModelName
 	for name, g := range w.grants {
-		state, held := place.Held(g.spec, place.HostID{Host: host, UID: h.uid})
+		state, held := place.HolderState(g.spec, place.HostID{Host: host, UID: h.uid})
 		if held && state == core.GrantRevoked {
 			names = append(names, name)
 		}
