--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -73,9 +73,9 @@
 	Name string
 	// Term and Margin replace the constants of the same name unless they are zero.
 	Term, Margin time.Duration
-	// NoPriorHolder is set if the platform held no grants when this process started. Nobody
-	// has decided before then, and the creator of the lease decides at once: the
-	// first start of a fleet does not wait for the term.
+	// NoPriorHolder is set if the platform held no grants when this process started.
+	// Nobody has decided before then, and the creator of the lease decides at once:
+	// the first start of a fleet does not wait for the term.
 	NoPriorHolder bool
 
 	// observed is set if version and spec hold the last observation; absent is set if
@@ -114,8 +114,8 @@
 	return o
 }
 
-// ObserveFence records a fencing number found in a grant or order. The lease's next
-// fencing number will be larger even if the platform's versions were reset.
+// ObserveFence records a fencing number found in a grant or order. The lease's
+// next fencing number will be larger even if the platform's versions were reset.
 func (l *Lease) ObserveFence(f core.Fence) { l.maxFence = max(l.maxFence, f) }
 
 // Decides reports whether this process may decide at the given time, and its
@@ -266,8 +266,8 @@
 	l.nextCallAt = l.takeoverAt
 }
 
-// ObserveObject processes the lease object as found in a read, a watch or a peer's copy.
-// Copies older than the newest seen are ignored.
+// ObserveObject processes the lease object as found in a read, a watch or a peer's
+// copy. Copies older than the newest seen are ignored.
 func (l *Lease) ObserveObject(now time.Time, o core.Object) {
 	if o.Deleted {
 		if o.Version > l.version {
--- a/core/ledger/evict.go
+++ b/core/ledger/evict.go
@@ -95,8 +95,7 @@
 	}
 	p.freeSoon = slices.Clone(p.free)
 	for _, it := range p.l.items {
-		// An unload that hangs keeps its reservation, but its memory is not expected
-		// soon.
+		// An unload that hangs keeps its reservation, but its memory is not expected soon.
 		if it.phase == unloading && p.now.Before(it.since.Add(UnloadTimeout)) {
 			addMemory(p.freeSoon, it)
 		}
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -11,11 +11,11 @@
 
 // Thresholds of the ledger.
 const (
-	// MaxOrderDelay is how long an order may still reach an engine after its sender has lost
-	// contact or has died, if the engine does not check fencing numbers. Agent and
-	// engine share a host, so the order is either in the engine's own socket buffer
-	// or lost. An engine that leaves it unread for longer has not answered any report
-	// either.
+	// MaxOrderDelay is how long an order may still reach an engine after its sender
+	// has lost contact or has died, if the engine does not check fencing numbers.
+	// Agent and engine share a host, so the order is either in the engine's own socket
+	// buffer or lost. An engine that leaves it unread for longer has not answered any
+	// report either.
 	MaxOrderDelay = 10 * time.Second
 	// ResendInterval is the delay before an order without visible effect is sent
 	// again.
@@ -297,8 +297,8 @@
 // holds, and no order of a previous agent process can still change that.
 func (l *Ledger) Rebuilt() bool { return l.hasReport && l.confirmed && !l.superseded }
 
-// ProvenAbsent reports whether the host certainly does not hold the item and no order in
-// flight can still load it. Only then may its grant be released.
+// ProvenAbsent reports whether the host certainly does not hold the item and no
+// order in flight can still load it. Only then may its grant be released.
 func (l *Ledger) ProvenAbsent(name core.ModelName) bool {
 	return l.Rebuilt() && l.items[name] == nil && !l.hasLostOrder(name) && l.inFlight.name() != name
 }
--- a/core/ledger/report.go
+++ b/core/ledger/report.go
@@ -15,9 +15,9 @@
 	requested time.Time
 }
 
-// NewTicket must be called right before the engine's state is requested. Only the report
-// of the newest ticket is accepted, so that reports are processed in the order in
-// which the engine made them.
+// NewTicket must be called right before the engine's state is requested. Only the
+// report of the newest ticket is accepted, so that reports are processed in the
+// order in which the engine made them.
 func (l *Ledger) NewTicket(now time.Time) Ticket {
 	l.lastTicket++
 	l.step++
--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -73,9 +73,10 @@
 	return suspects
 }
 
-// DueProbes returns the sorted names of the hosts to probe now: suspects whose hold has
-// passed, and hosts that are leaving, whose process may have been replaced. It
-// counts them as probed. The result of each probe must be passed to Note.
+// DueProbes returns the sorted names of the hosts to probe now: suspects whose
+// hold has passed, and hosts that are leaving, whose process may have been
+// replaced. It counts them as probed. The result of each probe must be passed to
+// RecordContact.
 func (t *Table) DueProbes(now time.Time) []core.HostName {
 	var due []core.HostName
 	for name, h := range t.hosts {
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -114,8 +114,8 @@
 	return h != nil && h.listed == core.HostGone
 }
 
-// MarkLeaving records a mark that an incarnation of a host's process is leaving, as
-// spread by peers.
+// MarkLeaving records a mark that an incarnation of a host's process is leaving,
+// as spread by peers.
 func (t *Table) MarkLeaving(now time.Time, name core.HostName, incarnation core.Incarnation, expires time.Time) {
 	h := t.host(name)
 	if h.listed == core.HostGone || slices.Contains(h.pastIncarnations, incarnation) {
--- a/core/place/decide.go
+++ b/core/place/decide.go
@@ -9,14 +9,14 @@
 	"radishwell/core"
 )
 
-// CatalogueListed records that all entries of the catalogue, as the platform listed it,
-// have been set. From then on, a grant without an entry counts as one whose entry
-// was deleted. Round writes nothing before.
+// CatalogueListed records that all entries of the catalogue, as the platform
+// listed it, have been set. From then on, a grant without an entry counts as one
+// whose entry was deleted. Round writes nothing before.
 func (p *Planner) CatalogueListed() { p.catalogueListed = true }
 
 // Round returns at most budget writes for what has changed, most urgent first.
 // fence is the decider's current fencing number from the lease. The I/O layer
-// sends each write and passes the outcome to Answered.
+// sends each write and passes the outcome to SetOutcome.
 func (p *Planner) Round(now time.Time, fence core.Fence, budget int) []Write {
 	p.init()
 	if !p.catalogueListed {
--- a/core/place/holder.go
+++ b/core/place/holder.go
@@ -6,8 +6,8 @@
 	"radishwell/core"
 )
 
-// HolderState returns the state of a host in a grant, and false if the host is not a
-// holder. An agent may load a model only while the newest version of the grant
+// HolderState returns the state of a host in a grant, and false if the host is not
+// a holder. An agent may load a model only while the newest version of the grant
 // that it knows has the host active, and only after it has read the grants from
 // the platform itself since it started: the copy of a peer may be older than a
 // release by the agent's previous process.
--- a/core/place/planner.go
+++ b/core/place/planner.go
@@ -35,8 +35,8 @@
 	// nextMoveAt is when it may start the next move.
 	balanced   bool
 	nextMoveAt time.Time
-	// unknown is the last result of Unproven; unknownValid is set while it is up to
-	// date.
+	// unknown is the last result of UnknownHolders; unknownValid is set while it is up
+	// to date.
 	unknown      []HostID
 	unknownValid bool
 }
@@ -215,8 +215,8 @@
 	}
 }
 
-// RemoveHost records that the platform no longer lists this incarnation of a host: a
-// deletion was seen, or a read of the host found nothing or another UID. Apart
+// RemoveHost records that the platform no longer lists this incarnation of a host:
+// a deletion was seen, or a read of the host found nothing or another UID. Apart
 // from a release, this is the only proof on which a holder is removed. A host that
 // is merely absent from a copy of the list is not gone: the copy may be older than
 // the grant.
@@ -231,8 +231,8 @@
 	p.markHostDirty(id.Host)
 }
 
-// UnknownHolders returns the holders whose host is not known here. The I/O layer reads
-// each from the platform and calls SetHost or Gone.
+// UnknownHolders returns the holders whose host is not known here. The I/O layer
+// reads each from the platform and calls SetHost or RemoveHost.
 func (p *Planner) UnknownHolders() []HostID {
 	if !p.unknownValid {
 		// The search reads all grants. Doing so in each round took half of the time of
--- a/core/strike/book.go
+++ b/core/strike/book.go
@@ -24,10 +24,10 @@
 	size    int
 }
 
-// RecordCrash gives a strike to each distinct fingerprint that was in flight when the
-// engine died, and returns the records to send to peers at once. The agent sends
-// them before it answers the requests: a caller repeats a request once it has the
-// failure, and by then all entries should have the records.
+// RecordCrash gives a strike to each distinct fingerprint that was in flight when
+// the engine died, and returns the records to send to peers at once. The agent
+// sends them before it answers the requests: a caller repeats a request once it
+// has the failure, and by then all entries should have the records.
 func (b *Book) RecordCrash(now time.Time, inFlight []core.Fingerprint) []Record {
 	seen := slices.Clone(inFlight)
 	slices.Sort(seen)
@@ -62,9 +62,9 @@
 	return r
 }
 
-// RecordPass records that a suspect ran alone and ended well, and returns the record
-// to send to peers. The record expires with the strikes that it answers, so that
-// it doesn't excuse a later crash.
+// RecordPass records that a suspect ran alone and ended well, and returns the
+// record to send to peers. The record expires with the strikes that it answers, so
+// that it doesn't excuse a later crash.
 func (b *Book) RecordPass(now time.Time, f core.Fingerprint) Record {
 	strikes := b.Find(now, f).Expires
 	r := b.ownRecord(now, f)
@@ -75,9 +75,9 @@
 	return r
 }
 
-// RecordKnownGood records that a fingerprint with strikes had ended well here before, and
-// returns the record to send to peers. An entry calls it once for each fingerprint
-// with new strikes for which Copies.Take returns true.
+// RecordKnownGood records that a fingerprint with strikes had ended well here
+// before, and returns the record to send to peers. An entry calls it once for each
+// fingerprint with new strikes for which Copies.TakeProven returns true.
 func (b *Book) RecordKnownGood(now time.Time, f core.Fingerprint) Record {
 	r := Record{Fingerprint: f, Source: b.Self, Expires: b.Find(now, f).Expires}
 	b.upsert(r)
@@ -98,9 +98,10 @@
 }
 
 // Merge merges records of peers and returns the fingerprints of those that were
-// new, in the order given. For each, an entry calls Known if the request has ended
-// well there, and sends the result of Against to the host where it has the request
-// in flight (Copies.At), since the agent may have copies in its queue.
+// new, in the order given. For each, an entry calls RecordKnownGood if the request
+// has ended well there, and sends the result of RecordsOf to the host where it has
+// the request in flight (Copies.HostOf), since the agent may have copies in its
+// queue.
 func (b *Book) Merge(now time.Time, records []Record) []core.Fingerprint {
 	var changed []core.Fingerprint
 	for _, r := range records {
@@ -133,9 +134,9 @@
 	return out
 }
 
-// RecordsOf returns the records of one fingerprint that have not expired, including
-// its clear mark. An entry sends them with the request, so that the agent can
-// identify a suspect before it has the records from peers.
+// RecordsOf returns the records of one fingerprint that have not expired,
+// including its clear mark. An entry sends them with the request, so that the
+// agent can identify a suspect before it has the records from peers.
 func (b *Book) RecordsOf(now time.Time, f core.Fingerprint) []Record {
 	var out []Record
 	for _, r := range b.records[f] {
@@ -259,9 +260,9 @@
 	}
 }
 
-// TrialHost returns the host on which a suspect runs, chosen from those that may run
-// it by rendezvous hashing; empty if there is none. All entries choose the same
-// host, so that repeats of a suspect queue there instead of crashing several
+// TrialHost returns the host on which a suspect runs, chosen from those that may
+// run it by rendezvous hashing; empty if there is none. All entries choose the
+// same host, so that repeats of a suspect queue there instead of crashing several
 // engines at once.
 func TrialHost(f core.Fingerprint, hosts []core.HostName) core.HostName {
 	var best core.HostName
--- a/core/strike/copies.go
+++ b/core/strike/copies.go
@@ -32,8 +32,8 @@
 	copies int
 }
 
-// RequiredHost returns the host that the next copy of a request must join; empty if it may
-// run on any host.
+// RequiredHost returns the host that the next copy of a request must join; empty
+// if it may run on any host.
 func (c *Copies) RequiredHost(f core.Fingerprint) core.HostName {
 	if !c.proven[f].IsZero() {
 		return ""
@@ -41,8 +41,8 @@
 	return c.inFlight[f].host
 }
 
-// HostOf returns the host where copies of the request are in flight; empty if there
-// are none.
+// HostOf returns the host where copies of the request are in flight; empty if
+// there are none.
 func (c *Copies) HostOf(f core.Fingerprint) core.HostName { return c.inFlight[f].host }
 
 // Start records that a request was forwarded to a host.
@@ -83,8 +83,8 @@
 	}
 }
 
-// TakeProven reports whether a request with strikes had ended well here within the TTL,
-// and forgets it: one good end counts only once.
+// TakeProven reports whether a request with strikes had ended well here within the
+// TTL, and forgets it: one good end counts only once.
 func (c *Copies) TakeProven(now time.Time, f core.Fingerprint) bool {
 	at := c.proven[f]
 	delete(c.proven, f)
--- a/core/strike/doc.go
+++ b/core/strike/doc.go
@@ -7,7 +7,7 @@
 // neighbours. A suspect that ends well alone is cleared. A suspect that crashes an
 // engine alone, after an earlier strike, is quarantined and refused everywhere.
 //
-// All entries send a suspect to the same host (Trial). So only one engine at a
+// All entries send a suspect to the same host (TrialHost). So only one engine at a
 // time is at risk, however many callers repeat the request and whichever entries
 // they use.
 //
--- a/core/strike/gate.go
+++ b/core/strike/gate.go
@@ -39,9 +39,9 @@
 // Verdict is the result of MayRun.
 type Verdict struct {
 	Action Action
-	// Alone is set, with Run, if no other request may start before this one has
-	// ended.
-	Alone   bool
+	// Alone is set, with Run, if no other request may start before this one has ended.
+	Alone bool
+	// At is when to call MayRun again after Wait; Refusal is set with Deny.
 	At      time.Time
 	Refusal *core.Refusal
 }
@@ -114,10 +114,10 @@
 
 func (g *Gate) draining(now time.Time) bool { return now.Before(g.drainEnd) }
 
-// RecordEnd records that a request ended well; alone is set if no other request ran at
-// the same time. A suspect that ran alone has passed: its record to send to peers
-// is returned with true. Its neighbours in the crash stay suspects until they have
-// run alone, too.
+// RecordEnd records that a request ended well; alone is set if no other request
+// ran at the same time. A suspect that ran alone has passed: its record to send to
+// peers is returned with true. Its neighbours in the crash stay suspects until
+// they have run alone, too.
 func (g *Gate) RecordEnd(now time.Time, f core.Fingerprint, alone bool) (Record, bool) {
 	if !alone || g.Book.Find(now, f).Standing != Suspect {
 		return Record{}, false
