--- a/core/bytes.go
+++ b/core/bytes.go
@@ -22,7 +22,7 @@
 	size   Bytes
 }{{"TiB", TiB}, {"GiB", GiB}, {"MiB", MiB}, {"KiB", KiB}, {"B", 1}}
 
-// SizeError reports a text that is no amount of bytes.
+// SizeError is returned for a text that isn't a valid amount of bytes.
 type SizeError struct{ Text string }
 
 // Error implements error.
@@ -43,8 +43,8 @@
 // MarshalText implements encoding.TextMarshaler.
 func (b Bytes) MarshalText() ([]byte, error) { return []byte(b.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler: a whole number followed by
-// a unit, as in "8GiB" or "512 MiB". Its error is a SizeError.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts a whole number
+// followed by a unit, as in "8GiB" or "512 MiB". Its error is a SizeError.
 func (b *Bytes) UnmarshalText(text []byte) error {
 	s := strings.TrimSpace(string(text))
 	for _, u := range byteUnits {
--- a/core/class.go
+++ b/core/class.go
@@ -2,18 +2,20 @@
 
 import "strings"
 
-// Class is the service class of a request, model or service.
+// Class is the service class of a request, model or service: it decides who is
+// served first under load.
 type Class uint8
 
 // Service classes, the most urgent first.
 const (
-	// Interactive work has a person waiting in front of a client.
+	// Interactive is for requests whose answer a person is waiting for.
 	Interactive Class = iota
-	// Evening work belongs to a person's session but tolerates a cold start.
+	// Evening is for requests of a person's session that tolerate a cold start.
 	Evening
-	// Overnight work has no one waiting; it yields to the other two.
+	// Overnight is for batch work that nobody waits for. It yields to the other
+	// classes.
 	Overnight
-	// ClassCount is the number of classes; it is no class itself.
+	// ClassCount is the number of classes.
 	ClassCount
 )
 
@@ -35,16 +37,16 @@
 	return parseName(c, "class", classNames[:], text)
 }
 
-// Outcome is what is known about a request that has its final answer.
+// Outcome says whether a request that has its final answer was executed.
 type Outcome uint8
 
-// Outcomes. NotRun is claimed only where no upstream can have seen the request.
+// Outcomes. NotRun is reported only if no upstream can have seen the request.
 const (
-	// Done means the upstream's whole answer was relayed.
+	// Done means that the upstream's whole answer was relayed.
 	Done Outcome = iota
-	// NotRun means the request did not run and will not run.
+	// NotRun means that the request did not run and will not run.
 	NotRun
-	// MayHaveRun means an upstream may have run all or part of the request.
+	// MayHaveRun means that an upstream may have run all or part of the request.
 	MayHaveRun
 	outcomeCount
 )
@@ -67,11 +69,11 @@
 	return parseName(o, "outcome", outcomeNames[:], text)
 }
 
-// NameError reports a text that is none of the names of an enumeration.
+// NameError is returned for a text that isn't one of an enumeration's names.
 type NameError struct {
-	// Kind is what was to be read, such as "class".
+	// Kind names the enumeration, such as "class".
 	Kind string
-	// Text is what was found.
+	// Text is the text that was not recognized.
 	Text string
 	// Known lists the accepted names.
 	Known []string
--- a/core/clock.go
+++ b/core/clock.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Clock tells the time to the packages under radishwell/io. Decisions under
-// core get the time as an argument instead.
+// Clock is the source of time of the packages under radishwell/io. Packages
+// under core get the time as an argument instead.
 type Clock interface {
-	// Now returns the present time, with a monotonic reading where there is one.
+	// Now returns the current time, with a monotonic clock reading if available.
 	Now() time.Time
 }
--- a/core/doc.go
+++ b/core/doc.go
@@ -1,10 +1,10 @@
-// Package core holds the interfaces and value types that all of radishwell
-// shares: requests, outcomes, refusals, catalogue specifications, platform
-// objects, engine orders and the interfaces behind which outside systems sit.
+// Package core defines the value types and interfaces shared by all packages of
+// radishwell: requests, outcomes, refusals, catalogue specifications, platform
+// objects, engine orders and the interfaces to external systems.
 //
-// Nothing in core or below it opens a socket or a file, reads the wall clock
-// or starts a timer. Every decision takes the present time as an argument and
-// returns what is to be done, so that it can be tested without a network; the
-// packages under radishwell/io turn events into calls on core and its answers
-// into input and output.
+// Neither core nor a package below it opens a socket or a file, reads the wall
+// clock or starts a timer. Every decision takes the current time as an argument
+// and returns the actions to perform, so that it can be tested without a
+// network. The packages under radishwell/io translate events into calls on core
+// and perform the actions that core returns.
 package core
--- a/core/engine.go
+++ b/core/engine.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// ItemState is where a model or adapter stands in an engine.
+// ItemState is the state of a model or adapter in an engine.
 type ItemState uint8
 
-// States of an item in an engine. Loading and Unloading hold memory as Loaded
-// does: what is promised counts until the engine confirms that it is free.
+// States of an item in an engine. Loading and Unloading count as holding memory
+// just as Loaded does: reserved memory counts until the engine confirms that it
+// is free.
 const (
 	Absent ItemState = iota
 	Loading
@@ -37,10 +38,10 @@
 	return parseName(s, "item state", itemStateNames[:], text)
 }
 
-// Tier is where a host holds a copy of a checkpoint, the cheapest first.
+// Tier is the storage tier that holds a copy of a checkpoint.
 type Tier uint8
 
-// Tiers of checkpoints.
+// Tiers of checkpoints, the cheapest to load from first.
 const (
 	TierMemory Tier = iota
 	TierDisk
@@ -69,29 +70,29 @@
 	Name  ModelName `json:"name"`
 	Base  ModelName `json:"base,omitempty"`
 	State ItemState `json:"state"`
-	// Fence is the fencing number of the order that brought the item.
+	// Fence is the fencing number of the order that loaded the item.
 	Fence Fence `json:"fence"`
-	// Accelerators are the indices of the accelerators the item lies on; Bytes
-	// is what it holds on each.
+	// Accelerators are the indices of the accelerators that hold the item; Bytes
+	// is the memory it takes on each.
 	Accelerators []int `json:"accelerators"`
 	Bytes        Bytes `json:"bytes"`
 }
 
-// EngineRun is a request in an engine.
+// EngineRun is a request that is in an engine.
 type EngineRun struct {
 	ID    RequestID `json:"id"`
 	Model ModelName `json:"model"`
-	// Emitted counts the bytes of the answer that the engine has produced.
+	// Emitted is the number of bytes of the answer produced so far.
 	Emitted int64 `json:"emitted"`
 }
 
-// EngineCopy is a checkpoint held near an engine.
+// EngineCopy is a copy of a checkpoint that an engine can load from.
 type EngineCopy struct {
 	Name ModelName `json:"name"`
 	Tier Tier      `json:"tier"`
 }
 
-// EngineState is an engine's own report.
+// EngineState is the state that an engine reports.
 type EngineState struct {
 	// Epoch changes when the engine process restarts.
 	Epoch uint64 `json:"epoch"`
@@ -102,11 +103,11 @@
 	Items    []EngineItem `json:"items"`
 	Runs     []EngineRun  `json:"runs"`
 	Copies   []EngineCopy `json:"copies"`
-	// Queued counts requests in the engine that are not in a batch yet.
+	// Queued is the number of requests in the engine that are not in a batch yet.
 	Queued int `json:"queued"`
 }
 
-// LoadOrder asks an engine to load a model or adapter. It is idempotent: the
+// LoadOrder orders an engine to load a model or adapter. It is idempotent: the
 // same item on the same accelerators is loaded once.
 type LoadOrder struct {
 	Name         ModelName `json:"name"`
@@ -115,17 +116,17 @@
 	Accelerators []int     `json:"accelerators"`
 	Bytes        Bytes     `json:"bytes"`
 	Source       Tier      `json:"source"`
-	// GiveUp is when the engine may abandon the load; zero for never.
+	// GiveUp is when the engine may abandon the load; zero means never.
 	GiveUp time.Time `json:"give-up"`
 }
 
-// UnloadOrder asks an engine to unload an item.
+// UnloadOrder orders an engine to unload a model or adapter.
 type UnloadOrder struct {
 	Name  ModelName `json:"name"`
 	Fence Fence     `json:"fence"`
 }
 
-// EngineWork is a request as handed to an engine or plain service.
+// EngineWork is a request as it is sent to an engine or plain service.
 type EngineWork struct {
 	ID       RequestID
 	Model    ModelName
@@ -135,49 +136,50 @@
 	Body     []byte
 	Priority Class
 	Deadline time.Time
-	// Trace is the W3C traceparent of the hop above.
+	// Trace is the W3C traceparent of the previous hop.
 	Trace string
 }
 
-// Answer is an upstream's answer whose body is still being read. Closing it
-// before the end cancels the request at the upstream.
+// Answer is an upstream's answer whose body is still being read. Closing Body
+// before its end cancels the request at the upstream.
 type Answer struct {
 	Status int
 	Header map[string][]string
 	Body   io.ReadCloser
 }
 
-// Engine is one upstream: a model engine or a plain service, which takes no
+// Engine is one upstream: a model engine, or a plain service, which takes no
 // orders. All errors are EngineErrors.
 type Engine interface {
-	// State returns the engine's report.
+	// State returns the state that the engine reports.
 	State(ctx context.Context) (EngineState, error)
-	// Load starts a load; State tells when it has ended.
+	// Load starts a load. State shows when it has completed.
 	Load(ctx context.Context, o LoadOrder) error
-	// Unload starts an unload; State tells when it has ended.
+	// Unload starts an unload. State shows when it has completed.
 	Unload(ctx context.Context, o UnloadOrder) error
-	// Run hands a request over and returns its answer.
+	// Run sends a request and returns its answer.
 	Run(ctx context.Context, w EngineWork) (Answer, error)
-	// Resume continues the body of a running answer from an offset in bytes.
+	// Resume reads the body of a running answer from an offset in bytes.
 	Resume(ctx context.Context, id RequestID, offset int64) (Answer, error)
-	// Cancel ends a running request.
+	// Cancel aborts a running request.
 	Cancel(ctx context.Context, id RequestID) error
 }
 
-// EngineFault classes what can go wrong with a call to an engine.
+// EngineFault classifies the failure of a call to an engine.
 type EngineFault uint8
 
 // Faults of engine calls.
 const (
-	// EngineUnreached: no connection was made; the engine saw nothing.
+	// EngineUnreached: no connection was made, so the engine did not receive the
+	// call.
 	EngineUnreached EngineFault = iota
 	// EngineLost: the connection broke after the call was sent.
 	EngineLost
-	// EngineStale: the order's fencing number is older than one seen.
+	// EngineStale: the engine has seen a larger fencing number than the order's.
 	EngineStale
-	// EngineRejected: the engine refuses the call and did nothing.
+	// EngineRejected: the engine refused the call and did nothing.
 	EngineRejected
-	// EngineNoMemory: the order does not fit.
+	// EngineNoMemory: the item does not fit into the engine's memory.
 	EngineNoMemory
 	engineFaultCount
 )
--- a/core/manage.go
+++ b/core/manage.go
@@ -10,19 +10,19 @@
 type HeldModel struct {
 	Model   ModelName
 	Version int64
-	// Adapters are those loaded, by their names within the model.
+	// Adapters are the loaded adapters, by their names within the model.
 	Adapters []string
 }
 
-// SameModels tells whether two lists of models are equal.
+// SameModels reports whether two lists of models are equal.
 func SameModels(a, b []HeldModel) bool {
 	return slices.EqualFunc(a, b, func(x, y HeldModel) bool {
 		return x.Model == y.Model && x.Version == y.Version && slices.Equal(x.Adapters, y.Adapters)
 	})
 }
 
-// NearestTier returns where the nearest copy of a model's weights is for a host that
-// has those of some models in memory and of some on disk.
+// NearestTier returns the cheapest tier from which a host can load a model's
+// weights. inMemory and onDisk are the models whose weights the host has there.
 func NearestTier(model ModelName, inMemory, onDisk []ModelName) Tier {
 	switch {
 	case slices.Contains(inMemory, model):
@@ -33,37 +33,39 @@
 	return TierStore
 }
 
-// UpstreamState is a managed upstream's own word on its state.
+// UpstreamState is the state that a managed upstream reports.
 type UpstreamState struct {
-	// ID names one life of the upstream where it tells it; Born tells lives under
-	// one ID apart, in milliseconds since the Unix epoch.
+	// ID identifies the instance of the upstream, if the upstream reports one.
+	// Born is the instance's start in milliseconds since the Unix epoch; it
+	// distinguishes instances that share an ID.
 	ID   HostName
 	Born int64
-	// Orders counts the orders accepted in this life.
+	// Orders is the number of orders that this instance has accepted.
 	Orders int64
-	// Busy tells that an order is in progress, so that no other is taken.
-	Busy    bool
+	// Busy is set if an order is in progress, during which no other is accepted.
+	Busy bool
+	// Leaving is set if the upstream is shutting down.
 	Leaving bool
-	// Limit is the rate that the upstream names.
+	// Limit is the request rate that the upstream accepts.
 	Limit RateLimit
-	// Left is how long the upstream will still run, where it tells.
+	// Left is how long the upstream will keep running; zero if not reported.
 	Left   time.Duration
 	Models []HeldModel
-	// Coming are adapters on their way to the upstream, as MODEL/NAME.
+	// Coming lists the adapters being transferred to the upstream, as MODEL/NAME.
 	Coming           []string
 	InMemory, OnDisk []ModelName
-	// Waiting and Running count requests; MemoryUsed is the prompt memory that
-	// cannot be freed, in tokens.
+	// Waiting and Running are numbers of requests. MemoryUsed is the prompt memory
+	// that cannot be freed, in tokens.
 	Waiting, Running int
 	MemoryUsed       int64
-	// Reading is the prompt tokens of the requests that are being read, which have
-	// no first token yet.
+	// Reading is the number of prompt tokens of the requests in the prefill phase,
+	// which have no first token yet.
 	Reading int64
 }
 
-// Restarted tells whether a later report is of another life than this one. An
-// upstream that neither names its life nor says when it was born shows it by its
-// count of orders, which begins anew.
+// Restarted reports whether later is a report of another instance than s. An
+// upstream that reports neither ID nor start time reveals a restart by its order
+// count, which starts again from zero.
 func (s UpstreamState) Restarted(later UpstreamState) bool {
 	return s.ID != later.ID || s.Born != later.Born || later.Orders < s.Orders
 }
@@ -72,32 +74,32 @@
 type UpstreamOrder struct {
 	Unload bool
 	Model  ModelName
-	// Adapter is empty where the order is for the model itself.
+	// Adapter is empty if the order is for the model itself.
 	Adapter string
-	// After is the count of orders on which the order is conditional.
+	// After is the order count that the upstream must have for the order to apply.
 	After int64
-	// Instance is the life of the upstream that the order is for.
+	// Instance is the instance of the upstream that the order is for.
 	Instance HostName
 	Holder   HostName
 	Fence    Fence
 }
 
-// OrderResult is what an upstream said to an order.
+// OrderResult is an upstream's response to an order.
 type OrderResult uint8
 
 // Results of orders.
 const (
 	// OrderAccepted: the order is being carried out.
 	OrderAccepted OrderResult = iota
-	// OrderDone: it holds already.
+	// OrderDone: the upstream is already in the state that the order asks for.
 	OrderDone
-	// OrderConflict: another order is in progress, or has come in between.
+	// OrderConflict: another order is in progress or was accepted in between.
 	OrderConflict
-	// OrderStale: the fencing number is an old one.
+	// OrderStale: the fencing number is out of date.
 	OrderStale
-	// OrderElsewhere: another life of the upstream answered.
+	// OrderElsewhere: another instance of the upstream answered.
 	OrderElsewhere
-	// OrderRejected: the upstream cannot carry it out.
+	// OrderRejected: the upstream cannot carry out the order.
 	OrderRejected
 	orderResultCount
 )
@@ -112,19 +114,20 @@
 	return orderResultNames[r]
 }
 
-// AdapterLoader has adapters loaded on managed upstreams.
+// AdapterLoader loads adapters on managed upstreams.
 type AdapterLoader interface {
-	// Fetch has the agent of a host load an adapter of a model that the host holds,
-	// and returns once it is loaded.
+	// Fetch makes a host's agent load an adapter of a model that the host holds. It
+	// returns once the adapter is loaded.
 	Fetch(ctx context.Context, host HostName, model ModelName, adapter string) error
-	// Used notes a request for an adapter that a host has, so that its agent knows
-	// which ones are idle.
+	// Used records a request for an adapter that a host has, so that the host's
+	// agent can tell which adapters are idle.
 	Used(host HostName, model ModelName, adapter string)
 }
 
-// Managed is an upstream on a managed platform as its agent drives it. An error
-// of Order is an EngineError; unless it is EngineUnreached, the order may be
-// carried out now or seconds later, if its condition still holds then.
+// Managed is an upstream on a managed platform, as its agent controls it. An
+// error of Order is an EngineError. Unless the error is EngineUnreached, the
+// order may still be carried out, even seconds later, if its condition holds
+// then.
 type Managed interface {
 	State(ctx context.Context) (UpstreamState, error)
 	Order(ctx context.Context, o UpstreamOrder) (OrderResult, error)
--- a/core/names.go
+++ b/core/names.go
@@ -1,15 +1,15 @@
 package core
 
-// RequestID identifies one request from acceptance to answer. It is chosen by
-// the entry that accepts the request and never used again.
+// RequestID identifies one request from acceptance to answer. The entry that
+// accepts the request chooses it; it is never reused.
 type RequestID string
 
 // ModelName names a model or an adapter. Both share one namespace, since
 // callers ask for either in the same field.
 type ModelName string
 
-// ServiceName names a set of upstream hosts of one kind: model engines or a
-// plain service.
+// ServiceName names a set of upstream hosts that run the same software: model
+// engines or a plain service.
 type ServiceName string
 
 // OwnerName names an owner in the catalogue.
@@ -18,7 +18,7 @@
 // CallerName names one holder of a bearer key, unique within its owner.
 type CallerName string
 
-// HostName names an entry or upstream host in the platform's list.
+// HostName names an entry or upstream host in the platform's list of hosts.
 type HostName string
 
 // DataCentre names a data centre; Region a group of them.
@@ -28,25 +28,26 @@
 )
 
 // Version is a resource version of the platform's object API. Versions of one
-// kind grow with every write; zero means "none seen".
+// kind of object grow with every write; zero means that none has been seen.
 type Version uint64
 
-// Fence is a fencing number. It grows with every change of holder; an order
-// that carries a smaller one than its receiver has seen is stale.
+// Fence is a fencing number. It grows with every change of the lease's holder.
+// An order is stale if its receiver has seen a larger number than the order
+// carries.
 type Fence uint64
 
-// Incarnation tells the lives of one process apart. It is drawn at random at
-// each start, so that a restarted process is never taken for its predecessor.
+// Incarnation identifies one run of a process. It is drawn at random at each
+// start, so that a restarted process is never taken for its predecessor.
 type Incarnation uint64
 
-// Fingerprint is a hash over target and body of a request, equal for a
-// repetition of the same request by the same or another caller.
+// Fingerprint is a hash of a request's target and body. It is equal if the same
+// or another caller repeats the request.
 type Fingerprint uint64
 
-// Names makes names of texts; nil of none.
+// Names converts strings to names. It returns nil for an empty slice.
 func Names[N ~string](texts []string) []N { return convert[N](texts) }
 
-// Texts makes texts of names; nil of none.
+// Texts converts names to strings. It returns nil for an empty slice.
 func Texts[N ~string](names []N) []string { return convert[string](names) }
 
 func convert[T, F ~string](from []F) []T {
--- a/core/object.go
+++ b/core/object.go
@@ -5,8 +5,8 @@
 // Kind is a kind of object in the platform's object API.
 type Kind string
 
-// Kinds of objects. The first four are the catalogue, which operators edit;
-// hosts belong to the platform; the rest are the system's own.
+// Kinds of objects. The first four make up the catalogue, which operators edit.
+// The platform maintains the hosts, radishwell the rest.
 const (
 	KindModel   Kind = "models"
 	KindAdapter Kind = "adapters"
@@ -18,10 +18,10 @@
 	KindClaim   Kind = "claims"
 )
 
-// Kinds of a managed platform: its routing table, the registry of upstream
-// hosts, and the system's own records: of each agent's start, of how much models are
-// asked for, and of where each entry takes calls,
-// and the leases on the engines without agents of each data centre.
+// Kinds of a managed platform: its routing table and its registry of upstream
+// hosts, and the records that radishwell maintains: each agent's start, the
+// demand for models, the address of each entry, and for each data centre the
+// leases on the engines without agents.
 const (
 	KindTable    Kind = "config"
 	KindRegistry Kind = "servers"
@@ -38,12 +38,12 @@
 type Object struct {
 	Kind Kind
 	Name string
-	// UID differs between an object and one created later under its name.
+	// UID differs between an object and one created later under the same name.
 	UID string
-	// Version is the object's resource version. In an update it is the version
-	// the update is conditional on.
+	// Version is the object's resource version. An update applies only if the
+	// stored object still has this version.
 	Version Version
-	// Generation counts changes of Spec.
+	// Generation grows with each change of Spec.
 	Generation int64
 	Spec       []byte
 	Status     []byte
@@ -61,56 +61,60 @@
 type Change struct {
 	// Object is the new state; Deleted is set for a deletion.
 	Object Object
-	// Bookmark marks an event that carries only progress: everything up to
-	// Object.Version has been delivered.
+	// Bookmark is set for an event that only reports progress: all changes up to
+	// Object.Version have been delivered.
 	Bookmark bool
 }
 
 // Watch is a running watch of one kind.
 type Watch interface {
-	// Next blocks for the next change. Its errors are PlatformErrors; after one
-	// the watch is over.
+	// Next blocks until the next change. Its errors are PlatformErrors; after an
+	// error the watch is over.
 	Next(ctx context.Context) (Change, error)
 	// Close ends the watch.
 	Close()
 }
 
-// Platform is the object API. All errors are PlatformErrors.
+// Platform is the platform's object API. All errors are PlatformErrors.
 type Platform interface {
 	// List returns all objects of a kind.
 	List(ctx context.Context, kind Kind) (Listing, error)
 	// Get returns one object.
 	Get(ctx context.Context, kind Kind, name string) (Object, error)
-	// Create adds an object; Exists where the name is taken.
+	// Create adds an object. It fails with Exists if the name is taken.
 	Create(ctx context.Context, o Object) (Object, error)
-	// Update replaces Spec if the object is still at o.Version; Conflict if not.
+	// Update replaces Spec if the object is still at o.Version. Otherwise it fails
+	// with Conflict.
 	Update(ctx context.Context, o Object) (Object, error)
 	// UpdateStatus replaces Status if the object is still at o.Version.
 	UpdateStatus(ctx context.Context, o Object) (Object, error)
 	// Delete removes an object if it is still at version.
 	Delete(ctx context.Context, kind Kind, name string, version Version) error
-	// Watch reports changes of a kind after from; Gone where from is too old.
+	// Watch reports the changes of a kind after from. It fails with Gone if the
+	// platform no longer has the changes since from.
 	Watch(ctx context.Context, kind Kind, from Version) (Watch, error)
 }
 
-// PlatformFault classes what can go wrong with a call to the platform.
+// PlatformFault classifies the failure of a call to the platform.
 type PlatformFault uint8
 
 // Faults of platform calls.
 const (
-	// Unavailable: the call certainly had no effect (refused or over budget).
+	// Unavailable: the call certainly had no effect, because it was refused or
+	// exceeded the budget of calls.
 	Unavailable PlatformFault = iota
 	// Unknown: the call may or may not have taken effect.
 	Unknown
-	// Conflict: the object has moved on from the version named.
+	// Conflict: the object no longer has the version that the call is conditional
+	// on.
 	Conflict
-	// Exists: the name to create is taken.
+	// Exists: an object of this name exists already.
 	Exists
-	// NotFound: no object of that name.
+	// NotFound: there is no object of this name.
 	NotFound
-	// Gone: the version to watch from is no longer held.
+	// Gone: the platform no longer has the changes since the given version.
 	Gone
-	// Invalid: the platform rejects the object.
+	// Invalid: the platform rejected the object as invalid.
 	Invalid
 	platformFaultCount
 )
--- a/core/proto.go
+++ b/core/proto.go
@@ -6,113 +6,117 @@
 )
 
 // PromptPart is one part of a prompt. Requests whose prompts begin with the same
-// parts share the work of reading them.
+// parts can share the prefill work for them.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Ask is what a caller on a managed platform says of its request beside method,
-// path and body.
+// Ask is the metadata that a caller on a managed platform sends with a request,
+// besides method, path and body.
 type Ask struct {
 	ID RequestID
-	// Deadline is when the caller stops waiting; zero where it does not say.
+	// Deadline is when the caller stops waiting; zero if the caller sent none.
 	Deadline time.Time
-	// Model is empty for a plain service, Adapter where none is asked for.
+	// Model is empty for a plain service. Adapter is empty if none is requested.
 	Model   ModelName
 	Adapter string
-	// Parts is the prompt in order; the last part is the request's own.
+	// Parts is the prompt in order. Only the last part is specific to the request.
 	Parts []PromptPart
-	// Prompt and Answer are tokens: the prompt's and the most to be generated.
-	// Counted tells that the caller sent them.
+	// Prompt is the number of prompt tokens and Answer the maximum number of
+	// tokens to generate. Counted is set if the caller sent both.
 	Prompt, Answer int
 	Counted        bool
-	// Key is the digest of the caller's key where KeyFault is nil, which otherwise
-	// says why none could be read.
+	// Key is the digest of the caller's key. It is valid only if KeyFault, the
+	// reason why no key could be read, is nil.
 	Key      KeyDigest
 	KeyFault *Refusal
-	// After is the id of the last event that the caller has of an answer which
-	// broke off; empty for a new one.
+	// After is the ID of the last event received of an interrupted stream that the
+	// caller resumes; empty for a new stream.
 	After string
 }
 
-// Hop is what an entry tells the upstream that it hands a request to.
+// Hop is the metadata that an entry sends to an upstream with a request.
 type Hop struct {
-	// Instance is the life of the upstream that is meant; any other refuses.
+	// Instance is the instance of the upstream that is to run the request; any
+	// other refuses it.
 	Instance HostName
-	// Left is how long the upstream may work.
+	// Left is the time remaining for the upstream to run the request.
 	Left time.Duration
-	// Rank is the urgency among the upstream's requests; zero goes first.
+	// Rank is the priority among the upstream's requests; zero is served first.
 	Rank int
-	// After is the id of the event after which a stream goes on; empty for one
-	// that starts.
+	// After is the ID of the event after which a stream resumes; empty for a new
+	// stream.
 	After string
-	// Customer is whom the request is from; empty where that is not known.
+	// Customer is the customer that the request is from; empty if unknown.
 	Customer OwnerName
 }
 
-// Ranks is the number of urgencies that upstreams tell apart.
+// Ranks is the number of priorities that upstreams distinguish.
 const Ranks = 10
 
-// Quotas counts what customers use over all entries.
+// Quotas accounts for the usage of customers across all entries.
 type Quotas interface {
-	// Take takes units of a customer's allowance. Its refusal says when they should be
-	// there.
+	// Take deducts units from a customer's allowance. Its refusal names the time
+	// at which the units are expected to be available.
 	Take(ctx context.Context, customer OwnerName, units float64) *Refusal
-	// Put gives back units that were taken for a request which did not run.
+	// Put returns units that were taken for a request that did not run.
 	Put(customer OwnerName, units float64)
 }
 
-// Pacer spaces the requests of all entries to upstreams that name a rate limit.
+// Pacer spaces the requests of all entries to upstreams that set a rate limit.
 type Pacer interface {
-	// Reserve makes the next reservation at an upstream that takes rate requests a second,
-	// if its time comes by a time, and returns that time.
+	// Reserve makes the next reservation at an upstream that accepts rate requests
+	// per second and returns its time. It reports false if that time is after by.
 	Reserve(ctx context.Context, upstream HostName, rate float64, by time.Time) (at time.Time, ok bool)
-	// Release gives back a reservation with which nothing was sent.
+	// Release returns a reservation that was not used.
 	Release(upstream HostName, rate float64)
 }
 
-// AnswerHead is what an upstream says of its answer beside status and body.
+// AnswerHead is the metadata that an upstream sends with an answer, besides
+// status and body.
 type AnswerHead struct {
 	// ID is the request that is answered.
 	ID RequestID
-	// Signed tells that the answer carries the upstream's signature.
+	// Signed is set if the answer carries the upstream's signature.
 	Signed bool
-	// NotRun tells that the upstream says it did not run the request.
+	// NotRun is set if the upstream states that it did not run the request.
 	NotRun bool
-	// Limit is the rate that the upstream names.
+	// Limit is the request rate that the upstream accepts.
 	Limit RateLimit
-	// Leaving tells that the upstream says it leaves.
+	// Leaving is set if the upstream states that it is shutting down.
 	Leaving bool
-	// RetryAt is when this process may send to the upstream again, which has turned the
-	// request away; zero where it does not say.
+	// RetryAt is when this process may send to an upstream again that has rejected
+	// the request; zero if the upstream named no time.
 	RetryAt time.Time
-	// Unknown are the names of fields that are the platform's and not known here, sorted.
+	// Unknown lists, sorted, the names of fields that belong to the platform but
+	// that this version doesn't know.
 	Unknown []string
 }
 
-// RateLimit is the requests a second that an upstream takes from all entries together.
-// The zero RateLimit is that of an upstream which names none.
+// RateLimit is the number of requests per second that an upstream accepts from
+// all entries together. The zero value means that the upstream sets no limit.
 type RateLimit struct {
+	// Named is set if the upstream sets a limit.
 	Named bool
 	Rate  float64
 }
 
-// Protocol is how callers and upstreams of a managed platform name these things
-// in the fields of HTTP messages.
+// Protocol maps request and answer metadata of a managed platform to the header
+// fields of HTTP messages.
 type Protocol interface {
-	// Ask reads a caller's request, which arrived at a time.
+	// Ask reads the header of a caller's request that arrived at the given time.
 	Ask(header map[string][]string, arrived time.Time) (Ask, *Refusal)
-	// Forward returns the fields for the upstream: the caller's own without those
-	// that concern only its connection or that callers may not set, and without
-	// credentials.
+	// Forward returns the header fields for the upstream: the caller's own without
+	// hop-by-hop fields, fields that callers may not set, and credentials.
 	Forward(header map[string][]string, h Hop) map[string][]string
-	// Answer reads the head of an upstream's answer, with its HTTP status, which came at
-	// a time.
+	// Answer reads the header of an upstream's answer that arrived at now with the
+	// given HTTP status.
 	Answer(header map[string][]string, status int, now time.Time) AnswerHead
-	// Reply returns the fields of an upstream's answer that callers get.
+	// Reply returns the header fields of an upstream's answer that the caller
+	// receives.
 	Reply(header map[string][]string) map[string][]string
-	// Refuse returns the fields of a refusal to a request: when to come back,
-	// where the refusal says so.
+	// Refuse returns the header fields of the answer to a refused request. They
+	// include the time to retry if the refusal has one.
 	Refuse(id RequestID, r *Refusal, now time.Time) map[string][]string
 }
--- a/core/refuse.go
+++ b/core/refuse.go
@@ -8,8 +8,8 @@
 // Code is the stable code of a refusal or failure, as callers see it.
 type Code string
 
-// Codes of refusals and failures. docs/ERRORS.md lists them; a test holds the
-// page to this table.
+// Codes of refusals and failures. docs/ERRORS.md lists them; TestErrorsPage
+// checks that the page matches codeTable.
 const (
 	CodeBadRequest     Code = "bad-request"
 	CodeBadKey         Code = "bad-credentials"
@@ -46,13 +46,14 @@
 // CodeInfo describes a code to callers and operators.
 type CodeInfo struct {
 	Code Code
-	// Status is the HTTP status callers get.
+	// Status is the HTTP status that callers receive.
 	Status int
-	// Type is the OpenAI error type, which clients' libraries map to classes.
+	// Type is the error type of the OpenAI API, which client libraries map to
+	// exception classes.
 	Type string
-	// Again tells that a later try can pass, so that Retry-After is sent.
+	// Again is set if a later attempt can succeed, so that Retry-After is sent.
 	Again bool
-	// Text says in a sentence what the code means.
+	// Text explains the code in one sentence.
 	Text string
 }
 
@@ -89,10 +90,11 @@
 	{CodeInternal, 500, "api_error", false, "The entry failed; the log has the cause under the request id."},
 }
 
-// Codes returns the table of all codes.
+// Codes returns the descriptions of all codes.
 func Codes() []CodeInfo { return slices.Clone(codeTable) }
 
-// Info returns the code's row of the table, or that of CodeInternal.
+// Info returns the code's description, or that of CodeInternal if the code is
+// unknown.
 func (c Code) Info() CodeInfo {
 	for _, row := range codeTable {
 		if row.Code == c {
@@ -102,16 +104,16 @@
 	return CodeInternal.Info()
 }
 
-// Refusal is the typed answer to a request that is not (wholly) served. It is
-// what every hop returns instead of an answer.
+// Refusal is the error answer to a request that was not served, or not
+// completely. Every hop returns it in place of an answer.
 type Refusal struct {
 	Code    Code
 	Outcome Outcome
-	// Reason tells the caller what happened, in a sentence.
+	// Reason explains to the caller what happened, in one sentence.
 	Reason string
-	// RetryAt is when a later try can pass; zero where none is foreseen.
+	// RetryAt is when a later attempt can succeed; zero if unknown.
 	RetryAt time.Time
-	// Host is the upstream host that refused; empty where an entry did.
+	// Host is the upstream host that refused; empty if an entry did.
 	Host HostName
 }
 
@@ -125,7 +127,8 @@
 	return &Refusal{Code: code, Outcome: NotRun, Reason: reason}
 }
 
-// RefuseUntil is Refuse with the time from which a later try can pass.
+// RefuseUntil is like Refuse, with the time from which a later attempt can
+// succeed.
 func RefuseUntil(code Code, reason string, at time.Time) *Refusal {
 	return &Refusal{Code: code, Outcome: NotRun, Reason: reason, RetryAt: at}
 }
--- a/core/style_test.go
+++ b/core/style_test.go
@@ -20,33 +20,33 @@
 	set  *token.FileSet
 }
 
-// styleRule is one numbered rule of docs/STYLE.md that a program can check.
+// styleRule is a numbered rule of docs/STYLE.md that is checked automatically.
 type styleRule struct {
 	id   string
 	text string
-	// find returns the position and text of each breach.
-	find func(s source) []breach
+	// find returns the violations of the rule in a file.
+	find func(s source) []violation
 }
 
-type breach struct {
-	at   token.Pos
-	what string
+type violation struct {
+	pos     token.Pos
+	problem string
 }
 
 var styleRules = []styleRule{
-	{"RS1001", "core does no input or output and reads no wall clock", findOutside},
+	{"RS1001", "core does no input or output and reads no wall clock", findIO},
 	{"RS1002", "package names have four to six letters", findLongPackage},
 	{"RS1003", "every failure has a type: no errors made of bare strings", findBareError},
 	{"RS1004", "product code starts no process", findProcess},
 }
 
-// outsideImports are packages that core and the packages below it must not use.
-var outsideImports = []string{"net", "net/http", "net/rpc", "os", "os/signal", "syscall", "k8s.io/klog/v2", "math/rand"}
+// ioImports are the packages that core and the packages below it must not use.
+var ioImports = []string{"net", "net/http", "net/rpc", "os", "os/signal", "syscall", "k8s.io/klog/v2", "math/rand"}
 
-// outsideCalls read the clock, sleep or start timers.
-var outsideCalls = []string{"time.Now", "time.Sleep", "time.After", "time.AfterFunc", "time.NewTimer", "time.NewTicker", "time.Tick", "time.Since", "time.Until"}
+// clockCalls read the clock, sleep or start timers.
+var clockCalls = []string{"time.Now", "time.Sleep", "time.After", "time.AfterFunc", "time.NewTimer", "time.NewTicker", "time.Tick", "time.Since", "time.Until"}
 
-// bareErrors make an error that callers can tell apart only by its text.
+// bareErrors create errors that callers can distinguish only by their text.
 var bareErrors = []string{"errors.New", "fmt.Errorf", "oops.Errorf", "oops.New"}
 
 func TestStyle(t *testing.T) {
@@ -54,8 +54,8 @@
 	for _, rule := range styleRules {
 		t.Run(rule.id, func(t *testing.T) {
 			for _, s := range sources {
-				for _, b := range rule.find(s) {
-					t.Errorf("%s: %s: %s", s.set.Position(b.at), rule.text, b.what)
+				for _, v := range rule.find(s) {
+					t.Errorf("%s: %s: %s", s.set.Position(v.pos), rule.text, v.problem)
 				}
 			}
 		})
@@ -75,43 +75,43 @@
 	}
 }
 
-func findOutside(s source) []breach {
+func findIO(s source) []violation {
 	if !strings.HasPrefix(s.path, "core/") {
 		return nil
 	}
-	found := findCalls(s.file, outsideCalls)
+	found := findCalls(s.file, clockCalls)
 	for _, spec := range s.file.Imports {
-		for _, bad := range outsideImports {
+		for _, bad := range ioImports {
 			if strings.Trim(spec.Path.Value, `"`) == bad {
-				found = append(found, breach{spec.Pos(), "imports " + bad})
+				found = append(found, violation{spec.Pos(), "imports " + bad})
 			}
 		}
 	}
 	return found
 }
 
-func findLongPackage(s source) []breach {
+func findLongPackage(s source) []violation {
 	name := s.file.Name.Name
 	if n := len(name); name == "main" || n >= 4 && n <= 6 {
 		return nil
 	}
-	return []breach{{s.file.Name.Pos(), "package " + name}}
+	return []violation{{s.file.Name.Pos(), "package " + name}}
 }
 
-func findBareError(s source) []breach { return findCalls(s.file, bareErrors) }
+func findBareError(s source) []violation { return findCalls(s.file, bareErrors) }
 
-// findProcess passes over the soak alone: it is a developers' tool that has to run
-// the real programs as processes, and no part of what serves links it
-// (TestServingLinksNoTools).
-func findProcess(s source) []breach {
+// findProcess exempts only io/soak: it is a developer tool that has to run the
+// real programs as processes, and TestServingLinksNoTools checks that no serving
+// program links it.
+func findProcess(s source) []violation {
 	if strings.HasPrefix(s.path, "io/soak/") {
 		return nil
 	}
 	return findCalls(s.file, []string{"exec.Command", "exec.CommandContext", "os.StartProcess", "syscall.ForkExec"})
 }
 
-func findCalls(file *ast.File, names []string) []breach {
-	var found []breach
+func findCalls(file *ast.File, names []string) []violation {
+	var found []violation
 	ast.Inspect(file, func(n ast.Node) bool {
 		sel, ok := n.(*ast.SelectorExpr)
 		if !ok {
@@ -123,7 +123,7 @@
 		}
 		for _, name := range names {
 			if left.Name+"."+sel.Sel.Name == name {
-				found = append(found, breach{sel.Pos(), "uses " + name})
+				found = append(found, violation{sel.Pos(), "uses " + name})
 			}
 		}
 		return true
@@ -131,8 +131,8 @@
 	return found
 }
 
-// The soak starts processes, which nothing that serves may do. Only the developers'
-// command line may link it.
+// TestServingLinksNoTools checks that only the developers' command line links
+// io/soak: the soak test starts processes, which no serving program may do.
 func TestServingLinksNoTools(t *testing.T) {
 	for _, s := range parseModule(t, "..") {
 		for _, spec := range s.file.Imports {
@@ -146,7 +146,7 @@
 	}
 }
 
-// parseModule parses all product files: no tests, no generated code.
+// parseModule parses all Go files below root except tests and generated code.
 func parseModule(t *testing.T, root string) []source {
 	t.Helper()
 	var sources []source
--- a/core/stylepage_test.go
+++ b/core/stylepage_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// docs/STYLE.md has a row for each rule, in their order, and no others.
+// TestStylePage checks that docs/STYLE.md has exactly one row for each rule, in
+// the same order.
 func TestStylePage(t *testing.T) {
 	page, err := os.ReadFile("../docs/STYLE.md")
 	assert.NilError(t, err)
--- a/core/values_test.go
+++ b/core/values_test.go
@@ -8,7 +8,8 @@
 	"radishwell/core"
 )
 
-// FuzzBytes: what is read as a size is never negative and reads the same again.
+// FuzzBytes checks that a parsed size is never negative and survives a round
+// trip through its text.
 func FuzzBytes(f *testing.F) {
 	for _, text := range []string{"8GiB", "512 MiB", "0B", "9223372036854775807B", "8388608TiB", "-1B", "8", "GiB", "1e3KiB"} {
 		f.Add(text)
@@ -25,8 +26,8 @@
 	})
 }
 
-// FuzzClass: what is read as a class is one of those known and is written as it
-// was read.
+// FuzzClass checks that a parsed class is valid and that its text is the one it
+// was parsed from.
 func FuzzClass(f *testing.F) {
 	for _, text := range []string{"interactive", "evening", "overnight", "", "Evening", "unknown"} {
 		f.Add(text)
