--- a/core/claims/call.go
+++ b/core/claims/call.go
@@ -8,67 +8,72 @@
 )
 
 const (
-	// askAgain is the time between two questions to an agent that can't be
-	// reached: short against a person's wait, long against a reconnection.
-	askAgain = 250 * time.Millisecond
-	// maxAttempts bounds the attempts one request claims. Each needs a refusal
-	// by an agent, so more than a few mean that the fleet is in no state to run
-	// the request.
+	// askInterval is the time between queries to an agent that can't be reached.
+	// It is short compared with the time a person waits, and long compared with
+	// the time a reconnection takes.
+	askInterval = 250 * time.Millisecond
+	// maxAttempts bounds the attempts that one request claims. Each further
+	// attempt requires that an agent refused the previous one, so if it takes more
+	// than a few, the fleet is unable to run the request.
 	maxAttempts = 8
 )
 
-// Call is the state machine of one keyed request at one entry, from arrival to
-// the choice of what to answer. It is where "not run" and "may have run" are
-// told apart. Fields are set before Start.
+// Call is the state machine of one keyed request at one entry, from its arrival
+// until its answer is decided. It decides between the outcomes "not run" and
+// "may have run". Its exported fields must be set before Start.
 //
-// Each method returns the one Step to take next; its outcome comes back by the
-// method that the StepKind names. A Call hands each attempt over at most once.
+// Each method returns the next Step to take. The result of the step is passed
+// to the method named at its StepKind. A Call hands over each attempt at most
+// once.
 type Call struct {
 	ID          dedupe.KeyID
 	Fingerprint core.Fingerprint
 	// Claimant is drawn at random for this request.
 	Claimant uint64
 	Deadline time.Time
-	// Expires is what ExpiryOf returns for the deadline.
+	// Expires is the result of ExpiryOf for the deadline.
 	Expires time.Time
 
-	// claim is the attempt at hand. Mine tells that this call claimed it and has
-	// not asked about it since: what its agent says of it is news.
-	claim    Claim
+	// claim is the current attempt.
+	claim Claim
+	// mine is set if this call won the current claim and has not queried the agent
+	// about it since, so that the agent's answer can't be an old one.
 	mine     bool
 	attempts int
-	// met tells that this call met somebody else's claim since it last won one.
-	// Whoever made that claim may be going on with a later attempt, so "not run"
-	// would be true of this sending but the caller would take it for the request.
-	met bool
+	// metOther is set if this call has come across another claimant's claim since
+	// it last won one. That claimant may go on to a later attempt, so this call
+	// must not answer "not run": it would be true of this call only, but the
+	// caller would take it to be true of the request.
+	metOther bool
 }
 
-// StepKind is what an entry is to do next.
+// StepKind is the kind of action that an entry takes next.
 type StepKind uint8
 
 // Kinds of steps.
 const (
-	// StepPick: choose a host that may run the request; then call Picked, or
-	// NoHost.
+	// StepPick: choose a host to run the request; then call Picked, or NoHost if
+	// there is none.
 	StepPick StepKind = iota
-	// StepClaim: ask the journal for Step.Claim; then call Claimed.
+	// StepClaim: submit Step.Claim to its journal; then call Claimed.
 	StepClaim
-	// StepHandOver: hand the request over under Step.Claim, once, and relay what
-	// comes; then call Ended.
+	// StepHandOver: send the request under Step.Claim to its agent, once, and
+	// relay the answer; then call Ended.
 	StepHandOver
-	// StepAsk: ask the agent of Step.Claim what became of its attempt, not
+	// StepAsk: ask the agent of Step.Claim for the state of its attempt, not
 	// before Step.At; then call Asked.
 	StepAsk
-	// StepAttach: read the answer of Step.Claim's attempt from its agent and
-	// relay it from where this caller's answer stands; then call Ended.
+	// StepAttach: read the answer of Step.Claim's attempt from its agent and relay
+	// it, starting after the bytes already relayed to this caller; then call
+	// Ended.
 	StepAttach
 	// StepRefuse: answer the caller with Step.Refusal. The call is over.
 	StepRefuse
-	// StepDone: the caller has its whole answer. The call is over.
+	// StepDone: the caller has received the whole answer. The call is over.
 	StepDone
 )
 
-// Step is what to do next.
+// Step is the next action of a Call.
 type Step struct {
 	Kind    StepKind
 	Claim   Claim
@@ -76,7 +81,7 @@
 	Refusal *core.Refusal
 }
 
-// Ending is how a hand-over or attachment ended.
+// Ending is the result of a StepHandOver or StepAttach.
 type Ending uint8
 
 // Endings.
@@ -85,18 +90,19 @@
 	EndWhole Ending = iota
 	// EndRefused: the agent answered with a refusal.
 	EndRefused
-	// EndLost: contact was lost before the end of the answer.
+	// EndLost: the connection was lost before the end of the answer.
 	EndLost
-	// EndUnsent: nothing was sent; the agent can't have seen the attempt.
+	// EndUnsent: nothing was sent, so the agent can't have seen the attempt.
 	EndUnsent
 )
 
-// Standing is an agent's answer about an attempt.
+// Standing is the result of a StepAsk.
 type Standing struct {
-	// Reached is false where the agent gave no answer.
+	// Reached is false if the agent didn't answer.
 	Reached bool
-	// Gone tells that the platform no longer lists the host.
-	Gone  bool
+	// Gone is set if the platform no longer lists the host.
+	Gone bool
+	// State is the agent's answer. It is valid only if Reached is set.
 	State dedupe.State
 }
 
@@ -109,7 +115,7 @@
 	return Step{Kind: StepPick}
 }
 
-// Picked takes the host chosen to run the next attempt.
+// Picked passes the host chosen to run the next attempt.
 func (c *Call) Picked(host core.HostName, incarnation core.Incarnation) Step {
 	c.mine = false
 	c.claim = Claim{
@@ -119,33 +125,34 @@
 	return Step{Kind: StepClaim, Claim: c.claim}
 }
 
-// NoHost ends the call with the reason why there is no host to pick.
+// NoHost ends the call because no host can be chosen, for the reason in r.
 func (c *Call) NoHost(r *core.Refusal) Step { return c.refuse(r) }
 
-// Claimed takes the journal's answer.
+// Claimed passes the journal's answer.
 func (c *Call) Claimed(now time.Time, a Answer) Step {
 	switch {
 	case a.Result == Unsure:
-		// Whether or not the claim was recorded, its attempt is never handed
-		// over, and whoever meets it seals it.
+		// This attempt is never handed over, whether or not its claim was recorded.
+		// Any call that comes across the claim seals the attempt.
 		return c.refuse(core.RefuseUntil(core.CodeClaimUnknown, "the idempotency key could not be recorded", a.RetryAt))
 	case a.Result == Won && now.Before(c.Deadline):
-		c.claim, c.mine, c.met = a.Holder, true, false
+		c.claim, c.mine, c.metOther = a.Holder, true, false
 		return Step{Kind: StepHandOver, Claim: c.claim}
 	case a.Result == Won:
-		// The answer may have taken long enough for others to seal this attempt
-		// and run the next, so this is a claim met rather than one won.
-		c.met = true
+		// The journal's answer may have taken so long that others have sealed this
+		// attempt and run the next one, so it counts like another's claim.
+		c.metOther = true
 		return c.refuse(core.Refuse(core.CodeDeadline, "the deadline passed while the key was recorded"))
 	case a.Holder.Fingerprint != c.Fingerprint:
 		return Step{Kind: StepRefuse, Refusal: core.Refuse(core.CodeKeyReused, "the idempotency key was used with another request")}
 	}
-	c.claim, c.mine, c.met = a.Holder, false, true
+	c.claim, c.mine, c.metOther = a.Holder, false, true
 	return Step{Kind: StepAsk, Claim: c.claim, At: now}
 }
 
-// Ended takes how a hand-over or attachment ended. The refusal counts for
-// EndRefused only; again tells that the request may be tried on another host.
+// Ended passes the result of a hand-over or attachment. The refusal r is used
+// for EndRefused only; again is set if the request may be retried on another
+// host.
 func (c *Call) Ended(now time.Time, e Ending, r *core.Refusal, again bool) Step {
 	switch {
 	case e == EndWhole:
@@ -155,13 +162,13 @@
 	case e == EndUnsent && c.mine:
 		return c.next(now, nil)
 	case e == EndUnsent:
-		return c.ask(now)
+		return c.askLater(now)
 	case r.Outcome != core.NotRun || r.Code == core.CodeKeyReused:
 		return Step{Kind: StepRefuse, Refusal: r}
 	case r.Code == core.CodeSealed:
-		// Somebody else gave this attempt up; what they claimed after it may be
-		// running, so this call goes on to find that claim.
-		c.met = true
+		// Another call gave this attempt up. The attempt that it claimed next may be
+		// running, so this call continues in order to find that claim.
+		c.metOther = true
 		return c.next(now, nil)
 	case again || !c.mine:
 		return c.next(now, r)
@@ -169,37 +176,39 @@
 	return c.refuse(r)
 }
 
-// Asked takes an agent's answer about the attempt at hand.
+// Asked passes the state of the current attempt.
 func (c *Call) Asked(now time.Time, s Standing) Step {
 	switch {
 	case s.Reached && s.State == dedupe.Sealed:
-		// It may have been somebody else who sealed it, earlier.
-		c.met = true
+		// Another call may have sealed the attempt earlier.
+		c.metOther = true
 		return c.next(now, nil)
 	case s.Reached && s.State == dedupe.Lost:
 		return c.refuse(mayHaveRun("the request with this key ran or may have run, and its answer is lost"))
 	case s.Reached:
-		// A refusal read this way may be an old one, kept by the agent while
-		// others have gone on to the next attempt.
-		c.mine, c.met = false, true
+		// A refusal read by attaching may be out of date: the agent kept it, and
+		// other calls may have started the next attempt since.
+		c.mine, c.metOther = false, true
 		return Step{Kind: StepAttach, Claim: c.claim}
 	case s.Gone:
 		return c.refuse(mayHaveRun("the host that was to run the request with this key is gone"))
 	}
-	return c.ask(now)
+	return c.askLater(now)
 }
 
-// ask asks the agent again after a pause, while the deadline leaves time.
-func (c *Call) ask(now time.Time) Step {
-	at := now.Add(askAgain)
+// askLater returns the step that asks the agent again after askInterval, or a
+// refusal if the deadline comes first.
+func (c *Call) askLater(now time.Time) Step {
+	at := now.Add(askInterval)
 	if !at.Before(c.Deadline) {
 		return c.refuse(mayHaveRun("the host that was to run the request with this key can't be reached"))
 	}
 	return Step{Kind: StepAsk, Claim: c.claim, At: at}
 }
 
-// next goes on to the following attempt. The one at hand is known never to run:
-// its agent sealed or refused it, or this call claimed it and sent nothing.
+// next goes on to the next attempt, or ends the call with r if there is none.
+// The current attempt must be known never to run: its agent sealed or refused
+// it, or this call claimed it and sent nothing.
 func (c *Call) next(now time.Time, r *core.Refusal) Step {
 	c.attempts++
 	if c.attempts >= maxAttempts || !now.Before(c.Deadline) {
@@ -213,7 +222,7 @@
 }
 
 func (c *Call) refuse(r *core.Refusal) Step {
-	if c.met && r.Outcome == core.NotRun {
+	if c.metOther && r.Outcome == core.NotRun {
 		r = mayHaveRun("another sending of the request with this key may have run: " + r.Reason)
 	}
 	return Step{Kind: StepRefuse, Refusal: r}
--- a/core/claims/call_test.go
+++ b/core/claims/call_test.go
@@ -10,7 +10,7 @@
 	"radishwell/core/dedupe"
 )
 
-// picked returns a call that is about to claim its first attempt.
+// picked returns a call whose next step is to claim its first attempt.
 func picked() *Call {
 	c := &Call{Fingerprint: 7, Claimant: 1, Deadline: start.Add(time.Minute), Expires: start.Add(time.Hour)}
 	c.Start(start)
@@ -27,17 +27,18 @@
 	assert.Equal(t, s.Refusal.Outcome, outcome)
 }
 
-// An entry is paused while it waits for its claim. Meanwhile the caller's
-// repeat has the attempt sealed and runs the next. When the entry goes on, its
-// deadline has passed; it must not say that the request didn't run.
+// TestClaimWonAfterDeadline guards against a wrong "not run". An entry pauses
+// while it waits for its claim; meanwhile a repeated request seals the attempt
+// and runs the next one. The entry resumes after its deadline.
 func TestClaimWonAfterDeadline(t *testing.T) {
 	c := picked()
 	assertRefusal(t, c.Claimed(start.Add(time.Minute), won(c)), core.CodeRanElsewhere, core.MayHaveRun)
 }
 
-// An entry loses contact in a hand-over and finds its attempt sealed: by its own
-// question, or by that of a repeat that has run the next attempt since. If it
-// can't claim the next one itself, it must not say that the request didn't run.
+// TestOwnAttemptFoundSealed guards against a wrong "not run". An entry loses the
+// connection during a hand-over and finds its attempt sealed, either by its own
+// query or by that of a repeated request, which may have run the next attempt.
+// The entry then can't claim the next attempt itself.
 func TestOwnAttemptFoundSealed(t *testing.T) {
 	c := picked()
 	assert.Equal(t, c.Claimed(start, won(c)).Kind, StepHandOver)
@@ -47,8 +48,9 @@
 	assertRefusal(t, c.NoHost(no), core.CodeRanElsewhere, core.MayHaveRun)
 }
 
-// The attempt arrives after a repeat's entry has sealed it. Its entry goes on to
-// the next attempt and finds there what the repeat claimed.
+// TestSealedHandOverFollowsTheNextAttempt checks that an entry whose attempt was
+// sealed before it arrived goes on to the next attempt and attaches to the one
+// that the repeated request claimed.
 func TestSealedHandOverFollowsTheNextAttempt(t *testing.T) {
 	c := picked()
 	c.Claimed(start, won(c))
@@ -65,10 +67,12 @@
 	assert.Equal(t, c.Ended(start, EndWhole, nil, false).Kind, StepDone)
 }
 
-// An entry loses contact in a hand-over and attaches again. The agent has refused
-// the attempt from its queue since, and a repeat has run the next one before the
-// entry hears of that. The refusal is old; the entry must look for the next claim.
-func TestRefusalReadLaterIsNoNews(t *testing.T) {
+// TestRefusalReadLaterMayBeStale guards against a wrong "not run". An entry
+// loses the connection during a hand-over and attaches to the attempt. The agent
+// then refuses the attempt from its queue, and a repeated request runs the next
+// one before the entry learns of the refusal. The refusal is out of date, so the
+// entry must look for the next claim.
+func TestRefusalReadLaterMayBeStale(t *testing.T) {
 	c := picked()
 	c.Claimed(start, won(c))
 	c.Ended(start, EndLost, nil, false)
@@ -78,7 +82,7 @@
 	assertRefusal(t, c.NoHost(full), core.CodeRanElsewhere, core.MayHaveRun)
 }
 
-func TestRefusedFirstHandIsNotRun(t *testing.T) {
+func TestRefusedHandOverIsNotRun(t *testing.T) {
 	c := picked()
 	c.Claimed(start, won(c))
 	full := core.Refuse(core.CodeQueueFull, "full")
@@ -93,7 +97,7 @@
 	for ; s.Kind == StepAsk; asks++ {
 		s = c.Asked(s.At, Standing{})
 	}
-	assert.Equal(t, asks, int(time.Minute/askAgain))
+	assert.Equal(t, asks, int(time.Minute/askInterval))
 	assertRefusal(t, s, core.CodeRanElsewhere, core.MayHaveRun)
 }
 
--- a/core/claims/claim.go
+++ b/core/claims/claim.go
@@ -12,34 +12,34 @@
 	"radishwell/core/dedupe"
 )
 
-// Claim is a claim on one attempt of a keyed request.
+// Claim is the exclusive right to run one attempt of a keyed request.
 type Claim struct {
 	ID          dedupe.KeyID
 	Fingerprint core.Fingerprint
-	// Host and Incarnation name the agent that is to run the attempt.
+	// Host and Incarnation identify the agent that is to run the attempt.
 	Host        core.HostName
 	Incarnation core.Incarnation
 	// Claimant is drawn at random for each request as it arrives at an entry. A
-	// claimant whose answer was lost knows its claim by it.
+	// claimant that missed the journal's answer recognizes its own claim by it.
 	Claimant uint64
-	// Attempt counts from 1.
+	// Attempt is the number of the attempt, from 1.
 	Attempt uint64
-	// Expires is when the key ages out, in whole seconds; see Lifetime.
+	// Expires is when the key expires, in whole seconds; see Lifetime.
 	Expires time.Time
 }
 
 // Lifetime is how long a key is remembered after its request's deadline.
 const Lifetime = 24 * time.Hour
 
-// ExpiryOf returns when a key with this request's deadline ages out, given how
-// long keys are to be remembered. It is past the deadline, so that no attempt
-// is under way when its claim ages out.
+// ExpiryOf returns when the key of a request with the given deadline expires if
+// keys are remembered for lifetime after it, rounded up to whole seconds. A claim
+// never expires before its deadline, so no attempt is in flight when it does.
 func ExpiryOf(deadline time.Time, lifetime time.Duration) time.Time {
 	return deadline.Add(lifetime + time.Second - 1).Truncate(time.Second)
 }
 
-// Journals is the number of journals. It is no setting: two entries that
-// disagreed on it would claim one key in two journals and both win.
+// Journals is the number of journals. It isn't configurable: two entries with
+// different values would claim the same key in two journals, and both would win.
 const Journals = 4
 
 // JournalOf returns the journal of a key.
@@ -49,8 +49,9 @@
 	return int(xxhash.Sum64(id[:]) % uint64(journals))
 }
 
-// Rank orders entries for a journal by rendezvous hashing, the one in charge
-// first. When an entry comes or goes, only journals that it leads change hands.
+// Rank orders entries for a journal by rendezvous hashing. The first one writes
+// the journal. When an entry joins or leaves, only the journals that it writes
+// move.
 func Rank(journal int, entries []core.HostName) []core.HostName {
 	ranked := slices.Clone(entries)
 	weight := func(h core.HostName) uint64 {
@@ -66,36 +67,36 @@
 	return ranked
 }
 
-// Result is the answer to a claim.
+// Result is the result of submitting a claim to a journal.
 type Result uint8
 
 // Results of claims. The zero value grants nothing.
 const (
-	// Unsure: the platform could not be reached in time. The claim may or may
-	// not be recorded; the claimant must not hand its attempt over.
+	// Unsure: the platform could not be reached in time. The claim may or may not
+	// have been recorded; the claimant must not hand over its attempt.
 	Unsure Result = iota
-	// Won: the claim is durable and the claimant may hand its attempt over.
+	// Won: the claim is durable and the claimant may hand over its attempt.
 	Won
-	// Held: another claim is the key's latest; nothing was recorded.
+	// Held: another claim is the key's latest, and nothing was recorded.
 	Held
 )
 
-// Answer is the answer to one Ask.
+// Answer is a journal's answer to an Ask.
 type Answer struct {
-	// Token is the one the Ask carried.
+	// Token is the token of the Ask.
 	Token  uint64
 	Result Result
-	// Holder is the claim now in force, for Won and Held.
+	// Holder is the key's latest claim; set for Won and Held.
 	Holder Claim
-	// RetryAt is when to try again, for Unsure.
+	// RetryAt is when to retry; set for Unsure.
 	RetryAt time.Time
 }
 
-// Ask asks a journal for a claim.
+// Ask is a request to a journal to record a claim.
 type Ask struct {
-	// Token identifies the Ask in its Answer; it is unique in the process.
+	// Token identifies the Ask in its Answer. It is unique within the process.
 	Token uint64
 	Claim Claim
-	// GiveUp is when the claimant stops waiting.
+	// GiveUp is when the claimant stops waiting for the answer.
 	GiveUp time.Time
 }
--- a/core/claims/faults_test.go
+++ b/core/claims/faults_test.go
@@ -11,13 +11,14 @@
 )
 
 // faultRow is one row of the table in docs/design/at-most-once.md: a caller
-// sends a request through entry 0 and again through entry 1.
+// sends a request through entry 0 and repeats it through entry 1.
 type faultRow struct {
-	// faults are "step: fault", each struck once, at the first chance.
+	// faults is a list of "step: fault". Each fault is injected once, at the first
+	// step of its kind.
 	faults string
-	// second is when the caller sends again.
+	// second is when the caller repeats the request.
 	second time.Duration
-	// first and again are what the two sendings are told.
+	// first and again are the outcomes that the two requests receive.
 	first, again string
 	runs         int
 }
@@ -58,22 +59,22 @@
 	for _, row := range faultTable {
 		t.Run(row.faults+" again after "+row.second.String(), func(t *testing.T) {
 			w := newWorld(3, 2, 2)
-			w.fault = strikeOnce(row.faults)
+			w.fault = injectOnce(row.faults)
 			first := w.send("first", "key0", 7, 0, 10*time.Second)
 			w.runUntil(start.Add(row.second))
 			again := w.send("again", "key0", 7, 1, 10*time.Second)
 			w.runUntil(start.Add(30 * time.Second))
 			w.check()
-			assert.DeepEqual(t, w.wrong, []string(nil))
-			assert.Equal(t, told(first), row.first, strings.Join(w.log, "\n"))
-			assert.Equal(t, told(again), row.again, strings.Join(w.log, "\n"))
+			assert.DeepEqual(t, w.violations, []string(nil))
+			assert.Equal(t, received(first), row.first, strings.Join(w.log, "\n"))
+			assert.Equal(t, received(again), row.again, strings.Join(w.log, "\n"))
 			assert.Equal(t, len(w.runs), row.runs)
 		})
 	}
 }
 
-// strikeOnce strikes each of the faults at the first step of its kind.
-func strikeOnce(faults string) func(string) string {
+// injectOnce injects each of the faults at the first step of its kind.
+func injectOnce(faults string) func(string) string {
 	todo := make(map[string]string)
 	for _, f := range strings.Split(faults, ", ") {
 		step, fault, _ := strings.Cut(f, ": ")
@@ -86,19 +87,20 @@
 	}
 }
 
-func told(s *send) string {
+func received(s *send) string {
 	if s.refusal == nil || s.lost {
 		return s.outcome()
 	}
 	return s.outcome() + " " + string(s.refusal.Code)
 }
 
-// A caller repeats a posting while the platform is down. Through the entry that
-// knows the claim it gets the kept answer; through one that doesn't, or with a
-// new key, it is refused before anything runs, with a time to try again.
+// TestPlatformDown repeats a keyed request while the platform is down. An entry
+// that knows the claim must relay the kept answer. An entry that doesn't, and a
+// request with a new key, must be refused before anything runs, with a time to
+// retry.
 func TestPlatformDown(t *testing.T) {
 	w := newWorld(1, 2, 2)
-	w.fault = strikeOnce("")
+	w.fault = injectOnce("")
 	w.send("before", "key0", 7, 0, 5*time.Second)
 	w.runUntil(start.Add(5 * time.Second))
 	w.down = true
@@ -110,7 +112,7 @@
 	}
 	w.runUntil(start.Add(12 * time.Second))
 	for want, s := range sends {
-		assert.Equal(t, told(s), strings.TrimSuffix(want, ", too"))
+		assert.Equal(t, received(s), strings.TrimSuffix(want, ", too"))
 		if s.refusal != nil && s.refusal.Code == core.CodeClaimUnknown {
 			assert.Assert(t, s.refusal.RetryAt.After(start))
 		}
@@ -118,7 +120,7 @@
 	w.down = false
 	after := w.send("after", "key1", 7, 0, 5*time.Second)
 	w.runUntil(start.Add(20 * time.Second))
-	assert.Equal(t, told(after), "done")
+	assert.Equal(t, received(after), "done")
 	w.check()
-	assert.DeepEqual(t, w.wrong, []string(nil))
+	assert.DeepEqual(t, w.violations, []string(nil))
 }
--- a/core/claims/index.go
+++ b/core/claims/index.go
@@ -7,8 +7,8 @@
 	"radishwell/core/dedupe"
 )
 
-// entry is the latest claim of a key, in 32 bytes: a journal remembers some
-// hundred thousand keys.
+// entry is the latest claim of a key. It takes only 32 bytes, because a journal
+// holds some hundred thousand keys.
 type entry struct {
 	fingerprint uint64
 	claimant    uint64
@@ -21,16 +21,19 @@
 // index holds the latest claim of each key of one journal.
 type index struct {
 	entries map[dedupe.KeyID]entry
-	agents  []agentRef
-	numbers map[agentRef]uint32
+	// agents is the table that the agent field of entries refers to; agentNumbers
+	// is its inverse.
+	agents       []agentRef
+	agentNumbers map[agentRef]uint32
 }
 
-// apply records a claim found in a segment. Segments are read in any order, so
-// a claim from an older segment never replaces one from a newer.
+// apply records a claim found in the segment with the given number. Segments are
+// read in any order, so a claim from an older segment never replaces one from a
+// newer one.
 func (x *index) apply(c Claim, number uint64) {
 	if x.entries == nil {
 		x.entries = make(map[dedupe.KeyID]entry)
-		x.numbers = make(map[agentRef]uint32)
+		x.agentNumbers = make(map[agentRef]uint32)
 	}
 	if old, ok := x.entries[c.ID]; ok && uint64(old.segment) > number {
 		return
@@ -46,16 +49,17 @@
 }
 
 func (x *index) agent(a agentRef) uint32 {
-	if n, ok := x.numbers[a]; ok {
+	if n, ok := x.agentNumbers[a]; ok {
 		return n
 	}
 	n := uint32(len(x.agents))
 	x.agents = append(x.agents, a)
-	x.numbers[a] = n
+	x.agentNumbers[a] = n
 	return n
 }
 
-// latest returns the claim in force for a key.
+// latest returns the latest claim of a key. It reports false if there is none or
+// it has expired.
 func (x *index) latest(now time.Time, id dedupe.KeyID) (Claim, bool) {
 	e, ok := x.entries[id]
 	if !ok || int64(e.expires) <= now.Unix() {
@@ -73,11 +77,11 @@
 	}, true
 }
 
-// sweep drops claims that have aged out, and agents that no claim names.
+// sweep removes expired claims, and agents that no claim refers to.
 func (x *index) sweep(now time.Time) {
 	old := x.agents
 	x.agents = nil
-	x.numbers = make(map[agentRef]uint32)
+	x.agentNumbers = make(map[agentRef]uint32)
 	for id, e := range x.entries {
 		if int64(e.expires) <= now.Unix() {
 			delete(x.entries, id)
--- a/core/claims/journal.go
+++ b/core/claims/journal.go
@@ -9,85 +9,89 @@
 	"radishwell/core/retry"
 )
 
-// GroupInterval is the least time between two writes to one journal.
+// GroupInterval is the minimum time between two writes to one journal.
 //
-// It answers a burst of keyed requests: a write for each would pass the
-// platform's several hundred writes a second, which all else shares. With one
-// group every 50 ms, 4 journals take 80 writes a second whatever the load, and
-// a claim waits 25 ms on average under load and not at all on an idle journal.
+// It bounds the write rate during a burst of keyed requests. One write per claim
+// would exceed the several hundred writes per second that the platform accepts
+// from the whole system. With one group every 50 ms, 4 journals need 80 writes
+// per second at any load. A claim waits 25 ms on average under load, and not at
+// all on an idle journal.
 const GroupInterval = 50 * time.Millisecond
 
 const (
-	// firstBackoff doubles with each failure up to maxBackoff, so that a journal
-	// costs a platform that is down one call a second.
+	// firstBackoff doubles with each failure up to maxBackoff, so that during an
+	// outage of the platform a journal makes one call per second.
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = time.Second
-	// failFastAfter is how long the platform has to fail before claims are
-	// refused at once: shorter gaps are waited out.
+	// failFastAfter is how long the platform must have been failing before claims
+	// are refused without waiting. Claims wait out shorter interruptions.
 	failFastAfter = time.Second
-	// readsAtOnce bounds the reads in flight when a journal is read whole.
-	readsAtOnce = 32
+	// maxReads bounds the reads in flight while the whole journal is read.
+	maxReads = 32
 )
 
 // Journal is the state machine of one journal at one entry. It is not safe for
-// concurrent use. Fields are set before the first call.
+// concurrent use. Its exported fields must be set before the first call.
 //
 // Every method that takes an event returns the Effects to carry out. Reads and
-// Write are calls on the platform, whose outcomes come back by Read and Wrote.
+// Write are calls to the platform, whose results are passed to Read and Wrote.
 type Journal struct {
-	// Number is the journal's, from 0.
+	// Number is the number of the journal, from 0.
 	Number int
-	// Slots is the number of segments in the ring, and SegmentBytes the size at
-	// which a segment is closed. Both bound the journal. All entries must agree
-	// on Slots; one that doesn't is refused all claims. SegmentBytes must be well
-	// below the platform's limit for values.
+	// Slots is the number of slots in the ring, and SegmentBytes the size at which
+	// a segment is closed. Together they bound the journal's size. All entries must
+	// have the same Slots; an entry with another value is granted no claims.
+	// SegmentBytes must be well below the platform's limit for values.
 	Slots        int
 	SegmentBytes core.Bytes
-	// MaxWaiting bounds the claims that wait; more are refused at once.
+	// MaxWaiting bounds the number of waiting claims; further ones are refused at
+	// once.
 	MaxWaiting int
 
-	interval time.Duration // for tests; GroupInterval where zero
-
-	slots   []slot
-	names   map[string]int // slots by object name
-	reading int            // slots in state slotReading
-	tail    int            // slot of the newest segment; -1 for none
-	open    segment
-	index   index
-	waiting []Ask
-	write   *write
-	warm    bool
-	checked bool // the slots form a ring without gaps
-	tried   bool // a gap was read again already
-
-	nextWrite time.Time
-	retryAt   time.Time
-	failed    int
-	failing   time.Time // since when; zero while calls succeed
-	count     Counts
+	interval time.Duration // overrides GroupInterval in tests; zero otherwise
+
+	slots         []slot
+	slotByName    map[string]int // slot index by object name
+	readsInFlight int            // number of slots in state slotReading
+	newest        int            // slot of the newest segment; -1 if there is none
+	openSegment   segment        // content of the newest open segment
+	index         index
+	waiting       []Ask
+	inFlight      *group // the group being written; nil if none
+	preload       bool   // the ring is to be read even if no claims wait
+	complete      bool   // the slots form a ring without gaps
+	reread        bool   // the slots at gaps have been read a second time
+
+	nextWrite    time.Time
+	retryAt      time.Time
+	failures     int       // consecutive failed platform calls
+	failingSince time.Time // time of the first of them; zero if none
+	counts       Counts
 }
 
-// Counts are totals since the start.
+// Counts holds totals since the start.
 type Counts struct {
 	Writes, Reads, Conflicts, Failures, Won, Held, Unsure uint64
 }
 
-// Write is a conditional change of a segment object: Platform.Create where
-// Create is set, else Platform.Update.
+// Write is a conditional write of a segment object: Platform.Create if Create is
+// set, Platform.Update otherwise.
 type Write struct {
 	Create bool
 	Object core.Object
 }
 
-// Effects are what an event asks for.
+// Effects are the actions to carry out after an event.
 type Effects struct {
-	// Reads are names of objects of kind core.KindClaim to get.
-	Reads   []string
-	Write   *Write
+	// Reads are the names of objects of kind core.KindClaim to get.
+	Reads []string
+	// Write is the write to make; nil if there is none.
+	Write *Write
+	// Answers are the answers to deliver to claimants.
 	Answers []Answer
 }
 
-// Reply is the outcome of a platform call. Fault counts only where OK is false.
+// Reply is the result of a platform call. Fault is valid only if OK is false.
 type Reply struct {
 	Name   string
 	Object core.Object
@@ -103,66 +107,67 @@
 	slotRead
 )
 
-// slot is what the journal knows of one object of its ring.
+// slot is the last known state of one object of the ring.
 type slot struct {
 	state  slotState
 	exists bool
 	uid    string
-	// version is the object's; an update is conditional on it.
+	// version is the object's version, on which updates are conditional.
 	version core.Version
 	number  uint64
 	closed  bool
-	// expires is the latest expiry among its claims.
+	// expires is the latest expiry among the segment's claims.
 	expires time.Time
 }
 
-// write is the group being written.
-type write struct {
+// group is a group of claims that one write records. Claimants that gave up
+// during the write are no longer in asks, but their claims are still in claims.
+type group struct {
 	slot    int
 	segment segment
 	asks    []Ask
 	claims  []Claim
 }
 
-// SlotName returns the name of the object in a journal's ring.
+// SlotName returns the name of the object of one slot of a journal's ring.
 func SlotName(journal, slot int) string { return fmt.Sprintf("journal-%d-slot-%04d", journal, slot) }
 
-// Ask takes a claim. Its answer comes in the Effects of this or a later event.
+// Ask submits a claim. Its answer is in the Effects of this or a later event.
 func (j *Journal) Ask(now time.Time, a Ask) Effects {
 	var out Effects
 	if a.Claim.Attempt == 0 || a.Claim.Attempt > maxAttempt {
-		j.answer(&out, Answer{Token: a.Token, Result: Unsure, RetryAt: j.retry(now)})
+		j.answer(&out, Answer{Token: a.Token, Result: Unsure, RetryAt: j.retryTime(now)})
 		return out
 	}
 	if j.decide(now, a, &out) {
 		return out
 	}
 	if len(j.waiting) >= j.MaxWaiting || j.failsFast(now) {
-		j.answer(&out, Answer{Token: a.Token, Result: Unsure, RetryAt: j.retry(now)})
+		j.answer(&out, Answer{Token: a.Token, Result: Unsure, RetryAt: j.retryTime(now)})
 		return out
 	}
 	j.waiting = append(j.waiting, a)
-	j.pump(now, &out)
+	j.advance(now, &out)
 	return out
 }
 
-// Warm reads the journal, so that the first claim needn't wait for that. An
-// entry calls it when it takes a journal over.
+// Warm reads the journal in advance, so that the first claim doesn't have to
+// wait for it. An entry calls it when it takes over a journal.
 func (j *Journal) Warm(now time.Time) Effects {
 	var out Effects
-	j.warm = true
-	j.pump(now, &out)
+	j.preload = true
+	j.advance(now, &out)
 	return out
 }
 
-// Tick is called at the time that Next returns.
+// Tick must be called at the time that Next returns.
 func (j *Journal) Tick(now time.Time) Effects {
 	var out Effects
-	j.pump(now, &out)
+	j.advance(now, &out)
 	return out
 }
 
-// Next returns when Tick is due; zero where no time is.
+// Next returns the time of the next call of Tick; zero if none is needed.
 func (j *Journal) Next() time.Time {
 	var next time.Time
 	add := func(t time.Time) {
@@ -173,16 +178,16 @@
 	for _, a := range j.waiting {
 		add(a.GiveUp)
 	}
-	if j.write != nil {
-		for _, a := range j.write.asks {
+	if j.inFlight != nil {
+		for _, a := range j.inFlight.asks {
 			add(a.GiveUp)
 		}
 		return next
 	}
-	if j.reading > 0 || (len(j.waiting) == 0 && !j.warm) {
+	if j.readsInFlight > 0 || (len(j.waiting) == 0 && !j.preload) {
 		return next
 	}
-	if j.checked {
+	if j.complete {
 		add(later(j.nextWrite, j.retryAt))
 	} else {
 		add(j.retryAt)
@@ -193,58 +198,60 @@
 // Waiting returns the number of claims without an answer.
 func (j *Journal) Waiting() int {
 	n := len(j.waiting)
-	if j.write != nil {
-		n += len(j.write.asks)
+	if j.inFlight != nil {
+		n += len(j.inFlight.asks)
 	}
 	return n
 }
 
-// Ready tells that the journal has been read whole and its segments fit.
-func (j *Journal) Ready() bool { return j.checked }
+// Ready reports whether the whole journal has been read and its segments form a
+// ring without gaps.
+func (j *Journal) Ready() bool { return j.complete }
 
-// Keys returns the number of keys remembered.
+// Keys returns the number of keys in the index.
 func (j *Journal) Keys() int { return len(j.index.entries) }
 
 // Counts returns totals since the start.
-func (j *Journal) Counts() Counts { return j.count }
+func (j *Journal) Counts() Counts { return j.counts }
 
-// Latest returns the latest claim this entry knows of a key. It may be behind
-// what other entries have recorded.
+// Latest returns the latest claim of a key that this entry knows. Other entries
+// may have recorded newer ones.
 func (j *Journal) Latest(now time.Time, id dedupe.KeyID) (Claim, bool) {
 	return j.index.latest(now, id)
 }
 
-// pump does whatever can be done now.
-func (j *Journal) pump(now time.Time, out *Effects) {
-	j.giveUp(now, out)
-	j.waiting = drop(j.waiting, func(a Ask) bool { return j.decide(now, a, out) })
+// advance answers the claims that can be answered now, and starts the next reads
+// or the next write.
+func (j *Journal) advance(now time.Time, out *Effects) {
+	j.answerExpired(now, out)
+	j.waiting = removeAsks(j.waiting, func(a Ask) bool { return j.decide(now, a, out) })
 	j.init()
-	if now.Before(j.retryAt) || j.write != nil || (len(j.waiting) == 0 && !j.warm) {
+	if now.Before(j.retryAt) || j.inFlight != nil || (len(j.waiting) == 0 && !j.preload) {
 		return
 	}
-	if !j.read(now, out) {
+	if !j.readRing(now, out) {
 		return
 	}
-	j.waiting = drop(j.waiting, func(a Ask) bool { return j.decide(now, a, out) })
+	j.waiting = removeAsks(j.waiting, func(a Ask) bool { return j.decide(now, a, out) })
 	if len(j.waiting) > 0 && !now.Before(j.nextWrite) {
 		j.startWrite(now, out)
 	}
 }
 
-// giveUp answers the claims whose claimants stop waiting. One that is being
-// written may still be recorded; it then names an attempt that is never handed
-// over, which whoever meets it has sealed.
-func (j *Journal) giveUp(now time.Time, out *Effects) {
+// answerExpired answers the claims whose claimants have stopped waiting. A claim
+// whose write is in flight may still be recorded. Its attempt is then never
+// handed over, and any call that comes across the claim seals the attempt.
+func (j *Journal) answerExpired(now time.Time, out *Effects) {
 	late := func(a Ask) bool {
 		if now.Before(a.GiveUp) {
 			return false
 		}
-		j.answer(out, Answer{Token: a.Token, Result: Unsure, RetryAt: j.retry(now)})
+		j.answer(out, Answer{Token: a.Token, Result: Unsure, RetryAt: j.retryTime(now)})
 		return true
 	}
-	j.waiting = drop(j.waiting, late)
-	if j.write != nil {
-		j.write.asks = drop(j.write.asks, late)
+	j.waiting = removeAsks(j.waiting, late)
+	if j.inFlight != nil {
+		j.inFlight.asks = removeAsks(j.inFlight.asks, late)
 	}
 }
 
@@ -253,17 +260,17 @@
 		return
 	}
 	j.slots = make([]slot, j.Slots)
-	j.names = make(map[string]int, j.Slots)
+	j.slotByName = make(map[string]int, j.Slots)
 	for i := range j.slots {
-		j.names[SlotName(j.Number, i)] = i
+		j.slotByName[SlotName(j.Number, i)] = i
 	}
-	j.tail = -1
+	j.newest = -1
 }
 
-// decide answers a claim that the index decides. The index holds only what is
-// durable. It may be behind other entries, which is safe: nobody hands over on
-// Held, and the agent of an attempt that has been sealed refuses it. So repeats
-// of known keys are answered while the platform is down, too.
+// decide answers a claim from the index, if that suffices. The index holds only
+// durable claims. It may lack newer claims of other entries, which is safe: Held
+// permits no hand-over, and an agent refuses a sealed attempt. So repeated
+// requests with known keys are answered even while the platform is down.
 func (j *Journal) decide(now time.Time, a Ask, out *Effects) bool {
 	holder, ok := j.index.latest(now, a.Claim.ID)
 	if !ok {
@@ -287,38 +294,38 @@
 func (j *Journal) answer(out *Effects, a Answer) {
 	switch a.Result {
 	case Won:
-		j.count.Won++
+		j.counts.Won++
 	case Held:
-		j.count.Held++
+		j.counts.Held++
 	case Unsure:
-		j.count.Unsure++
+		j.counts.Unsure++
 	}
 	out.Answers = append(out.Answers, a)
 }
 
-// failsFast tells that the platform has failed for a while and isn't to be
-// tried yet. Without it, each claim of an outage would wait out its time in a
-// queue that grows with the load.
+// failsFast reports whether the platform has been failing for failFastAfter and
+// the backoff has not elapsed. Otherwise each claim during an outage would wait
+// until it times out, in a queue that grows with the load.
 func (j *Journal) failsFast(now time.Time) bool {
-	return !j.failing.IsZero() && !now.Before(j.failing.Add(failFastAfter)) && now.Before(j.retryAt)
+	return !j.failingSince.IsZero() && !now.Before(j.failingSince.Add(failFastAfter)) && now.Before(j.retryAt)
 }
 
 func (j *Journal) fail(now time.Time) {
-	j.count.Failures++
-	if j.failing.IsZero() {
-		j.failing = now
+	j.counts.Failures++
+	if j.failingSince.IsZero() {
+		j.failingSince = now
 	}
-	j.retryAt = now.Add(retry.Pause(firstBackoff, maxBackoff, j.failed))
-	j.failed++
+	j.retryAt = now.Add(retry.Pause(firstBackoff, maxBackoff, j.failures))
+	j.failures++
 }
 
 func (j *Journal) succeed() {
-	j.failing = time.Time{}
+	j.failingSince = time.Time{}
 	j.retryAt = time.Time{}
-	j.failed = 0
+	j.failures = 0
 }
 
-func (j *Journal) retry(now time.Time) time.Time { return later(now.Add(maxBackoff), j.retryAt) }
+func (j *Journal) retryTime(now time.Time) time.Time { return later(now.Add(maxBackoff), j.retryAt) }
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
@@ -327,8 +334,8 @@
 	return b
 }
 
-// drop removes the asks that gone accepts, in place.
-func drop(asks []Ask, gone func(Ask) bool) []Ask {
+// removeAsks removes the asks for which gone returns true, in place.
+func removeAsks(asks []Ask, gone func(Ask) bool) []Ask {
 	kept := asks[:0]
 	for _, a := range asks {
 		if !gone(a) {
--- a/core/claims/journal_test.go
+++ b/core/claims/journal_test.go
@@ -11,7 +11,7 @@
 	"radishwell/core/dedupe"
 )
 
-// bench of a single journal whose platform answers at once.
+// direct connects a single journal to a platform that answers at once.
 type direct struct {
 	j       *Journal
 	objects map[string]core.Object
@@ -27,20 +27,20 @@
 
 func (d *direct) ask(now time.Time, c Claim) uint64 {
 	d.token++
-	d.carry(now, d.j.Ask(now, Ask{Token: d.token, Claim: c, GiveUp: now.Add(2 * time.Second)}))
+	d.execute(now, d.j.Ask(now, Ask{Token: d.token, Claim: c, GiveUp: now.Add(2 * time.Second)}))
 	return d.token
 }
 
-func (d *direct) carry(now time.Time, out Effects) {
+func (d *direct) execute(now time.Time, out Effects) {
 	for _, a := range out.Answers {
 		d.answers[a.Token] = a
 	}
 	for _, name := range out.Reads {
 		o, ok := d.objects[name]
-		d.carry(now, d.j.Read(now, Reply{Name: name, Object: o, OK: ok, Fault: core.NotFound}))
+		d.execute(now, d.j.Read(now, Reply{Name: name, Object: o, OK: ok, Fault: core.NotFound}))
 	}
 	if out.Write != nil {
-		d.carry(now, d.j.Wrote(now, d.apply(out.Write.Object)))
+		d.execute(now, d.j.Wrote(now, d.apply(out.Write.Object)))
 	}
 }
 
@@ -55,7 +55,7 @@
 	return Reply{Name: o.Name, Object: o, OK: true}
 }
 
-func (d *direct) tick(now time.Time) { d.carry(now, d.j.Tick(now)) }
+func (d *direct) tick(now time.Time) { d.execute(now, d.j.Tick(now)) }
 
 func claimOf(key int, attempt uint64, claimant uint64, now time.Time) Claim {
 	return Claim{
@@ -80,15 +80,15 @@
 	}
 	step(1, 10, 7, Won, 10)
 	step(1, 11, 7, Held, 10)
-	step(1, 10, 7, Won, 10) // the same claimant asks again: its answer was lost
+	step(1, 10, 7, Won, 10) // the claimant missed the answer and asks again
 	step(3, 11, 7, Held, 10)
 	step(2, 11, 8, Held, 10) // another body doesn't continue a key
 	step(2, 11, 7, Won, 11)
 	step(2, 12, 7, Held, 11)
 }
 
-// Two entries both believe that a journal is theirs and claim the same attempt.
-// One of them has to lose, whichever was in charge.
+// TestTwoWritersOneWinner has two entries write the same journal and claim the
+// same attempt. Exactly one of them must win, whichever writes first.
 func TestTwoWritersOneWinner(t *testing.T) {
 	a, b := newDirect(small()), newDirect(small())
 	a.j.Slots, b.j.Slots = 16, 16
@@ -113,8 +113,9 @@
 	}
 }
 
-// A ring whose oldest claims have not aged out must not be overwritten: their
-// requests could run twice. Claims are refused until the oldest age out.
+// TestFullRingRefusesUntilClaimsAgeOut checks that a ring whose oldest claims
+// have not expired isn't overwritten, as their requests could run twice. Claims
+// must be refused until the oldest ones expire.
 func TestFullRingRefusesUntilClaimsAgeOut(t *testing.T) {
 	d := newDirect(small())
 	now := start
@@ -131,11 +132,11 @@
 	a := d.answers[d.ask(now, claimOf(0, 1, 9, now))]
 	assert.Equal(t, a.Result, Won)
 	assert.Equal(t, a.Holder.Claimant, uint64(9))
-	assert.Equal(t, d.j.Keys(), 1) // the aged-out claims are forgotten
+	assert.Equal(t, d.j.Keys(), 1) // expired claims are removed
 }
 
-// An entry takes a journal over and reads it while it turns. It must know every
-// claim that its predecessor recorded.
+// TestReadWholeJournal checks that an entry that takes over a journal, whose ring
+// has been overwritten several times, knows every claim of its predecessor.
 func TestReadWholeJournal(t *testing.T) {
 	d := newDirect(small())
 	d.j.Slots = 8
@@ -149,7 +150,7 @@
 	next := newDirect(small())
 	next.j.Slots = 8
 	next.objects, next.version = d.objects, d.version
-	next.carry(now, next.j.Warm(now))
+	next.execute(now, next.j.Warm(now))
 	for key := 285; key < 300; key++ {
 		c, ok := next.j.Latest(now, dedupe.KeyOf("owner", fmt.Sprint(key)))
 		assert.Assert(t, ok, key)
@@ -157,8 +158,9 @@
 	}
 }
 
-// An operator deletes a segment by hand. Claims are missing, so nothing may be
-// granted; without the check, their requests would run again.
+// TestMissingSegmentStopsJournal checks that nothing is granted after an operator
+// has deleted a segment by hand. Otherwise the requests of the lost claims would
+// run again.
 func TestMissingSegmentStopsJournal(t *testing.T) {
 	d := newDirect(small())
 	now := start
@@ -177,8 +179,9 @@
 	assert.Equal(t, next.answers[token].Result, Unsure)
 }
 
-// An entry is set up with another size of the ring. It would look for the newest
-// segment in the wrong place, so it must not grant anything.
+// TestOtherRingSizeGrantsNothing checks that an entry configured with another
+// ring size grants nothing: it would look for the newest segment in the wrong
+// slot.
 func TestOtherRingSizeGrantsNothing(t *testing.T) {
 	d := newDirect(small())
 	d.ask(start, claimOf(1, 1, 1, start))
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -11,43 +11,44 @@
 	"radishwell/core/dedupe"
 )
 
-// world is a small model of entries, agents and the platform with fake time.
-// Everything that could go wrong between them is drawn from rng, or, where
-// fault is set, said by it.
+// world simulates entries, agents and the platform with a fake clock. Faults
+// between them are drawn from rng, or chosen by fault if that is set.
 type world struct {
 	rng    *rand.Rand
 	now    time.Time
 	queue  agenda.Agenda[func()]
-	broken variant
-	// chance is the probability of each fault at each step.
-	chance float64
-	// fault returns the fault of a step; nil draws it.
+	broken disabledGuards
+	// faultRate is the probability of a fault at each step.
+	faultRate float64
+	// fault returns the fault to inject at a step. If it is nil, faults are drawn
+	// at random.
 	fault func(step string) string
 
-	objects map[string]core.Object
-	version core.Version
-	down    bool
-	entries []*entryNode
-	agents  []*agentNode
-	sends   []*send
-	runs    []run
-	wrong   []string
-	log     []string
+	objects    map[string]core.Object
+	version    core.Version
+	down       bool
+	entries    []*entryNode
+	agents     []*agentNode
+	sends      []*send
+	runs       []run
+	violations []string
+	log        []string
 }
 
-// tell adds a line to the schedule's log.
-func (w *world) tell(format string, args ...any) {
+// logf adds a line to the schedule's log.
+func (w *world) logf(format string, args ...any) {
 	w.log = append(w.log, w.now.Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// variant switches off one guard, to show that the checks notice.
-type variant struct {
+// disabledGuards switches off guards, to show that the checks detect it.
+type disabledGuards struct {
 	noClaims, noSeal, noIncarnation, noVersions, trustUnsure, forgetsRefused, earlyExpiry bool
 }
 
+// node is the state that entries and agents have in common.
 type node struct {
-	epoch  int
-	paused time.Time
+	epoch  int       // number of starts
+	paused time.Time // end of the pause
 }
 
 type entryNode struct {
@@ -66,6 +67,7 @@
 	readers []*reader
 }
 
+// reader is an entry's connection that reads an answer from an agent.
 type reader struct {
 	send  *send
 	claim Claim
@@ -73,18 +75,18 @@
 	buf   []byte
 }
 
-// send is one sending of a request by a caller.
+// send is a request sent by a caller to one entry; callers may repeat it.
 type send struct {
-	name     string
-	key      string
-	entry    *entryNode
-	call     *Call
-	steps    int
-	over     bool
-	lost     bool // its entry died
-	refusal  *core.Refusal
-	answer   string
-	runsThen int // runs of the key when the refusal was made, at the agent or entry
+	name          string
+	key           string
+	entry         *entryNode
+	call          *Call
+	steps         int
+	over          bool
+	lost          bool // the entry died
+	refusal       *core.Refusal
+	answer        string
+	runsAtRefusal int // runs of the key when the agent or entry made the refusal
 }
 
 type run struct {
@@ -140,7 +142,8 @@
 	w.queue.Put(w.now.Add(d), do)
 }
 
-// at delivers to a node, unless it has died since, after its pause.
+// at calls do at a node after d, or when the node's pause ends. It calls lost
+// instead if the node has restarted since.
 func (w *world) at(n *node, d time.Duration, do, lost func()) {
 	epoch := n.epoch
 	w.after(d, func() {
@@ -164,7 +167,7 @@
 	return time.Duration(w.rng.Int64N(int64(5 * time.Millisecond)))
 }
 
-// pick returns the fault at a step: one of those named, or "".
+// pick returns the fault to inject at a step: one of faults, or "".
 func (w *world) pick(step string, faults ...string) string {
 	if w.fault != nil {
 		f := w.fault(step)
@@ -173,7 +176,7 @@
 		}
 		return ""
 	}
-	if w.rng.Float64() >= w.chance {
+	if w.rng.Float64() >= w.faultRate {
 		return ""
 	}
 	return faults[w.rng.IntN(len(faults))]
@@ -188,7 +191,7 @@
 	w.now = end
 }
 
-// apply carries out what a journal asks for.
+// apply carries out the effects that a journal returned.
 func (w *world) apply(e *entryNode, out Effects) {
 	for _, name := range out.Reads {
 		w.platform(e, "read", name, nil, e.journal.Read)
@@ -197,7 +200,7 @@
 		w.platform(e, "append", out.Write.Object.Name, out.Write, e.journal.Wrote)
 	}
 	for _, a := range out.Answers {
-		// An answer before this one may have led to the entry's death.
+		// A previous answer may have led to the entry's death.
 		if answered := e.asks[a.Token]; answered != nil {
 			delete(e.asks, a.Token)
 			answered(a)
@@ -212,11 +215,12 @@
 	}
 }
 
+// platform calls the platform for an entry's journal, with the faults of a step.
 func (w *world) platform(e *entryNode, step, name string, write *Write, done func(time.Time, Reply) Effects) {
 	epoch := e.epoch
 	answer := func(d time.Duration, r Reply) {
 		w.at(&e.node, d, func() {
-			if e.epoch == epoch { // the answer to a dead process reaches nobody
+			if e.epoch == epoch { // a restarted entry doesn't get the answer
 				w.apply(e, done(w.now, r))
 			}
 		}, nil)
@@ -240,7 +244,7 @@
 	})
 }
 
-// change reads an object or changes it on its condition.
+// change reads an object, or writes it if the write's condition holds.
 func (w *world) change(name string, write *Write) Reply {
 	have, ok := w.objects[name]
 	switch {
@@ -262,7 +266,7 @@
 	return Reply{Name: name, Object: o, OK: true}
 }
 
-// send has a caller send a request with a key at an entry.
+// send makes a caller send a keyed request to an entry.
 func (w *world) send(name, key string, body core.Fingerprint, at int, patience time.Duration) *send {
 	deadline := w.now.Add(patience)
 	s := &send{name: name, key: key, entry: w.entries[at]}
@@ -278,7 +282,7 @@
 	return s
 }
 
-// expectations of a run, for checks.
+// runsOf returns the runs of a key.
 func (w *world) runsOf(id dedupe.KeyID) []run {
 	var out []run
 	for _, r := range w.runs {
--- a/core/claims/rate_test.go
+++ b/core/claims/rate_test.go
@@ -12,9 +12,9 @@
 	"radishwell/core/dedupe"
 )
 
-// load drives journals at a rate of claims for a time and reports what the
-// platform is asked.
-func load(journals int, interval time.Duration, segment core.Bytes, rate, seconds, agents int) (writes, bytes float64, worst time.Duration) {
+// load submits claims to journals at a constant rate for some seconds. It returns
+// the writes and bytes per second at the platform and the longest wait of a claim.
+func load(journals int, interval time.Duration, segment core.Bytes, rate, seconds, agents int) (writes, bytes float64, maxWait time.Duration) {
 	all := make([]*direct, journals)
 	asked := make(map[uint64]time.Time)
 	for i := range all {
@@ -37,7 +37,7 @@
 				due[i] = d.j.Next()
 			}
 			for token := range d.answers {
-				worst = max(worst, now.Sub(asked[token]))
+				maxWait = max(maxWait, now.Sub(asked[token]))
 				delete(d.answers, token)
 			}
 		}
@@ -46,16 +46,17 @@
 		writes += float64(d.j.Counts().Writes) / float64(seconds)
 		bytes += float64(d.bytes) / float64(seconds)
 	}
-	return writes, bytes, worst
+	return writes, bytes, maxWait
 }
 
-// Keyed requests arrive at 500 and then at 5,400 a second. Written one by one
-// they would take that many writes; the platform takes several hundred.
+// TestWritesDontGrowWithClaims checks that claims are written in groups. Keyed
+// requests arrive at up to 5,400 per second; one write each would exceed the
+// several hundred writes per second that the platform accepts.
 func TestWritesDontGrowWithClaims(t *testing.T) {
 	for _, rate := range []int{50, 500, 5400} {
 		writes, bytes, worst := load(4, GroupInterval, 128*core.KiB, rate, 2, 18)
 		t.Logf("%d claims/s: %.0f writes/s, %.0f KiB/s, longest wait %v", rate, writes, bytes/1024, worst)
-		const perSegment = 1500 // claims at least, in 128 KiB
+		const perSegment = 1500 // lower bound of the claims in 128 KiB
 		assert.Assert(t, writes <= 4*float64(time.Second/GroupInterval)+float64(rate)/perSegment+1)
 		assert.Assert(t, worst <= GroupInterval+time.Millisecond)
 	}
@@ -81,7 +82,7 @@
 	}
 }
 
-// BenchmarkClaim measures an entry's own cost of a claim, groups of 25.
+// BenchmarkClaim measures the cost of a claim at an entry, in groups of 25.
 func BenchmarkClaim(b *testing.B) {
 	d := newDirect(&Journal{Slots: 256, SegmentBytes: 128 * core.KiB, MaxWaiting: 1000})
 	now := start
@@ -98,7 +99,7 @@
 	}
 }
 
-// BenchmarkKeys measures the memory that a remembered key takes at an entry.
+// BenchmarkKeys measures an entry's memory per key.
 func BenchmarkKeys(b *testing.B) {
 	for b.Loop() {
 		var x index
--- a/core/claims/schedule_test.go
+++ b/core/claims/schedule_test.go
@@ -14,29 +14,29 @@
 )
 
 // seeds returns the first seed and the number of random schedules of a test run.
-// RADISHWELL_FIRST and RADISHWELL_SCHEDULES set others for a long run.
-func seeds(t *testing.T, usual int) (first, count uint64) {
+// RADISHWELL_FIRST and RADISHWELL_SCHEDULES override them for long runs.
+func seeds(t *testing.T, defaultCount int) (first, count uint64) {
 	t.Helper()
-	return env(t, "RADISHWELL_FIRST", 0), env(t, "RADISHWELL_SCHEDULES", usual)
+	return envUint(t, "RADISHWELL_FIRST", 0), envUint(t, "RADISHWELL_SCHEDULES", defaultCount)
 }
 
-func env(t *testing.T, name string, usual int) uint64 {
+func envUint(t *testing.T, name string, fallback int) uint64 {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return uint64(usual)
+		return uint64(fallback)
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	assert.NilError(t, err)
 	return n
 }
 
-// play runs one random schedule: sendings of two keys through three entries to
-// two agents, with faults at every step for 30 s, then none.
-func play(seed uint64, broken variant) *world {
+// play runs one random schedule: requests with two keys through three entries to
+// two agents, with faults at every step for 30 s and none afterwards.
+func play(seed uint64, broken disabledGuards) *world {
 	w := newWorld(seed, 3, 2)
 	w.broken = broken
-	w.chance = []float64{0, 0.05, 0.2}[w.rng.IntN(3)]
+	w.faultRate = []float64{0, 0.05, 0.2}[w.rng.IntN(3)]
 	w.disturb(start.Add(30 * time.Second))
 	for i := range 3 + w.rng.IntN(5) {
 		at := time.Duration(w.rng.Int64N(int64(15 * time.Second)))
@@ -49,29 +49,31 @@
 		})
 	}
 	w.runUntil(start.Add(30 * time.Second))
-	w.chance, w.down = 0, false
+	w.faultRate, w.down = 0, false
 	w.runUntil(start.Add(90 * time.Second))
 	w.check()
 	return w
 }
 
-// disturb plans crashes, pauses, outages and claims of other keys, which move
-// the ring of segments on.
+// disturb schedules crashes, pauses and outages, and claims of other keys, which
+// advance the ring of segments.
 func (w *world) disturb(end time.Time) {
 	for i := range 24 {
 		at := time.Duration(w.rng.Int64N(int64(end.Sub(start))))
-		w.after(at, func() { w.filler(i) })
+		w.after(at, func() { w.claimFiller(i) })
 	}
-	if w.chance == 0 {
+	if w.faultRate == 0 {
 		return
 	}
 	for range w.rng.IntN(6) {
 		at := time.Duration(w.rng.Int64N(int64(end.Sub(start))))
-		w.after(at, w.upset)
+		w.after(at, w.injectFailure)
 	}
 }
 
-func (w *world) upset() {
+// injectFailure crashes or pauses a random entry or agent, or makes the platform
+// unavailable for a while.
+func (w *world) injectFailure() {
 	e := w.entries[w.rng.IntN(len(w.entries))]
 	a := w.agents[w.rng.IntN(len(w.agents))]
 	pause := w.now.Add(time.Duration(w.rng.Int64N(int64(8 * time.Second))))
@@ -90,8 +92,8 @@
 	}
 }
 
-// filler claims a key of its own that ages out at once.
-func (w *world) filler(i int) {
+// claimFiller claims a key of its own that expires within two seconds.
+func (w *world) claimFiller(i int) {
 	e := w.entries[w.rng.IntN(len(w.entries))]
 	c := Claim{
 		ID: dedupe.KeyOf("other", fmt.Sprint(i)), Attempt: 1, Claimant: w.rng.Uint64(),
@@ -103,10 +105,10 @@
 }
 
 func (w *world) failf(format string, args ...any) {
-	w.wrong = append(w.wrong, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// check holds what callers were told against what ran.
+// check compares the answers that callers received with the runs.
 func (w *world) check() {
 	for _, key := range []string{"key0", "key1"} {
 		if runs := w.runsOf(dedupe.KeyOf("owner", key)); len(runs) > 1 {
@@ -133,9 +135,9 @@
 	}
 }
 
-// checkNotRun checks the two meanings of "not run": no attempt of this sending
-// ever runs; and, unless the platform couldn't be asked or the body was
-// another, nothing had run under the key when the caller was told.
+// checkNotRun checks both promises of "not run": no attempt claimed by this call
+// ever runs; and nothing had run under the key when the refusal was made, unless
+// the platform was unavailable or the key was used with another body.
 func (w *world) checkNotRun(s *send, runs []run) {
 	for _, r := range runs {
 		if r.claimant == s.call.Claimant {
@@ -143,21 +145,21 @@
 		}
 	}
 	code := s.refusal.Code
-	if s.runsThen > 0 && code != core.CodeClaimUnknown && code != core.CodeKeyReused {
+	if s.runsAtRefusal > 0 && code != core.CodeClaimUnknown && code != core.CodeKeyReused {
 		w.failf("send %s was told %q when its key had run", s.name, s.refusal)
 	}
 }
 
-// A caller posts to a ledger, gets no answer in time and posts again through
-// another entry, while entries and agents die, pause and restart, messages are
-// lost or come late, and the platform is down or loses its answers.
+// TestAtMostOnceUnderRandomFaults repeats keyed requests through other entries
+// while entries and agents die, pause and restart, messages are lost or late,
+// and the platform is down or loses its answers.
 func TestAtMostOnceUnderRandomFaults(t *testing.T) {
 	outcomes := make(map[string]int)
 	first, count := seeds(t, 300)
 	for seed := first; seed < first+count; seed++ {
-		w := play(seed, variant{})
-		for _, wrong := range w.wrong {
-			t.Errorf("seed %d: %s", seed, wrong)
+		w := play(seed, disabledGuards{})
+		for _, violation := range w.violations {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 		for _, s := range w.sends {
 			outcomes[s.outcome()]++
@@ -165,7 +167,7 @@
 	}
 	t.Log(outcomes)
 	if count < 300 {
-		return // a look at single seeds
+		return // too few schedules to see every outcome
 	}
 	for _, o := range []string{"done", "not-run", "may-have-run", "entry lost"} {
 		assert.Assert(t, outcomes[o] > 0, "no schedule ends with %s", o)
@@ -184,26 +186,27 @@
 	return s.refusal.Outcome.String()
 }
 
-// Each guard is switched off in turn; the checks must notice. A guard that can
-// go without a trace is either useless or untested.
+// TestChecksNoticeMissingGuards switches off one guard at a time and expects the
+// checks to detect it. A guard whose absence goes undetected is either useless or
+// untested.
 func TestChecksNoticeMissingGuards(t *testing.T) {
 	for name, missing := range map[string]struct {
-		broken variant
-		// from is the seed to start at, shortly before one that shows the fault.
+		broken disabledGuards
+		// from is the first seed to try, shortly before one that shows the fault.
 		from uint64
 	}{
-		"hand-over without a claim":            {variant{noClaims: true}, 0},
-		"agents answer without sealing":        {variant{noSeal: true}, 200},
-		"agents keep their incarnation":        {variant{noIncarnation: true}, 0},
-		"updates are unconditional":            {variant{noVersions: true}, 0},
-		"an unsure claim counts as won":        {variant{trustUnsure: true}, 0},
-		"agents forget what they refused":      {variant{forgetsRefused: true}, 830},
-		"claims age out before their deadline": {variant{earlyExpiry: true}, 0},
+		"hand-over without a claim":            {disabledGuards{noClaims: true}, 0},
+		"agents answer without sealing":        {disabledGuards{noSeal: true}, 200},
+		"agents keep their incarnation":        {disabledGuards{noIncarnation: true}, 0},
+		"updates are unconditional":            {disabledGuards{noVersions: true}, 0},
+		"an unsure claim counts as won":        {disabledGuards{trustUnsure: true}, 0},
+		"agents forget what they refused":      {disabledGuards{forgetsRefused: true}, 830},
+		"claims age out before their deadline": {disabledGuards{earlyExpiry: true}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := missing.from; seed < missing.from+3000; seed++ {
-				if w := play(seed, missing.broken); len(w.wrong) > 0 {
-					t.Logf("seed %d: %s", seed, w.wrong[0])
+				if w := play(seed, missing.broken); len(w.violations) > 0 {
+					t.Logf("seed %d: %s", seed, w.violations[0])
 					return
 				}
 			}
--- a/core/claims/segment.go
+++ b/core/claims/segment.go
@@ -9,16 +9,17 @@
 	"radishwell/core"
 )
 
-// recordSize is the size of one claim in a segment: key 16, fingerprint 8,
-// claimant 8, attempt 4, host 2, expiry 4. In base64 it takes 56 bytes.
+// recordSize is the size in bytes of one claim in a segment: key 16,
+// fingerprint 8, claimant 8, attempt 4, agent 2, expiry 4. In base64 it is 56
+// bytes.
 const recordSize = 42
 
 const (
-	maxHosts   = 1 << 16
+	maxAgents  = 1 << 16
 	maxAttempt = 1<<32 - 1
 )
 
-// agentRef is an agent as segments name it.
+// agentRef identifies an agent in a segment.
 type agentRef struct {
 	Host        core.HostName    `json:"host"`
 	Incarnation core.Incarnation `json:"incarnation,string"`
@@ -27,19 +28,19 @@
 // segment is the content of one slot of a journal's ring.
 type segment struct {
 	Number uint64 `json:"number"`
-	// Slots is the size of the ring it was written for.
+	// Slots is the number of slots of the ring that the segment was written for.
 	Slots  int        `json:"slots"`
 	Closed bool       `json:"closed"`
 	Agents []agentRef `json:"agents"`
-	// Claims are records of recordSize bytes, in the order they were recorded.
+	// Claims holds records of recordSize bytes, in the order they were recorded.
 	Claims []byte `json:"claims"`
 }
 
-// SegmentError reports a slot of a journal that holds no valid segment. The
-// journal grants no claim while it is there.
+// SegmentError is returned for a slot of a journal that holds no valid segment.
+// The journal grants no claims as long as such a slot exists.
 type SegmentError struct {
 	Name string
-	// Cause is the JSON decoder's error, or nil where a record is malformed.
+	// Cause is the JSON decoder's error; nil if a record is malformed.
 	Cause error
 }
 
@@ -71,8 +72,8 @@
 	return s, nil
 }
 
-// encode returns the segment as JSON. Marshalling cannot fail: the type has no
-// value that JSON can't express.
+// encode returns the segment as JSON. Marshalling cannot fail, because every
+// value of the type can be represented in JSON.
 func (s *segment) encode() []byte {
 	out, err := json.Marshal(s)
 	if err != nil {
@@ -109,7 +110,8 @@
 	return time.Unix(int64(last), 0).UTC()
 }
 
-// add appends a claim; false where the segment's table of agents is full.
+// add appends a claim. It reports false if the segment's table of agents is
+// full.
 func (s *segment) add(c Claim) bool {
 	agent, ok := s.agent(agentRef{c.Host, c.Incarnation})
 	if !ok {
@@ -130,7 +132,7 @@
 			return uint16(i), true
 		}
 	}
-	if len(s.Agents) >= maxHosts {
+	if len(s.Agents) >= maxAgents {
 		return 0, false
 	}
 	s.Agents = append(s.Agents, a)
--- a/core/claims/steps_test.go
+++ b/core/claims/steps_test.go
@@ -9,13 +9,13 @@
 	"radishwell/core/dedupe"
 )
 
-// do carries out the next step of a call, as an entry would.
+// do carries out the next step of a call, as an entry does.
 func (w *world) do(s *send, step Step) {
 	if s.over {
 		return
 	}
 	s.steps++
-	w.tell("send %s %s entry %d: %s", s.name, s.key, s.entry.id, step.text())
+	w.logf("send %s %s entry %d: %s", s.name, s.key, s.entry.id, step.text())
 	switch step.Kind {
 	case StepPick:
 		a := w.agents[w.rng.IntN(len(w.agents))]
@@ -27,21 +27,21 @@
 	case StepClaim:
 		w.claim(s, step.Claim, 2)
 	case StepHandOver:
-		took := w.once(s)
-		w.toAgent(s, step.Claim, "hand-over", func(a *agentNode) { w.handOver(s, a, step.Claim, took) },
-			func(*agentNode) { took(func() Step { return s.call.Ended(w.now, EndLost, nil, false) }) })
+		next := w.once(s)
+		w.toAgent(s, step.Claim, "hand-over", func(a *agentNode) { w.handOver(s, a, step.Claim, next) },
+			func(*agentNode) { next(func() Step { return s.call.Ended(w.now, EndLost, nil, false) }) })
 	case StepAsk:
 		w.at(&s.entry.node, step.At.Sub(w.now), func() { w.ask(s, step.Claim) }, nil)
 	case StepAttach:
-		took := w.once(s)
+		next := w.once(s)
 		w.toAgent(s, step.Claim, "attach", func(a *agentNode) {
-			w.stream(s, a, step.Claim, a.table.Attach(w.now, callOf(s, step.Claim)), took)
-		}, func(*agentNode) { took(func() Step { return s.call.Ended(w.now, EndLost, nil, false) }) })
+			w.stream(s, a, step.Claim, a.table.Attach(w.now, callOf(s, step.Claim)), next)
+		}, func(*agentNode) { next(func() Step { return s.call.Ended(w.now, EndLost, nil, false) }) })
 	case StepRefuse, StepDone:
 		s.over = true
 		if s.refusal != step.Refusal || s.refusal == nil {
 			s.refusal = step.Refusal
-			s.runsThen = len(w.runsOf(s.call.ID))
+			s.runsAtRefusal = len(w.runsOf(s.call.ID))
 		}
 	}
 }
@@ -59,7 +59,8 @@
 	}
 }
 
-// claim asks a journal at any entry; an answer that is lost is asked for again.
+// claim submits a claim at a random entry, or at the request's own if faults are
+// chosen. It retries if no answer arrives.
 func (w *world) claim(s *send, c Claim, tries int) {
 	if w.broken.noClaims {
 		w.do(s, s.call.Claimed(w.now, Answer{Result: Won, Holder: c}))
@@ -70,14 +71,14 @@
 		journal = w.entries[w.rng.IntN(len(w.entries))]
 	}
 	fault := w.pick("claim", "ask-lost", "answer-lost")
-	took := w.once(s)
+	next := w.once(s)
 	settled := false
 	settle := func(a Answer) {
 		settled = true
 		if a.Result == Unsure && w.broken.trustUnsure {
 			a.Result, a.Holder = Won, c
 		}
-		took(func() Step { return s.call.Claimed(w.now, a) })
+		next(func() Step { return s.call.Claimed(w.now, a) })
 	}
 	missed := func() {
 		if settled {
@@ -105,19 +106,19 @@
 	}, nil)
 }
 
-// once returns a function that takes the outcome of the present step: an entry
-// waits for one outcome and closes the connection that another could come by.
-func (w *world) once(s *send) func(next func() Step) {
+// once returns a function that continues the call with the result of the current
+// step. Only the first result counts, as an entry closes the connection after it.
+func (w *world) once(s *send) func(event func() Step) {
 	step := s.steps
-	return func(next func() Step) {
+	return func(event func() Step) {
 		if s.steps == step && !s.over {
-			w.do(s, next())
+			w.do(s, event())
 		}
 	}
 }
 
-// toAgent sends to a claim's agent. A message that counts as lost may arrive
-// later all the same.
+// toAgent sends a message to the agent of a claim: it calls do there, or lost at
+// the entry. With the fault "late", a message reported lost still arrives later.
 func (w *world) toAgent(s *send, c Claim, step string, do, lost func(*agentNode)) {
 	a := w.agents[slices.IndexFunc(w.agents, func(a *agentNode) bool { return a.host == c.Host })]
 	tell := func() { w.at(&s.entry.node, w.latency(), func() { lost(a) }, nil) }
@@ -127,7 +128,7 @@
 	}
 	fault := w.pick(step, "lost", "late", "entry-dies", "entry-pauses", "agent-restarts", "host-gone")
 	if fault != "" {
-		w.tell("send %s: %s %s", s.name, step, fault)
+		w.logf("send %s: %s %s", s.name, step, fault)
 	}
 	switch fault {
 	case "lost":
@@ -161,7 +162,7 @@
 }
 
 func (w *world) ask(s *send, c Claim) {
-	took := w.once(s)
+	next := w.once(s)
 	w.toAgent(s, c, "ask", func(a *agentNode) {
 		var state dedupe.State
 		if w.broken.noSeal {
@@ -173,35 +174,35 @@
 			state = a.table.Seal(w.now, callOf(s, c))
 		}
 		w.at(&s.entry.node, w.latency(), func() {
-			took(func() Step { return s.call.Asked(w.now, Standing{Reached: true, State: state}) })
+			next(func() Step { return s.call.Asked(w.now, Standing{Reached: true, State: state}) })
 		}, nil)
-	}, func(a *agentNode) { took(func() Step { return s.call.Asked(w.now, Standing{Gone: a.gone}) }) })
+	}, func(a *agentNode) { next(func() Step { return s.call.Asked(w.now, Standing{Gone: a.gone}) }) })
 }
 
-func (w *world) handOver(s *send, a *agentNode, c Claim, took func(func() Step)) {
+func (w *world) handOver(s *send, a *agentNode, c Claim, next func(func() Step)) {
 	v := a.table.Begin(w.now, callOf(s, c))
 	if v.Start {
-		w.at(&a.node, w.latency(), func() { w.start(s, a, c, took) }, nil)
+		w.at(&a.node, w.latency(), func() { w.start(s, a, c, next) }, nil)
 	}
-	w.stream(s, a, c, v, took)
+	w.stream(s, a, c, v, next)
 }
 
 // start runs an attempt at the agent's engine, or refuses it from its queue.
-func (w *world) start(s *send, a *agentNode, c Claim, took func(func() Step)) {
+func (w *world) start(s *send, a *agentNode, c Claim, next func(func() Step)) {
 	if refused := w.pick("queue", "refused"); refused != "" || !w.now.Before(s.call.Deadline) {
 		if w.broken.forgetsRefused {
 			fresh := &dedupe.Table{Incarnation: a.table.Incarnation, MaxBytes: 200, MaxRecords: 100}
 			a.table = fresh
-			w.at(&a.node, w.latency(), func() { w.handOver(s, a, c, took) }, nil)
+			w.at(&a.node, w.latency(), func() { w.handOver(s, a, c, next) }, nil)
 		} else {
 			a.table.Finish(w.now, c.ID, c.Attempt, dedupe.End{Refusal: core.Refuse(core.CodeQueueFull, "full")})
 		}
-		w.wake(a)
+		w.resumeReaders(a)
 		return
 	}
 	r := run{key: c.ID, claimant: c.Claimant, attempt: c.Attempt, answer: fmt.Sprintf("%s/%d/%d/%d", s.key, c.Attempt, c.Claimant, len(w.runs))}
 	w.runs = append(w.runs, r)
-	w.tell("run %s at %s/%d", r.answer, a.host, a.table.Incarnation)
+	w.logf("run %s at %s/%d", r.answer, a.host, a.table.Incarnation)
 	end := dedupe.End{}
 	pieces := []string{r.answer[:1], r.answer[1:4], r.answer[4:]}
 	switch w.pick("run", "engine-dies", "agent-restarts") {
@@ -215,20 +216,20 @@
 	var d time.Duration
 	for _, p := range pieces {
 		d += w.latency()
-		w.at(&a.node, d, func() { a.table.Append(c.ID, c.Attempt, []byte(p)); w.wake(a) }, nil)
+		w.at(&a.node, d, func() { a.table.Append(c.ID, c.Attempt, []byte(p)); w.resumeReaders(a) }, nil)
 	}
-	w.at(&a.node, d, func() { a.table.Finish(w.now, c.ID, c.Attempt, end); w.wake(a) }, nil)
+	w.at(&a.node, d, func() { a.table.Finish(w.now, c.ID, c.Attempt, end); w.resumeReaders(a) }, nil)
 }
 
-// stream relays an answer, or the refusal, to an entry.
-func (w *world) stream(s *send, a *agentNode, c Claim, v dedupe.Verdict, took func(func() Step)) {
+// stream relays the answer to an attempt, or its refusal, to an entry.
+func (w *world) stream(s *send, a *agentNode, c Claim, v dedupe.Verdict, next func(func() Step)) {
 	r := &reader{send: s, claim: c}
 	r.reply = func(e Ending, refusal *core.Refusal, text string) {
 		runs := len(w.runsOf(c.ID))
 		w.at(&s.entry.node, w.latency(), func() {
 			again := w.fault == nil && w.rng.IntN(2) == 0
-			took(func() Step {
-				s.answer, s.refusal, s.runsThen = text, refusal, runs
+			next(func() Step {
+				s.answer, s.refusal, s.runsAtRefusal = text, refusal, runs
 				return s.call.Ended(w.now, e, refusal, again)
 			})
 		}, nil)
@@ -238,15 +239,17 @@
 		return
 	}
 	a.readers = append(a.readers, r)
-	w.wake(a)
+	w.resumeReaders(a)
 }
 
-// wake lets all readers of an agent go on.
-func (w *world) wake(a *agentNode) {
-	a.readers = slices.DeleteFunc(a.readers, func(r *reader) bool { return w.readOn(a, r) })
+// resumeReaders resumes all readers of an agent.
+func (w *world) resumeReaders(a *agentNode) {
+	a.readers = slices.DeleteFunc(a.readers, func(r *reader) bool { return w.resumeReader(a, r) })
 }
 
-func (w *world) readOn(a *agentNode, r *reader) bool {
+// resumeReader relays what an agent has of an answer. It reports whether the
+// reader is finished.
+func (w *world) resumeReader(a *agentNode, r *reader) bool {
 	v, ok := a.table.Read(r.claim.ID, r.claim.Attempt, int64(len(r.buf)))
 	if !ok {
 		again := a.table.Attach(w.now, callOf(r.send, r.claim))
--- a/core/claims/store.go
+++ b/core/claims/store.go
@@ -6,69 +6,69 @@
 	"radishwell/core"
 )
 
-// read asks for the slots that must be read before the index can be trusted;
-// true when there are none.
-func (j *Journal) read(now time.Time, out *Effects) bool {
-	if j.checked {
+// readRing requests the slots that must be read before the index is complete. It
+// reports whether there are none left.
+func (j *Journal) readRing(now time.Time, out *Effects) bool {
+	if j.complete {
 		return true
 	}
-	if j.request(out) {
+	if j.requestReads(out) {
 		return false
 	}
 	if !j.findGaps() {
-		j.checked, j.tried, j.warm = true, false, false
+		j.complete, j.reread, j.preload = true, false, false
 		return true
 	}
-	// A slot read before a newer segment took it over is read once more. If it
-	// still doesn't fit, an object was removed or changed by hand: claims may be
-	// missing, and nothing is granted until the ring is whole.
-	if j.tried {
+	// A slot at a gap is read once more, as a newer segment may have overwritten it
+	// since. If the gap remains, an object was removed or changed by hand: claims
+	// may be missing, and nothing is granted until the ring has no gaps.
+	if j.reread {
 		j.fail(now)
 		j.retryAt = now.Add(maxBackoff)
 		return false
 	}
-	j.tried = true
-	j.request(out)
+	j.reread = true
+	j.requestReads(out)
 	return false
 }
 
-// request asks for unread slots, a bounded number at once; false where all
-// slots are read.
-func (j *Journal) request(out *Effects) bool {
+// requestReads requests unread slots, at most maxReads at once. It reports
+// whether any read is in flight.
+func (j *Journal) requestReads(out *Effects) bool {
 	for i := range j.slots {
-		if j.slots[i].state != slotUnread || j.reading >= readsAtOnce {
+		if j.slots[i].state != slotUnread || j.readsInFlight >= maxReads {
 			continue
 		}
 		j.slots[i].state = slotReading
-		j.reading++
-		j.count.Reads++
+		j.readsInFlight++
+		j.counts.Reads++
 		out.Reads = append(out.Reads, SlotName(j.Number, i))
 	}
-	return j.reading > 0
+	return j.readsInFlight > 0
 }
 
-// findGaps marks slots that don't hold the segment they should, given the
-// newest segment seen; true where there are any.
+// findGaps marks as unread the slots that don't hold the expected segment, given
+// the newest segment seen. It reports whether there are any.
 //
 // Only the newest segment is open, and a segment is closed before its successor
-// is opened. So if all the others are the closed ones that come right before
-// it, each was read in its final state, and an append that succeeds on the
-// newest proves that the index misses nothing.
+// is opened. So if the other slots hold the closed segments directly before the
+// newest one, each was read in its final state, and a successful append to the
+// newest proves that the index is complete.
 func (j *Journal) findGaps() bool {
-	j.tail = -1
+	j.newest = -1
 	for i, s := range j.slots {
-		if s.exists && (j.tail < 0 || s.number > j.slots[j.tail].number) {
-			j.tail = i
+		if s.exists && (j.newest < 0 || s.number > j.slots[j.newest].number) {
+			j.newest = i
 		}
 	}
-	if j.tail < 0 {
+	if j.newest < 0 {
 		return false
 	}
-	newest := j.slots[j.tail].number
+	newest := j.slots[j.newest].number
 	gap := false
 	for back := uint64(1); back < uint64(j.Slots) && back < newest; back++ {
 		number := newest - back
-		s := &j.slots[j.place(number)]
+		s := &j.slots[j.slotOf(number)]
 		if !s.exists || s.number != number || !s.closed {
 			s.state = slotUnread
 			gap = true
@@ -77,22 +77,22 @@
 	return gap
 }
 
-func (j *Journal) place(number uint64) int { return int(number % uint64(j.Slots)) }
+func (j *Journal) slotOf(number uint64) int { return int(number % uint64(j.Slots)) }
 
-// Read takes the outcome of a read that Effects asked for.
+// Read passes the result of a read that Effects requested.
 func (j *Journal) Read(now time.Time, r Reply) Effects {
 	var out Effects
-	i, ok := j.names[r.Name]
+	i, ok := j.slotByName[r.Name]
 	if !ok || j.slots[i].state != slotReading {
 		return out
 	}
-	j.reading--
-	j.takeSlot(now, i, r)
-	j.pump(now, &out)
+	j.readsInFlight--
+	j.applyRead(now, i, r)
+	j.advance(now, &out)
 	return out
 }
 
-func (j *Journal) takeSlot(now time.Time, i int, r Reply) {
+func (j *Journal) applyRead(now time.Time, i int, r Reply) {
 	s := &j.slots[i]
 	s.state = slotUnread
 	if !r.OK && r.Fault == core.NotFound && !s.exists {
@@ -105,9 +105,9 @@
 		return
 	}
 	content, err := decodeSegment(r.Name, r.Object.Spec)
-	if err != nil || content.Slots != j.Slots || j.place(content.Number) != i {
-		// Not readable, or written by an entry whose ring has another size: what
-		// this entry would take for the newest segment might not be it.
+	if err != nil || content.Slots != j.Slots || j.slotOf(content.Number) != i {
+		// The slot is not readable, or was written by an entry whose ring has another
+		// size, so that the newest segment can't be determined.
 		j.fail(now)
 		return
 	}
@@ -118,7 +118,8 @@
 	}
 }
 
-// setSlot notes a segment's state; the newest open one is kept for appending.
+// setSlot records a segment's state. It keeps the content of the newest open
+// segment for appending.
 func (j *Journal) setSlot(i int, o core.Object, content segment) {
 	s := slot{
 		state: slotRead, exists: true,
@@ -127,21 +128,21 @@
 	}
 	s.expires = content.expires()
 	j.slots[i] = s
-	if !content.Closed && content.Number >= j.open.Number {
-		j.open = content
+	if !content.Closed && content.Number >= j.openSegment.Number {
+		j.openSegment = content
 	}
 }
 
-// startWrite writes the next group: to the newest segment while it is open,
-// else as the first content of its successor. A group that fills a segment
-// closes it in the same write, so a change of segment costs no extra one.
+// startWrite writes the next group to the newest segment if it is open, or else
+// as the first content of its successor. A group that fills a segment closes it
+// in the same write, so that a change of segment takes no extra write.
 func (j *Journal) startWrite(now time.Time, out *Effects) {
-	at, content, ok := j.target(now)
+	at, content, ok := j.writeTarget(now)
 	if !ok {
 		j.refuseAll(now, out)
 		return
 	}
-	w := &write{slot: at, segment: content}
+	w := &group{slot: at, segment: content}
 	taken := make(map[[16]byte]bool)
 	rest := j.waiting[:0]
 	for _, a := range j.waiting {
@@ -156,13 +157,14 @@
 	}
 	j.waiting = rest
 	w.segment.Closed = w.segment.size() >= j.SegmentBytes || len(w.claims) == 0
-	j.write = w
+	j.inFlight = w
 	j.nextWrite = now.Add(j.groupInterval())
 	if w.segment.Closed {
-		// What didn't fit needn't wait another interval: segments close seldom.
+		// Claims that didn't fit are written without waiting for the interval, which
+		// is rare because segments close rarely.
 		j.nextWrite = now
 	}
-	j.count.Writes++
+	j.counts.Writes++
 	s := j.slots[at]
 	out.Write = &Write{Create: !s.exists, Object: core.Object{
 		Kind: core.KindClaim, Name: SlotName(j.Number, at),
@@ -170,82 +172,82 @@
 	}}
 }
 
-// target returns the slot to write and its content so far; false where the
-// ring is full of claims that have not aged out.
-func (j *Journal) target(now time.Time) (int, segment, bool) {
-	if j.tail < 0 {
-		return j.place(1), segment{Number: 1, Slots: j.Slots}, true
+// writeTarget returns the slot to write and its current content. It reports
+// false if the ring is full of claims that have not expired.
+func (j *Journal) writeTarget(now time.Time) (int, segment, bool) {
+	if j.newest < 0 {
+		return j.slotOf(1), segment{Number: 1, Slots: j.Slots}, true
 	}
-	t := j.slots[j.tail]
+	t := j.slots[j.newest]
 	if !t.closed {
-		return j.tail, j.open, true
+		return j.newest, j.openSegment, true
 	}
-	next := j.place(t.number + 1)
+	next := j.slotOf(t.number + 1)
 	if j.slots[next].expires.After(now) {
 		return 0, segment{}, false
 	}
 	return next, segment{Number: t.number + 1, Slots: j.Slots}, true
 }
 
-// refuseAll answers all waiting claims when the ring is full. Overwriting
-// claims that have not aged out would let their requests run twice.
+// refuseAll answers all waiting claims when the ring is full. Overwriting claims
+// that have not expired would allow their requests to run twice.
 func (j *Journal) refuseAll(now time.Time, out *Effects) {
-	next := j.place(j.slots[j.tail].number + 1)
-	at := later(j.slots[next].expires, j.retry(now))
+	next := j.slotOf(j.slots[j.newest].number + 1)
+	at := later(j.slots[next].expires, j.retryTime(now))
 	for _, a := range j.waiting {
 		j.answer(out, Answer{Token: a.Token, Result: Unsure, RetryAt: at})
 	}
 	j.waiting = j.waiting[:0]
 }
 
-// Wrote takes the outcome of the write that Effects asked for.
+// Wrote passes the result of the write that Effects requested.
 //
-// A conflict or an unknown outcome is settled by reading the slot back: the
-// claims go back to the front of those waiting, and what was read decides. A
-// claimant finds its own number there, finds somebody else's claim, or is
-// written again, conditional on the version just read. An earlier write that
-// is still on its way then fails, or makes this one fail.
+// A conflict or an unknown result is resolved by reading the slot back. The
+// claims return to the front of the queue. If the slot holds a claimant's own
+// claim, the result is Won; if it holds another claim of the key, Held. Otherwise
+// the claim is written again, conditional on the version just read. If the
+// earlier write is still in flight, it then fails or makes the new one fail.
 func (j *Journal) Wrote(now time.Time, r Reply) Effects {
 	var out Effects
-	w := j.write
+	w := j.inFlight
 	if w == nil || r.Name != SlotName(j.Number, w.slot) {
 		return out
 	}
-	j.write = nil
+	j.inFlight = nil
 	if r.OK {
 		j.succeed()
 		j.commit(now, w, r.Object, &out)
-		j.pump(now, &out)
+		j.advance(now, &out)
 		return out
 	}
 	j.waiting = append(w.asks, j.waiting...)
 	switch r.Fault {
 	case core.Conflict, core.Exists, core.NotFound:
-		j.count.Conflicts++
-		j.unread(w.slot)
+		j.counts.Conflicts++
+		j.invalidate(w.slot)
 	case core.Unknown:
-		j.unread(w.slot)
+		j.invalidate(w.slot)
 		j.fail(now)
 	case core.Unavailable, core.Gone, core.Invalid:
 		j.fail(now)
 	default:
-		j.unread(w.slot)
+		j.invalidate(w.slot)
 		j.fail(now)
 	}
-	j.pump(now, &out)
+	j.advance(now, &out)
 	return out
 }
 
-func (j *Journal) unread(i int) {
+func (j *Journal) invalidate(i int) {
 	j.slots[i].state = slotUnread
-	j.checked = false
-	j.warm = true
+	j.complete = false
+	j.preload = true
 }
 
-func (j *Journal) commit(now time.Time, w *write, o core.Object, out *Effects) {
+func (j *Journal) commit(now time.Time, w *group, o core.Object, out *Effects) {
 	opened := j.slots[w.slot].number != w.segment.Number
 	j.setSlot(w.slot, o, w.segment)
-	j.tail = w.slot
+	j.newest = w.slot
 	for _, c := range w.claims {
 		j.index.apply(c, w.segment.Number)
 	}
