--- a/core/dedupe/doc.go
+++ b/core/dedupe/doc.go
@@ -1,16 +1,16 @@
-// Package dedupe is an agent's table of keyed requests: requests that may not
-// be repeated and carry an idempotency key.
+// Package dedupe is an agent's table of keyed requests, which deduplicates
+// requests that may not be repeated and carry an idempotency key.
 //
 // A keyed request reaches the agent as a numbered attempt that was claimed in
-// the platform before (see package claims). The table guarantees three things:
+// the platform before (see package claims). The table guarantees that
 //
-//   - An attempt is started at most once, however often it arrives.
-//   - An attempt that the table has called Sealed has not run and will never
-//     run here, whatever arrives later. That is what lets an entry claim the
-//     next attempt.
-//   - Whoever attaches to an attempt reads its whole answer from the first
-//     byte, while it is running or after, or learns that it is lost.
+//   - an attempt is started at most once, however often it arrives;
+//   - an attempt that the table has reported as Sealed has not run and will never
+//     run on this agent, whatever arrives later, so that an entry may claim the
+//     next attempt;
+//   - a caller that attaches to an attempt reads its whole answer from the first
+//     byte, during the run or after it, or learns that the answer is lost.
 //
-// Answers are kept within a bound of bytes. A record outlives its answer: an
-// answer that was evicted is reported as lost and never as unseen.
+// The total size of the kept answers is bounded. A record outlives its answer:
+// an attempt whose answer was evicted is reported as Lost, never as unknown.
 package dedupe
--- a/core/dedupe/keep.go
+++ b/core/dedupe/keep.go
@@ -7,8 +7,8 @@
 	"radishwell/core"
 )
 
-// Append adds bytes to the answer of a running attempt. The table keeps data
-// by reference; the caller must not change it afterwards.
+// Append appends data to the answer of a running attempt. The table keeps a
+// reference to data; the caller must not modify it afterwards.
 func (t *Table) Append(id KeyID, attempt uint64, data []byte) {
 	r := t.running(id, attempt)
 	if r == nil || r.answer == nil || len(data) == 0 {
@@ -20,7 +20,8 @@
 	t.evict(r)
 }
 
-// Finish ends a running attempt. A refusal that says "not run" seals it.
+// Finish ends a running attempt. If end is a refusal with outcome NotRun, the
+// attempt is sealed.
 func (t *Table) Finish(now time.Time, id KeyID, attempt uint64, end End) {
 	r := t.running(id, attempt)
 	if r == nil {
@@ -36,9 +37,9 @@
 	default:
 		r.state = Done
 		r.answer.end = &end
-		t.turn++
-		r.turn = t.turn
-		t.done = append(t.done, finished{id: id, turn: t.turn})
+		t.lastSeq++
+		r.doneSeq = t.lastSeq
+		t.done = append(t.done, finished{id: id, seq: t.lastSeq})
 	}
 	if !now.Before(r.expires) {
 		heap.Push(&t.expiry, expiryItem{at: r.expires, id: id})
@@ -47,12 +48,13 @@
 	t.trim()
 }
 
-// trim removes ended answers whose records have been dropped from the front of
-// the eviction order, which would grow for ever on an agent that never evicts.
+// trim removes answers whose records were dropped from the front of the eviction
+// order. Otherwise the order would grow without bound on an agent that never
+// evicts.
 func (t *Table) trim() {
 	for len(t.done) > 0 {
 		r := t.records[t.done[0].id]
-		if r != nil && r.turn == t.done[0].turn && r.state == Done {
+		if r != nil && r.doneSeq == t.done[0].seq && r.state == Done {
 			return
 		}
 		t.done = t.done[1:]
@@ -61,15 +63,15 @@
 
 // View is a part of an attempt's answer.
 type View struct {
-	// Chunks are the bytes from the offset asked for; they must not be changed.
+	// Chunks are the bytes from the requested offset on. They must not be modified.
 	Chunks [][]byte
-	// End is set once the answer is complete with Chunks.
+	// End is set if Chunks completes the answer.
 	End *End
 }
 
-// Read returns the answer of an attempt from an offset on. It is false where
-// the answer isn't kept, because it was evicted or the attempt was refused:
-// Attach then says which.
+// Read returns the answer of an attempt from an offset on. It reports false if
+// the answer isn't kept, because it was evicted or the attempt was refused;
+// Attach returns the reason.
 func (t *Table) Read(id KeyID, attempt uint64, offset int64) (View, bool) {
 	r := t.records[id]
 	if r == nil || r.attempt != attempt || r.answer == nil {
@@ -78,6 +80,8 @@
 	return View{Chunks: r.answer.read(offset), End: r.answer.end}, true
 }
 
+// running returns the record of a running attempt, or nil if the attempt isn't
+// running.
 func (t *Table) running(id KeyID, attempt uint64) *record {
 	r := t.records[id]
 	if r == nil || r.attempt != attempt || r.state != Running {
@@ -86,12 +90,13 @@
 	return r
 }
 
-// evict makes room: the answers that ended first go first, then the answer
-// that is growing. Without the bound, a caller with many long answers would
-// take the agent's memory; the record stays, so a repeat never runs again.
+// evict keeps the answers within MaxBytes. It evicts complete answers, the oldest
+// first, and then the answer that is growing. Without the bound, a caller with
+// many long answers would exhaust the agent's memory. The records stay, so a
+// repeated request never runs again.
 func (t *Table) evict(growing *record) {
 	for t.bytes > int64(t.MaxBytes) && len(t.done) > 0 {
-		if r := t.records[t.done[0].id]; r != nil && r.turn == t.done[0].turn && r.state == Done {
+		if r := t.records[t.done[0].id]; r != nil && r.doneSeq == t.done[0].seq && r.state == Done {
 			t.release(r)
 			r.state = Lost
 		}
@@ -102,6 +107,7 @@
 	}
 }
 
+// release frees a record's answer.
 func (t *Table) release(r *record) {
 	if r.answer == nil {
 		return
@@ -110,12 +116,14 @@
 	r.answer = nil
 }
 
+// expiryItem is an element of expiryHeap.
 type expiryItem struct {
 	at time.Time
 	id KeyID
 }
 
-// expiryHeap orders records by expiry; a prolonged one has a stale item too.
+// expiryHeap is a heap of records by expiry. A record whose expiry was extended
+// has a stale item as well.
 type expiryHeap []expiryItem
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/core/dedupe/key.go
+++ b/core/dedupe/key.go
@@ -7,12 +7,12 @@
 	"radishwell/core"
 )
 
-// KeyID identifies an owner's idempotency key. It is a cut SHA-256, so that
+// KeyID identifies an owner's idempotency key. It is a truncated SHA-256, so that
 // callers can't choose keys that collide with those of another owner, and every
-// key takes the same room in memory and in the platform.
+// key takes the same space in memory and in the platform.
 type KeyID [16]byte
 
-// KeyOf returns the identity of an owner's key.
+// KeyOf returns the KeyID of an owner's key.
 func KeyOf(owner core.OwnerName, key string) KeyID {
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(owner)))
--- a/core/dedupe/peek.go
+++ b/core/dedupe/peek.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Peek tells how an attempt stands without sealing it; known is false where it
-// has not arrived.
+// Peek returns the state of an attempt without sealing it. It reports false if
+// the attempt has not arrived.
 //
-// It answers several sendings of one request at once. An asker that seals right
-// away seals the attempt that another sending has just claimed and is about to
-// hand over; that one claims the next, which is sealed in turn, and all of them
-// give up although a host was free. So an asker peeks for a while first.
+// Entries peek for a while before they seal, in case a caller sends the same
+// request several times concurrently. An entry that sealed at once would seal
+// the attempt that another one has just claimed and is about to hand over. That
+// one would claim the next attempt, which would be sealed in turn, until all of
+// them gave up although a host was free.
 func (t *Table) Peek(now time.Time, c Call) (state State, known bool) {
 	t.expire(now)
 	if c.Incarnation != t.Incarnation {
@@ -21,5 +22,5 @@
 	if r.attempt > c.Attempt {
 		return Sealed, true
 	}
-	return r.standing(), true
+	return r.visibleState(), true
 }
--- a/core/dedupe/record.go
+++ b/core/dedupe/record.go
@@ -6,22 +6,22 @@
 	"radishwell/core"
 )
 
-// State is where an attempt stands at its agent. The numbers are those of
+// State is the state of an attempt at its agent. The values are those of
 // SealReply on the wire.
 type State uint8
 
 // States of an attempt.
 const (
-	// Sealed: the attempt has not run here and never will.
+	// Sealed: the attempt has not run on this agent and never will.
 	Sealed State = iota
 	// Running: the attempt was accepted and has not ended. It may be waiting in
-	// the agent's queue; its answer can be attached to.
+	// the agent's queue. Its answer can be read with Attach.
 	Running
 	// Done: the attempt has ended and its answer is kept. The answer may be a
-	// refusal that says "may have run".
+	// refusal with outcome MayHaveRun.
 	Done
-	// Lost: the attempt ran or may have run, and its answer isn't kept. Also the
-	// answer about attempts that a predecessor of this agent had accepted.
+	// Lost: the attempt ran or may have run, and its answer isn't kept. It is also
+	// the state of attempts for a previous incarnation of this agent.
 	Lost
 	stateCount
 )
@@ -42,47 +42,50 @@
 	Attempt     uint64
 	Incarnation core.Incarnation
 	Fingerprint core.Fingerprint
-	// Expires is when the claim ages out; it is past the request's deadline.
+	// Expires is when the claim expires, which is after Deadline.
 	Expires time.Time
-	// Deadline is the request's own.
+	// Deadline is the request's deadline.
 	Deadline time.Time
 }
 
-// End is how an attempt ended. A nil Refusal is a whole answer.
+// End is the end of an attempt's answer. Refusal is nil if the answer is whole.
 type End struct {
 	Refusal *core.Refusal
 }
 
-// record is what the table knows of one key: its latest attempt here.
+// record is the latest attempt of a key on this agent.
 type record struct {
 	attempt     uint64
 	fingerprint core.Fingerprint
 	state       State
 	expires     time.Time
 	answer      *answer
-	// refusal is why the attempt was sealed, where the agent itself refused it.
+	// refusal is the reason why the attempt was sealed, if the agent refused it.
 	refusal *core.Refusal
-	// turn orders finished answers by age for eviction; zero while running.
-	turn uint64
+	// doneSeq is the position of the complete answer in the order of eviction; zero
+	// while the attempt is running.
+	doneSeq uint64
 }
 
-// standing is the state as askers see it: a running attempt whose answer grew
-// past the bound has an answer that nobody else can get whole.
-func (r *record) standing() State {
+// visibleState returns the state as reported to entries. A running attempt whose
+// answer was evicted because it exceeds the bound counts as Lost, as nobody can
+// read its whole answer any more.
+func (r *record) visibleState() State {
 	if r.state == Running && r.answer == nil {
 		return Lost
 	}
 	return r.state
 }
 
-// answer is what an attempt has produced so far. Chunks are kept by reference.
+// answer is the answer of an attempt so far. It refers to the chunks passed to
+// Append.
 type answer struct {
 	chunks [][]byte
 	size   int64
 	end    *End
 }
 
-// read returns the chunks after offset; the first may be a part of a chunk.
+// read returns the chunks from offset on. The first may be part of a chunk.
 func (a *answer) read(offset int64) [][]byte {
 	var out [][]byte
 	start := int64(0)
--- a/core/dedupe/table.go
+++ b/core/dedupe/table.go
@@ -8,42 +8,45 @@
 )
 
 // Table is an agent's table of keyed requests. It is not safe for concurrent
-// use. Fields are set before the first call.
+// use. Its exported fields must be set before the first call.
 type Table struct {
-	// Incarnation is the agent's own. Attempts claimed for another are refused.
+	// Incarnation is the agent's incarnation. Attempts claimed for another one are
+	// refused.
 	Incarnation core.Incarnation
-	// MaxBytes bounds the answers kept, running ones included.
+	// MaxBytes bounds the total size of the kept answers, including those of
+	// running attempts.
 	MaxBytes core.Bytes
-	// MaxRecords bounds the keys remembered; new attempts are refused beyond it.
+	// MaxRecords bounds the number of keys. New keys beyond it are refused.
 	MaxRecords int
 
 	records map[KeyID]*record
 	bytes   int64
 	expiry  expiryHeap
 	done    []finished
-	turn    uint64
-	// forgotten is the latest expiry among records that were dropped. A claim
-	// that expires no later may have had one.
-	forgotten time.Time
+	lastSeq uint64
+	// maxDropped is the latest expiry among the dropped records. A claim that
+	// expires no later may have had a record that was dropped.
+	maxDropped time.Time
 }
 
+// finished is an attempt with a complete answer, in the order of eviction.
 type finished struct {
-	id   KeyID
-	turn uint64
+	id  KeyID
+	seq uint64
 }
 
-// Verdict is what to do with an attempt that arrived.
+// Verdict is the decision on an attempt that arrived.
 type Verdict struct {
-	// State is Running where the attempt is to be run (Start) or is running or
-	// Done where its answer can be read; else Refusal is set.
+	// State is Running if the attempt is to be started or is running, and Done if
+	// its answer is complete. Otherwise Refusal is set.
 	State State
-	// Start tells that the attempt is to be run now, by this caller of Begin.
+	// Start is set if this caller of Begin must run the attempt now.
 	Start   bool
 	Refusal *core.Refusal
 }
 
-// Begin takes an attempt that an entry hands over. The attempt is to be run
-// only if the verdict says Start.
+// Begin accepts or refuses an attempt that an entry hands over. The caller must
+// run the attempt if the verdict has Start set, and must not run it otherwise.
 func (t *Table) Begin(now time.Time, c Call) Verdict {
 	t.expire(now)
 	if c.Incarnation != t.Incarnation {
@@ -66,16 +69,16 @@
 		t.start(r, c)
 		return Verdict{State: Running, Start: true}
 	case c.Attempt > r.attempt:
-		// The attempt before this one ran here, so the claim of this one can
-		// only come from clocks that disagree on when the key aged out.
+		// The previous attempt ran on this agent. This one can have been claimed only
+		// if clocks disagree on when the key expired.
 		return refuse(core.CodeRanElsewhere, core.MayHaveRun, "an earlier attempt ran here")
 	default:
 		return verdictOf(r)
 	}
 }
 
-// Attach asks for the answer of an attempt; it never starts a run. Of an attempt
-// that the agent refused it returns that refusal.
+// Attach returns whether the answer of an attempt can be read; it never starts a
+// run. For an attempt that the agent refused, it returns that refusal.
 func (t *Table) Attach(now time.Time, c Call) Verdict {
 	t.expire(now)
 	r := t.records[c.ID]
@@ -94,12 +97,12 @@
 	return verdictOf(r)
 }
 
-// Seal tells what became of an attempt. One that has not arrived is sealed by
-// the question: if it arrives later it is refused.
+// Seal returns the state of an attempt. An attempt that has not arrived is
+// sealed by the call: it is refused if it arrives later.
 //
-// Without the seal, an attempt that is still under way (its entry was paused
-// between claim and hand-over) would run after the asker had claimed and run
-// the next one.
+// Without the seal, an attempt that is still in flight, for example because its
+// entry paused between claim and hand-over, could run after the calling entry had
+// claimed and run the next attempt.
 func (t *Table) Seal(now time.Time, c Call) State {
 	t.expire(now)
 	if c.Incarnation != t.Incarnation {
@@ -113,14 +116,14 @@
 		return Sealed
 	}
 	if c.Attempt == r.attempt {
-		return r.standing()
+		return r.visibleState()
 	}
 	if r.state != Sealed {
 		return Lost
 	}
 	r.attempt = c.Attempt
 	r.refusal = nil
-	t.prolong(c.ID, r, c.Expires)
+	t.extend(c.ID, r, c.Expires)
 	return Sealed
 }
 
@@ -128,8 +131,8 @@
 	if !now.Before(c.Deadline) {
 		return tooLate()
 	}
-	// An attempt of a claim that may have had a dropped record could have run.
-	if !c.Expires.After(t.forgotten) {
+	// A record of this claim may have been dropped, so the attempt may have run.
+	if !c.Expires.After(t.maxDropped) {
 		return refuse(core.CodeRanElsewhere, core.MayHaveRun, "the agent no longer remembers keys as old as this one")
 	}
 	if len(t.records) >= t.MaxRecords {
@@ -144,7 +147,7 @@
 }
 
 func (t *Table) sealNew(c Call) State {
-	if !c.Expires.After(t.forgotten) || len(t.records) >= t.MaxRecords {
+	if !c.Expires.After(t.maxDropped) || len(t.records) >= t.MaxRecords {
 		return Lost
 	}
 	t.insert(c, &record{state: Sealed, attempt: c.Attempt, fingerprint: c.Fingerprint})
@@ -157,7 +160,7 @@
 	r.state = Running
 	r.refusal = nil
 	r.answer = &answer{}
-	t.prolong(c.ID, r, c.Expires)
+	t.extend(c.ID, r, c.Expires)
 }
 
 func (t *Table) insert(c Call, r *record) {
@@ -169,8 +172,8 @@
 	heap.Push(&t.expiry, expiryItem{at: c.Expires, id: c.ID})
 }
 
-// prolong keeps a record for as long as the later of two claims is valid.
-func (t *Table) prolong(id KeyID, r *record, expires time.Time) {
+// extend keeps a record until the later of its own expiry and expires.
+func (t *Table) extend(id KeyID, r *record, expires time.Time) {
 	if !expires.After(r.expires) {
 		return
 	}
@@ -178,13 +181,13 @@
 	heap.Push(&t.expiry, expiryItem{at: expires, id: id})
 }
 
-// Len returns the number of keys remembered.
+// Len returns the number of keys in the table.
 func (t *Table) Len() int { return len(t.records) }
 
-// Bytes returns the size of the answers kept.
+// Bytes returns the total size of the kept answers.
 func (t *Table) Bytes() core.Bytes { return core.Bytes(t.bytes) }
 
-// Next returns when the next record expires; zero where there is none.
+// Next returns when the next record expires; zero if there is none.
 func (t *Table) Next() time.Time {
 	if len(t.expiry) == 0 {
 		return time.Time{}
@@ -192,8 +195,8 @@
 	return t.expiry[0].at
 }
 
-// Expire drops records whose claims have aged out. Running ones stay until
-// they end.
+// Expire drops records whose claims have expired. Records of running attempts
+// stay until the attempts end.
 func (t *Table) Expire(now time.Time) { t.expire(now) }
 
 func (t *Table) expire(now time.Time) {
@@ -210,19 +213,20 @@
 func (t *Table) drop(id KeyID, r *record) {
 	t.release(r)
 	delete(t.records, id)
-	if r.expires.After(t.forgotten) {
-		t.forgotten = r.expires
+	if r.expires.After(t.maxDropped) {
+		t.maxDropped = r.expires
 	}
 }
 
-// tooLate refuses an attempt that nobody has sealed. Seals are looked at first:
-// of a sealed attempt one may not say just "not run", as another may have run.
+// tooLate refuses an attempt that arrived after its deadline and is not sealed.
+// Callers must check for a seal first: entries take CodeDeadline to mean that the
+// request did not run, but after a seal the next attempt may have run.
 func tooLate() Verdict {
 	return refuse(core.CodeDeadline, core.NotRun, "the deadline passed before the request arrived")
 }
 
 func verdictOf(r *record) Verdict {
-	if r.standing() == Lost {
+	if r.visibleState() == Lost {
 		return refuse(core.CodeRanElsewhere, core.MayHaveRun, "the answer is no longer kept")
 	}
 	return Verdict{State: r.state}
--- a/core/dedupe/table_test.go
+++ b/core/dedupe/table_test.go
@@ -53,8 +53,8 @@
 	assert.Equal(t, KeyOf("ab", "c"), KeyOf("ab", "c"))
 }
 
-// The second sending arrives while the first is running. Both callers get the
-// whole answer, the second from its first byte.
+// TestLateAttacherReadsWholeAnswer checks that a repeated request that arrives
+// while the first one is running reads the answer from its first byte.
 func TestLateAttacherReadsWholeAnswer(t *testing.T) {
 	table := newTable()
 	c := call("k", 1)
@@ -73,8 +73,9 @@
 	assert.Equal(t, table.Seal(start, c), Done)
 }
 
-// An entry is paused between claim and hand-over, its caller repeats through
-// another entry, which asks here. The paused entry's hand-over must not run.
+// TestSealedAttemptNeverRuns guards against a second run. An entry pauses between
+// claim and hand-over, and its caller repeats the request through another entry,
+// which seals the attempt. The hand-over of the paused entry must not run.
 func TestSealedAttemptNeverRuns(t *testing.T) {
 	table := newTable()
 	assert.Equal(t, table.Seal(start, call("k", 2)), Sealed)
@@ -112,8 +113,9 @@
 	assertRefused(t, table.Attach(start, c), core.CodeKeyReused, core.NotRun)
 }
 
-// An attempt arrives late and sealed. To call it just late would say "not run"
-// of a request that the sealer may have run meanwhile.
+// TestSealedThenLate checks that a sealed attempt that arrives after its deadline
+// is refused as sealed. With CodeDeadline, the caller would learn that its request
+// did not run, although the next attempt may have run since.
 func TestSealedThenLate(t *testing.T) {
 	table := newTable()
 	table.Seal(start, call("k", 1))
@@ -130,8 +132,8 @@
 	assertRefused(t, newTable().Attach(start, call("k", 1)), core.CodeRanElsewhere, core.MayHaveRun)
 }
 
-// Long answers push each other out. A repeat of one whose answer is gone must
-// be told so and not run again.
+// TestEvictedAnswersAreLostNotUnseen checks that a repeated request whose answer
+// was evicted by other answers is refused as lost and doesn't run again.
 func TestEvictedAnswersAreLostNotUnseen(t *testing.T) {
 	table := newTable()
 	run(t, table, call("a", 1), string(make([]byte, 60)), End{})
@@ -167,8 +169,9 @@
 	assert.Equal(t, table.Len(), 1)
 }
 
-// An agent whose clock runs ahead drops a record before entries think that its
-// claim has aged out. It can't say "never seen" of such a claim any more.
+// TestDroppedRecordIsNotUnseen checks that an agent whose clock is ahead, and
+// which dropped a record before entries regard its claim as expired, doesn't
+// treat the attempt as one that it has never seen.
 func TestDroppedRecordIsNotUnseen(t *testing.T) {
 	table := newTable()
 	run(t, table, call("k", 1), "x", End{})
@@ -193,11 +196,11 @@
 	assert.Equal(t, table.Len(), 0)
 }
 
-// naive keeps every answer for ever, in a plain map.
+// naive is a reference table that keeps every answer.
 type naive map[KeyID]map[uint64]string
 
-// The table is held against the naive one over random events: what it says is
-// kept is the same, and what it doesn't keep it calls lost.
+// TestTableAgainstNaive compares the table with the reference over random events:
+// answers that the table keeps are equal, and the others are reported as lost.
 func TestTableAgainstNaive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	table := &Table{Incarnation: 5, MaxBytes: 400, MaxRecords: 1000}
@@ -249,8 +252,7 @@
 	}
 }
 
-// BenchmarkRecords measures the memory that a remembered key takes at an agent,
-// without its answer.
+// BenchmarkRecords measures an agent's memory per key, without the answer.
 func BenchmarkRecords(b *testing.B) {
 	for b.Loop() {
 		const keys = 200_000
