--- a/core/script/agent_test.go
+++ b/core/script/agent_test.go
@@ -10,15 +10,15 @@
 	"radishwell/core/place"
 )
 
-// agent is the process beside an engine.
+// agent is the process that controls the engine of a host.
 type agent struct {
 	proc
-	w       *world
-	machine *machine
-	id      place.HostID
-	ledger  ledger.Ledger
-	grants  map[core.ModelName]object
-	// listed tells that the grants were read from the platform itself.
+	w      *world
+	host   *upstreamHost
+	id     place.HostID
+	ledger ledger.Ledger
+	grants map[core.ModelName]object
+	// listed is set if the grants have been listed from the platform.
 	listed    bool
 	listing   bool
 	reporting bool
@@ -27,9 +27,9 @@
 	uses      []ledger.Use
 }
 
-// startAgent starts a host's agent. The host's address is exclusive: while a
-// predecessor lives, paused or not, a new agent can't take it.
-func (w *world) startAgent(m *machine) {
+// startAgent starts a host's agent. It does nothing if another agent of the host
+// is alive, paused or not, as that agent occupies the host's address.
+func (w *world) startAgent(m *upstreamHost) {
 	if !m.up {
 		return
 	}
@@ -39,12 +39,12 @@
 		}
 	}
 	a := &agent{
-		w: w, machine: m, id: place.HostID{Host: m.host.Name, UID: m.host.UID},
+		w: w, host: m, id: place.HostID{Host: m.host.Name, UID: m.host.UID},
 		grants: map[core.ModelName]object{}, releasing: map[core.ModelName]bool{},
 		wants: map[core.ModelName]bool{},
 	}
 	a.proc = proc{name: string(m.host.Name), rate: 1, step: a.step, take: a.take}
-	a.ledger = ledger.Ledger{ChecksFence: m.engine.checks, Started: w.now}
+	a.ledger = ledger.Ledger{ChecksFence: m.engine.checksFence, Started: w.now}
 	if w.faults["no-settle"] {
 		a.ledger.Started = w.now.Add(-ledger.Settle)
 	}
@@ -58,10 +58,10 @@
 	a.report()
 	a.order()
 	for _, name := range slices.Sorted(maps.Keys(a.grants)) {
-		a.letGo(name)
+		a.releaseRevoked(name)
 	}
 	for _, it := range a.ledger.Items() {
-		// Before the grants were read, what the engine holds is served.
+		// Until the grants are listed, the agent serves what the engine holds.
 		if _, held := a.held(it.Name); a.listed && !held {
 			a.ledger.Unload(a.now(), it.Name)
 		}
@@ -72,7 +72,7 @@
 	a.order()
 	if a.ledger.Superseded() {
 		a.w.crash(&a.proc, true)
-		a.machine.agent = nil
+		a.host.agent = nil
 	}
 }
 
@@ -116,7 +116,7 @@
 		a.reporting = false
 		a.ledger.Report(a.now(), t, st)
 	}
-	call(a.w, &a.proc, a.machine, "state", a.machine.engine.state, done, func() { a.reporting = false })
+	call(a.w, &a.proc, a.host, "state", a.host.engine.state, done, func() { a.reporting = false })
 }
 
 func (a *agent) order() {
@@ -132,13 +132,14 @@
 	if o.Kind == ledger.LoadItem {
 		label = "load " + string(o.Load.Name)
 	}
-	do := func() ledger.Reply { return a.machine.engine.order(o) }
-	call(a.w, &a.proc, a.machine, label, do, done, func() { done(fault(core.EngineLost)) })
+	do := func() ledger.Reply { return a.host.engine.order(o) }
+	call(a.w, &a.proc, a.host, label, do, done, func() { done(fault(core.EngineLost)) })
 	a.w.net[len(a.w.net)-1].order = true
 }
 
-// letGo unloads what is revoked and gives the grant up once that is proven.
-func (a *agent) letGo(name core.ModelName) {
+// releaseRevoked unloads a model whose grant is revoked, and releases the grant
+// once the model is proven to be unloaded.
+func (a *agent) releaseRevoked(name core.ModelName) {
 	state, held := a.held(name)
 	if !held || a.releasing[name] || state == core.GrantActive && !a.w.faults["release-active"] {
 		return
@@ -190,7 +191,7 @@
 	}
 }
 
-// done ends the n-th use.
+// done ends the n-th request.
 func (a *agent) done(n int) {
 	if len(a.uses) == 0 {
 		return
@@ -200,18 +201,20 @@
 	a.uses = slices.Delete(a.uses, i, i+1)
 }
 
+// only makes an item the only one that is to be loaded.
 func (a *agent) only(name core.ModelName) {
 	clear(a.wants)
 	a.wants[name] = true
 }
 
+// idle ends all requests.
 func (a *agent) idle() {
 	for len(a.uses) > 0 {
 		a.done(0)
 	}
 }
 
-// take gets a grant from a list, a watch or a peer; it may be an old one.
+// take receives a grant from a list, a watch or a peer. It may be out of date.
 func (a *agent) take(o object) {
 	if o.kind != core.KindGrant {
 		return
@@ -224,7 +227,8 @@
 	a.grants[name] = o
 }
 
-// evict asks that an item leaves; the fault orders it though it is in use.
+// evict requests that an item be unloaded. The fault evict-busy orders it even
+// though the item is in use.
 func (a *agent) evict(name core.ModelName) {
 	if a.w.faults["evict-busy"] {
 		o := ledger.Order{Kind: ledger.UnloadItem, Unload: core.UnloadOrder{Name: name, Fence: 1 << 60}}
--- a/core/script/check_test.go
+++ b/core/script/check_test.go
@@ -9,14 +9,15 @@
 	"radishwell/core/place"
 )
 
-// checker holds what must always be true and the first thing that was not.
+// checker checks the invariants and keeps the first violation.
 type checker struct {
 	failed string
-	// limits has the limit of each version of a catalogue entry, memory the
-	// largest limit an owner ever had.
+	// limits has the replica limit of each version of a catalogue entry.
 	limits map[core.Version]int
+	// memory has the largest limit that each owner ever had.
 	memory map[core.OwnerName]core.Bytes
-	top    core.Fence
+	// top is the largest fencing number under which a decider was active.
+	top core.Fence
 }
 
 func (c *checker) init() {
@@ -30,25 +31,25 @@
 	}
 }
 
-// view checks that a process never takes an older version.
+// view checks that a process never replaces a version by an older one.
 func (c *checker) view(who string, have core.Version, o object) {
 	if o.version < have {
-		c.fail("version back: %s took %s/%s at %d after %d", who, o.kind, o.name, o.version, have)
+		c.fail("version back: %s accepted %s/%s at version %d after %d", who, o.kind, o.name, o.version, have)
 	}
 }
 
-// world checks what must hold after every directive.
+// world checks the invariants that hold after every directive.
 func (c *checker) world(w *world) {
 	c.lease(w)
 	for _, name := range slices.Sorted(maps.Keys(w.hosts)) {
 		if m := w.hosts[name]; m.up {
-			c.machine(w, m)
+			c.host(w, m)
 		}
 	}
 }
 
-// lease checks that one decider at a time believes that it decides, and that
-// numbers grow with each change of holder.
+// lease checks that at most one decider at a time considers itself the lease's
+// holder, and that fencing numbers grow with each change of holder.
 func (c *checker) lease(w *world) {
 	var who []string
 	for _, name := range slices.Sorted(maps.Keys(w.deciders)) {
@@ -58,21 +59,21 @@
 			continue
 		}
 		who = append(who, name)
-		if f == d.believed {
+		if f == d.lastFence {
 			continue
 		}
-		d.believed = f
+		d.lastFence = f
 		if f <= c.top {
-			c.fail("fence: %s decides under %d after %d", name, f, c.top)
+			c.fail("fence: %s holds the lease with fencing number %d after %d", name, f, c.top)
 		}
 		c.top = f
 	}
 	if len(who) > 1 {
-		c.fail("lease: %v both believe that they decide", who)
+		c.fail("lease: %v all consider themselves the holder", who)
 	}
 }
 
-func (c *checker) machine(w *world, m *machine) {
+func (c *checker) host(w *world, m *upstreamHost) {
 	for a, held := range m.engine.held() {
 		if held > m.engine.capacity[a] {
 			c.fail("memory: accelerator %d of %s holds %s of %s", a, m.host.Name, held, m.engine.capacity[a])
@@ -95,22 +96,22 @@
 	}
 }
 
-func (c *checker) agent(m *machine) {
+func (c *checker) agent(m *upstreamHost) {
 	l := &m.agent.ledger
 	for a, p := range l.Promised() {
 		if p > l.Capacity()[a] {
-			c.fail("promise: %s promises %s of %s on accelerator %d", m.host.Name, p, l.Capacity()[a], a)
+			c.fail("promise: %s reserves %s of %s on accelerator %d", m.host.Name, p, l.Capacity()[a], a)
 		}
 	}
 	for _, it := range l.Items() {
 		if it.Users > 0 && m.engine.items[it.Name].State == core.Unloading {
-			c.fail("busy: %s unloads %s with requests in it", m.host.Name, it.Name)
+			c.fail("busy: %s unloads %s while it serves requests", m.host.Name, it.Name)
 		}
 	}
 }
 
-// wrote checks each change of an object as it happens.
-func (w *world) wrote(by string, before, after object) {
+// checkWrite checks a write to an object.
+func (w *world) checkWrite(by string, before, after object) {
 	switch after.kind {
 	case core.KindModel:
 		w.check.limits[after.version] = max(after.entry.Replicas, 1)
@@ -128,7 +129,7 @@
 		after.grant.Holders = nil
 	}
 	if !after.deleted && (after.grant.Fence < before.grant.Fence || after.grant.Entry < before.grant.Entry) {
-		c.fail("version back: %s wrote %s under fence %d, entry %d after %d, %d", by, after.name,
+		c.fail("version back: %s wrote %s with fence %d, entry %d after fence %d, entry %d", by, after.name,
 			after.grant.Fence, after.grant.Entry, before.grant.Fence, before.grant.Entry)
 	}
 	for _, h := range before.grant.Holders {
@@ -142,17 +143,18 @@
 	}
 }
 
-// removed checks that a holder left by its own hand, or because its host is gone.
+// removed checks that a holder removed itself or that its host is gone.
 func (c *checker) removed(w *world, by, name string, id place.HostID) {
 	if by == string(id.Host) {
 		return
 	}
 	o, listed := w.store.objects[key{core.KindHost, string(id.Host)}]
 	if listed && o.host.UID == id.UID {
-		c.fail("proof: %s took %s from %s, which is listed", by, name, id.Host)
+		c.fail("proof: %s removed the grant for %s of %s, which is still listed", by, name, id.Host)
 	}
 }
 
+// added checks a new holder against the limits of the model and its owner.
 func (c *checker) added(w *world, by string, after object) {
 	for i, h := range after.grant.Holders {
 		if i > 0 && after.grant.Holders[i-1].Host == h.Host {
@@ -160,7 +162,7 @@
 		}
 	}
 	if n, limit := len(after.grant.Holders), c.limits[after.grant.Entry]; n > limit {
-		c.fail("limit: %s made %d holders of %s, the limit is %d", by, n, after.name, limit)
+		c.fail("limit: %s made %d hosts holders of %s, the limit is %d", by, n, after.name, limit)
 	}
 	limit := c.memory[after.grant.Owner]
 	sum := core.Bytes(0)
@@ -170,6 +172,6 @@
 		}
 	}
 	if limit > 0 && sum > limit {
-		c.fail("owner: %s made %s hold %s of %s", by, after.grant.Owner, sum, limit)
+		c.fail("owner: %s granted %s in total %s of %s", by, after.grant.Owner, sum, limit)
 	}
 }
--- a/core/script/decider_test.go
+++ b/core/script/decider_test.go
@@ -8,27 +8,31 @@
 	"radishwell/core/place"
 )
 
-// budget is small, so that rounds end in the middle of a change.
+// budget is the number of writes of a round. It is small, so that rounds end in
+// the middle of a change.
 const budget = 3
 
-// decider is an entry that contends for the lease and, holding it, decides.
+// decider is an entry that contends for the lease and plans grants while it holds
+// it.
 type decider struct {
 	proc
 	w       *world
 	lease   lease.Lease
 	planner place.Planner
-	// listed is the fencing number under which everything was listed.
+	// listed is the fencing number with which all objects were last listed.
 	listed  core.Fence
 	listing bool
-	asking  map[place.HostID]bool
-	// seen are the versions of hosts and owners, which a replica keeps.
+	// lookUps has the hosts whose look-up is in flight.
+	lookUps map[place.HostID]bool
+	// seen has the latest version of each host and owner, as a replica keeps it.
 	seen map[key]core.Version
-	// believed is the largest number it decided under, for the checks.
-	believed core.Fence
+	// lastFence is the fencing number with which the decider last considered itself
+	// the holder.
+	lastFence core.Fence
 }
 
 func (w *world) startDecider(name string, rate float64) {
-	d := &decider{w: w, asking: map[place.HostID]bool{}, seen: map[key]core.Version{}}
+	d := &decider{w: w, lookUps: map[place.HostID]bool{}, seen: map[key]core.Version{}}
 	w.uids++
 	d.proc = proc{name: name, rate: rate, step: d.step, take: d.take}
 	d.lease = lease.Lease{Host: core.HostName(name), Incarnation: core.Incarnation(w.uids)}
@@ -116,13 +120,13 @@
 }
 
 func (d *decider) lookUp(id place.HostID) {
-	if d.asking[id] {
+	if d.lookUps[id] {
 		return
 	}
-	d.asking[id] = true
+	d.lookUps[id] = true
 	do := func() result { return d.w.store.get(key{core.KindHost, string(id.Host)}) }
 	done := func(r result) {
-		delete(d.asking, id)
+		delete(d.lookUps, id)
 		switch {
 		case !r.failed && r.object.host.UID == id.UID:
 			d.take(r.object)
@@ -130,10 +134,11 @@
 			d.planner.Gone(id)
 		}
 	}
-	call(d.w, &d.proc, nil, "host", do, done, func() { delete(d.asking, id) })
+	call(d.w, &d.proc, nil, "host", do, done, func() { delete(d.lookUps, id) })
 }
 
-// presumeGone is a deliberate fault: a dead agent is taken for a host gone.
+// presumeGone is a deliberate fault: it treats the host of a dead or paused agent
+// as gone.
 func (d *decider) presumeGone() {
 	for _, m := range d.w.hosts {
 		if m.agent == nil || m.agent.paused {
@@ -166,7 +171,7 @@
 	return place.Overtaken
 }
 
-// take gets an object from a list, a watch or a peer; it may be an old one.
+// take receives an object from a list, a watch or a peer. It may be out of date.
 func (d *decider) take(o object) {
 	name := core.ModelName(o.name)
 	if o.kind == core.KindHost || o.kind == core.KindOwner {
--- a/core/script/engine_test.go
+++ b/core/script/engine_test.go
@@ -8,16 +8,17 @@
 	"radishwell/core/ledger"
 )
 
-// engine is a fake model engine. It takes every load without looking at its
-// memory, and unloads a base under its adapters, so that mistakes show.
+// engine is a simulated model engine. It accepts loads beyond its memory, and
+// unloads a base model even if adapters on it are loaded, so that the checks see
+// such errors.
 type engine struct {
-	epoch    uint64
-	fence    core.Fence
-	checks   bool
-	mute     bool
-	hangs    bool
-	capacity []core.Bytes
-	items    map[core.ModelName]core.EngineItem
+	epoch        uint64
+	fence        core.Fence
+	checksFence  bool // the engine refuses stale fencing numbers
+	forgetsFence bool // the engine doesn't record fencing numbers
+	hangs        bool // loads and unloads don't complete
+	capacity     []core.Bytes
+	items        map[core.ModelName]core.EngineItem
 }
 
 func (e *engine) restart() {
@@ -33,10 +34,10 @@
 	if o.Kind == ledger.UnloadItem {
 		fence = o.Unload.Fence
 	}
-	if e.checks && fence < e.fence {
+	if e.checksFence && fence < e.fence {
 		return fault(core.EngineStale)
 	}
-	if !e.mute {
+	if !e.forgetsFence {
 		e.fence = max(e.fence, fence)
 	}
 	if o.Kind == ledger.UnloadItem {
@@ -72,7 +73,7 @@
 	return ledger.Reply{}
 }
 
-// work finishes the load or unload of the n-th item that has one under way.
+// work completes the load or unload of the n-th item that has one in progress.
 func (e *engine) work(n int) {
 	var busy []core.ModelName
 	for _, name := range slices.Sorted(maps.Keys(e.items)) {
@@ -100,7 +101,7 @@
 	return st
 }
 
-// held returns the bytes that the engine really has on each accelerator.
+// held returns the memory in use on each accelerator.
 func (e *engine) held() []core.Bytes {
 	sum := make([]core.Bytes, len(e.capacity))
 	for _, it := range e.items {
--- a/core/script/lang_test.go
+++ b/core/script/lang_test.go
@@ -11,14 +11,15 @@
 	"radishwell/core/place"
 )
 
-// directive is one line of a scenario: its name and the words after it.
+// directive is a kind of line in a scenario.
 type directive struct {
+	// usage documents the arguments and the effect.
 	usage string
 	run   func(w *world, a args)
 }
 
-// args are the words after a directive's name; one that is missing reads as
-// empty or zero, so that a schedule can be cut down freely.
+// args are the arguments of a directive. Missing or invalid ones count as empty
+// or zero, so that any line of a schedule can be left out.
 type args []string
 
 func (a args) word(i int) string {
@@ -38,7 +39,7 @@
 	return f
 }
 
-func (a args) span(i int) time.Duration {
+func (a args) duration(i int) time.Duration {
 	d, _ := time.ParseDuration(a.word(i))
 	return max(d, 0)
 }
@@ -47,57 +48,57 @@
 
 func init() {
 	directives = map[string]directive{
-		// What there is.
-		"host":    {"NAME DATA-CENTRE RACK ACCELERATORS GIB [ignores]: a host and its agent", runHost},
-		"model":   {"NAME OWNER GIB ACCELERATORS REPLICAS: a catalogue entry, or a change of it", runModel},
-		"adapter": {"NAME BASE OWNER GIB REPLICAS", runAdapter},
-		"drop":    {"NAME: deletes an entry", runDrop},
-		"owner":   {"NAME GIB: an owner's memory limit", runOwner},
-		"decider": {"NAME [CLOCK-RATE]: starts an entry", runDecider},
+		// Objects and processes.
+		"host":    {"NAME DATA-CENTRE RACK ACCELERATORS GIB [ignores]: adds a host with its agent; ignores: its engine doesn't check fencing numbers", runHost},
+		"model":   {"NAME OWNER GIB ACCELERATORS REPLICAS: adds or changes a model in the catalogue", runModel},
+		"adapter": {"NAME BASE OWNER GIB REPLICAS: adds or changes an adapter in the catalogue", runAdapter},
+		"drop":    {"NAME: deletes a model or adapter from the catalogue", runDrop},
+		"owner":   {"NAME GIB: sets an owner's memory limit", runOwner},
+		"decider": {"NAME [CLOCK-RATE]: starts a decider", runDecider},
 		// Time and messages.
-		"tick":    {"DURATION", func(w *world, a args) { w.tick(a.span(0)) }},
-		"settle":  {"DURATION: everything runs in order", func(w *world, a args) { w.settle(a.span(0)) }},
-		"step":    {"PROCESS: lets it act", func(w *world, a args) { w.with(a, w.run) }},
-		"turn":    {"PROCESS: it acts and gets its answers, but for those to orders", func(w *world, a args) { w.with(a, w.turn) }},
-		"overrun": {"DECIDER: decides though its term may be over, as when paused", runOverrun},
-		"sync":    {"PROCESS: brings it all objects", func(w *world, a args) { w.with(a, w.sync) }},
-		"copy":    {"PROCESS N: brings it the N-th last version of anything", runCopy},
-		"deliver": {"N or LABEL", func(w *world, a args) { w.each(a, w.deliver) }},
-		"lose":    {"N or LABEL: message is dropped, the caller gives up", func(w *world, a args) { w.each(a, w.lose) }},
-		"late":    {"N or LABEL: the caller gives up, the call stays on its way", func(w *world, a args) { w.each(a, w.late) }},
-		"hold":    {"N or LABEL: the message doesn't arrive before free", func(w *world, a args) { w.each(a, w.hold) }},
-		"free":    {"what was held arrives next", func(w *world, _ args) { w.free() }},
-		"abandon": {"HOST: its agent gives up the order on its way, which stays so", func(w *world, a args) { w.abandonOrder(a.word(0)) }},
-		"arrive":  {"HOST: an order that was given up reaches its engine", func(w *world, a args) { w.arrive(a.word(0)) }},
-		"effect":  {"HOST: the order on its way takes effect, its answer is lost", func(w *world, a args) { w.effect(a.word(0)) }},
+		"tick":    {"DURATION: advances the time", func(w *world, a args) { w.tick(a.duration(0)) }},
+		"settle":  {"DURATION: lets all processes run and all messages arrive in order", func(w *world, a args) { w.settle(a.duration(0)) }},
+		"step":    {"PROCESS: lets it act once", func(w *world, a args) { w.withProcess(a, w.run) }},
+		"turn":    {"PROCESS: lets it act, and delivers its calls and their answers except orders", func(w *world, a args) { w.withProcess(a, w.turn) }},
+		"overrun": {"DECIDER: lets it plan a round although its lease may have expired, as after a pause", runOverrun},
+		"sync":    {"PROCESS: sends it the current state of all objects", func(w *world, a args) { w.withProcess(a, w.sync) }},
+		"copy":    {"PROCESS N: sends it the object version written N writes ago", runCopy},
+		"deliver": {"N or LABEL: delivers a message", func(w *world, a args) { w.withMessage(a, w.deliver) }},
+		"lose":    {"N or LABEL: drops a message; the sender times out", func(w *world, a args) { w.withMessage(a, w.lose) }},
+		"late":    {"N or LABEL: the sender times out; the call stays in flight", func(w *world, a args) { w.withMessage(a, w.timeOut) }},
+		"hold":    {"N or LABEL: delays a message until free", func(w *world, a args) { w.withMessage(a, w.hold) }},
+		"free":    {"puts the held messages first in the network's queue", func(w *world, _ args) { w.releaseHeld() }},
+		"abandon": {"HOST: its agent times out on an order, which stays in flight", func(w *world, a args) { w.abandonOrder(a.word(0)) }},
+		"arrive":  {"HOST: an abandoned order reaches its engine", func(w *world, a args) { w.arrive(a.word(0)) }},
+		"effect":  {"HOST: an order in flight takes effect; its answer is lost", func(w *world, a args) { w.effect(a.word(0)) }},
 		// Faults.
 		"outage":  {"on|off: the platform refuses every call", func(w *world, a args) { w.store.down = a.word(0) == "on" }},
-		"part":    {"PROCESS on|off: it can't reach the platform", func(w *world, a args) { w.with(a, func(p *proc) { p.parted = a.word(1) == "on" }) }},
-		"pause":   {"PROCESS", func(w *world, a args) { w.with(a, func(p *proc) { p.paused = true }) }},
-		"resume":  {"PROCESS", func(w *world, a args) { w.with(a, w.resume) }},
-		"crash":   {"PROCESS [keep]: ends it; keep leaves its calls on their way", runCrash},
-		"start":   {"PROCESS: starts it anew", runStart},
-		"reboot":  {"HOST: its engine restarts", func(w *world, a args) { w.host(a, func(m *machine) { m.engine.restart() }) }},
-		"hang":    {"HOST on|off: its engine's loads and unloads don't end", runHang},
-		"mute":    {"HOST: its engine doesn't keep numbers, though it should", func(w *world, a args) { w.host(a, func(m *machine) { m.engine.mute = true }) }},
-		"leave":   {"HOST: listed as leaving", runLeave},
-		"kill":    {"HOST: gone without notice, still listed", func(w *world, a args) { w.host(a, w.kill) }},
+		"part":    {"PROCESS on|off: cuts it off from the platform", func(w *world, a args) { w.withProcess(a, func(p *proc) { p.partitioned = a.word(1) == "on" }) }},
+		"pause":   {"PROCESS: suspends it", func(w *world, a args) { w.withProcess(a, func(p *proc) { p.paused = true }) }},
+		"resume":  {"PROCESS: ends a pause", func(w *world, a args) { w.withProcess(a, w.resume) }},
+		"crash":   {"PROCESS [keep]: ends it; keep: its calls stay in flight", runCrash},
+		"start":   {"PROCESS: starts it again", runStart},
+		"reboot":  {"HOST: its engine restarts", func(w *world, a args) { w.withHost(a, func(m *upstreamHost) { m.engine.restart() }) }},
+		"hang":    {"HOST on|off: its engine's loads and unloads don't complete", runHang},
+		"mute":    {"HOST: its engine stops recording fencing numbers", func(w *world, a args) { w.withHost(a, func(m *upstreamHost) { m.engine.forgetsFence = true }) }},
+		"leave":   {"HOST: the platform lists it as leaving", runLeave},
+		"kill":    {"HOST: it dies without notice and is still listed", func(w *world, a args) { w.withHost(a, w.kill) }},
 		"reclaim": {"HOST: kills it if it is listed as leaving", runReclaim},
-		"delist":  {"HOST: a killed host is no longer listed", runDelist},
-		"join":    {"HOST: a new host under the name of one delisted", runJoin},
-		"unlease": {"deletes the lease by hand", func(w *world, _ args) { w.unlease() }},
-		"break":   {"FAULT: a deliberate fault, which a check must see", runBreak},
+		"delist":  {"HOST: the platform no longer lists it, if it was killed", runDelist},
+		"join":    {"HOST: adds a new host under the name of a delisted one", runJoin},
+		"unlease": {"deletes the lease, as an operator might", func(w *world, _ args) { w.unlease() }},
+		"break":   {"FAULT: enables a deliberate fault, which a check must detect", runBreak},
 		// Work.
-		"work":   {"HOST N: its engine ends a load or unload", func(w *world, a args) { w.host(a, func(m *machine) { m.engine.work(a.num(1)) }) }},
-		"want":   {"HOST MODEL", func(w *world, a args) { w.agent(a, func(g *agent) { g.wants[core.ModelName(a.word(1))] = true }) }},
-		"only":   {"HOST MODEL: wants this and nothing else", func(w *world, a args) { w.agent(a, func(g *agent) { g.only(core.ModelName(a.word(1))) }) }},
-		"unwant": {"HOST MODEL", func(w *world, a args) { w.agent(a, func(g *agent) { delete(g.wants, core.ModelName(a.word(1))) }) }},
-		"use":    {"HOST MODEL: a request begins", func(w *world, a args) { w.agent(a, func(g *agent) { g.use(core.ModelName(a.word(1))) }) }},
-		"done":   {"HOST N: a request ends", func(w *world, a args) { w.agent(a, func(g *agent) { g.done(a.num(1)) }) }},
+		"work":   {"HOST N: its engine completes a load or unload", func(w *world, a args) { w.withHost(a, func(m *upstreamHost) { m.engine.work(a.num(1)) }) }},
+		"want":   {"HOST MODEL: its agent is to load a model", func(w *world, a args) { w.withAgent(a, func(g *agent) { g.wants[core.ModelName(a.word(1))] = true }) }},
+		"only":   {"HOST MODEL: its agent is to load a model and no others", func(w *world, a args) { w.withAgent(a, func(g *agent) { g.only(core.ModelName(a.word(1))) }) }},
+		"unwant": {"HOST MODEL: undoes want", func(w *world, a args) { w.withAgent(a, func(g *agent) { delete(g.wants, core.ModelName(a.word(1))) }) }},
+		"use":    {"HOST MODEL: a request begins", func(w *world, a args) { w.withAgent(a, func(g *agent) { g.use(core.ModelName(a.word(1))) }) }},
+		"done":   {"HOST N: a request ends", func(w *world, a args) { w.withAgent(a, func(g *agent) { g.done(a.num(1)) }) }},
 		"heal":   {"ends every fault and settles", func(w *world, _ args) { w.heal() }},
-		"idle":   {"HOST: all requests end", func(w *world, a args) { w.agent(a, (*agent).idle) }},
-		"evict":  {"HOST MODEL: asks that it leaves", func(w *world, a args) { w.agent(a, func(g *agent) { g.evict(core.ModelName(a.word(1))) }) }},
-		"demand": {"MODEL HOSTS: as every decider sees it", runDemand},
+		"idle":   {"HOST: all requests end", func(w *world, a args) { w.withAgent(a, (*agent).idle) }},
+		"evict":  {"HOST MODEL: its agent is to unload a model", func(w *world, a args) { w.withAgent(a, func(g *agent) { g.evict(core.ModelName(a.word(1))) }) }},
+		"demand": {"MODEL HOSTS: sets the demand that all deciders see", runDemand},
 		// Expectations.
 		"expect": {"holders MODEL HOST... | loaded HOST MODEL... | decider NAME | clear HOST MODEL | converged", runExpect},
 	}
@@ -118,31 +119,34 @@
 	w.check.world(w)
 }
 
-// with runs f on the process named by the first word, if it lives.
-func (w *world) with(a args, f func(*proc)) {
+// withProcess runs f on the process named by the first argument, if it is alive.
+func (w *world) withProcess(a args, f func(*proc)) {
 	if d := w.deciders[a.word(0)]; d != nil {
 		f(&d.proc)
 		return
 	}
-	w.agent(a, func(g *agent) { f(&g.proc) })
+	w.withAgent(a, func(g *agent) { f(&g.proc) })
 }
 
-func (w *world) host(a args, f func(*machine)) {
+// withHost runs f on the host named by the first argument, if it is up.
+func (w *world) withHost(a args, f func(*upstreamHost)) {
 	if m := w.hosts[core.HostName(a.word(0))]; m != nil && m.up {
 		f(m)
 	}
 }
 
-func (w *world) agent(a args, f func(*agent)) {
-	w.host(a, func(m *machine) {
+// withAgent runs f on the agent of the host named by the first argument, if it is
+// alive.
+func (w *world) withAgent(a args, f func(*agent)) {
+	w.withHost(a, func(m *upstreamHost) {
 		if m.agent != nil {
 			f(m.agent)
 		}
 	})
 }
 
-// each runs f on the message given by number or label.
-func (w *world) each(a args, f func(int)) {
+// withMessage runs f on the message given by its number or label.
+func (w *world) withMessage(a args, f func(int)) {
 	if _, err := strconv.Atoi(a.word(0)); err == nil {
 		f(a.num(0))
 		return
@@ -150,7 +154,7 @@
 	label := strings.Join(a, " ")
 	i := w.find(label)
 	if i < 0 {
-		w.check.fail("no message %q is on its way", label)
+		w.check.fail("no message %q is in flight", label)
 		return
 	}
 	f(i)
@@ -161,7 +165,7 @@
 	inbox := p.inbox
 	p.inbox = nil
 	for _, f := range inbox {
-		p.tell(f)
+		p.dispatch(f)
 	}
 }
 
@@ -175,14 +179,14 @@
 	w.addHost(h, a.word(5) != "ignores")
 }
 
-func (w *world) addHost(h place.Host, checks bool) {
+func (w *world) addHost(h place.Host, checksFence bool) {
 	w.uids++
 	h.UID = "uid" + strconv.Itoa(w.uids)
-	e := &engine{epoch: uint64(w.uids), checks: checks, items: map[core.ModelName]core.EngineItem{}}
+	e := &engine{epoch: uint64(w.uids), checksFence: checksFence, items: map[core.ModelName]core.EngineItem{}}
 	for range h.Accelerators {
 		e.capacity = append(e.capacity, h.Memory)
 	}
-	m := &machine{host: h, engine: e, up: true}
+	m := &upstreamHost{host: h, engine: e, up: true}
 	w.hosts[h.Name] = m
 	w.store.force(object{key: key{core.KindHost, string(h.Name)}, host: h})
 	w.startAgent(m)
@@ -235,12 +239,12 @@
 		return
 	}
 	o := w.store.history[n-1-a.num(1)%n]
-	w.with(a, func(p *proc) { p.tell(func() { p.take(o) }) })
+	w.withProcess(a, func(p *proc) { p.dispatch(func() { p.take(o) }) })
 }
 
 func runBreak(w *world, a args) {
 	w.faults[a.word(0)] = true
-	w.store.careless = w.faults["careless-store"]
+	w.store.unconditional = w.faults["careless-store"]
 	if a.word(0) == "restore" {
 		w.store.version = 0
 		delete(w.store.objects, key{core.KindLease, lease.Name})
@@ -248,13 +252,13 @@
 }
 
 func runOverrun(w *world, a args) {
-	if d := w.deciders[a.word(0)]; d != nil && d.believed != 0 && d.believed == d.listed {
-		d.round(d.believed)
+	if d := w.deciders[a.word(0)]; d != nil && d.lastFence != 0 && d.lastFence == d.listed {
+		d.round(d.lastFence)
 	}
 }
 
 func runCrash(w *world, a args) {
-	w.with(a, func(p *proc) {
+	w.withProcess(a, func(p *proc) {
 		w.crash(p, a.word(1) == "keep")
 		delete(w.deciders, p.name)
 		if m := w.hosts[core.HostName(p.name)]; m != nil {
@@ -274,7 +278,7 @@
 }
 
 func runHang(w *world, a args) {
-	w.host(a, func(m *machine) { m.engine.hangs = a.word(1) == "on" })
+	w.withHost(a, func(m *upstreamHost) { m.engine.hangs = a.word(1) == "on" })
 }
 
 func runLeave(w *world, a args) {
@@ -285,7 +289,7 @@
 	}
 }
 
-func (w *world) kill(m *machine) {
+func (w *world) kill(m *upstreamHost) {
 	m.up = false
 	if m.agent != nil {
 		w.crash(&m.agent.proc, false)
@@ -293,7 +297,7 @@
 	}
 }
 
-// unlease deletes the lease by hand.
+// unlease deletes the lease, as an operator might.
 func (w *world) unlease() {
 	k := key{core.KindLease, lease.Name}
 	if _, ok := w.store.objects[k]; ok {
@@ -303,7 +307,7 @@
 
 func runReclaim(w *world, a args) {
 	if w.store.objects[key{core.KindHost, a.word(0)}].host.State == core.HostLeaving {
-		w.host(a, w.kill)
+		w.withHost(a, w.kill)
 	}
 }
 
@@ -321,7 +325,7 @@
 	if _, listed := w.store.objects[key{core.KindHost, a.word(0)}]; m == nil || listed {
 		return
 	}
-	w.addHost(m.host, m.engine.checks)
+	w.addHost(m.host, m.engine.checksFence)
 }
 
 func runDemand(w *world, a args) {
@@ -346,7 +350,7 @@
 		have = w.converged()
 		a = append(a, "")
 	case "clear":
-		w.agent(a[1:], func(g *agent) { have = strconv.FormatBool(g.ledger.Clear(core.ModelName(a.word(2)))) })
+		w.withAgent(a[1:], func(g *agent) { have = strconv.FormatBool(g.ledger.Clear(core.ModelName(a.word(2)))) })
 		a = a[1:]
 	}
 	if want := strings.Join(a[2:], " "); have != want {
@@ -354,6 +358,7 @@
 	}
 }
 
+// holder returns the name of a decider that holds the lease, or "none".
 func (w *world) holder() string {
 	for name, d := range w.deciders {
 		if _, ok := d.lease.Decides(d.now()); ok {
@@ -363,7 +368,7 @@
 	return "none"
 }
 
-// holders lists a model's holders; a revoked one has a minus.
+// holders lists a model's holders. Revoked ones have a minus sign appended.
 func (w *world) holders(name core.ModelName) string {
 	var list []string
 	for _, h := range w.store.objects[key{core.KindGrant, string(name)}].grant.Holders {
@@ -376,7 +381,7 @@
 	return strings.Join(list, " ")
 }
 
-func (m *machine) loaded() string {
+func (m *upstreamHost) loaded() string {
 	var list []string
 	for _, it := range m.engine.state().Items {
 		if it.State == core.Loaded {
--- a/core/script/profile_test.go
+++ b/core/script/profile_test.go
@@ -1,18 +1,21 @@
 package script
 
-// kind is a directive with how often it is drawn; args are drawn one each.
-type kind struct {
+// weightedDirective is a directive of random schedules.
+type weightedDirective struct {
+	// weight is proportional to the probability of the directive.
 	weight int
 	name   string
-	args   []string
+	// args has the choices for each argument, separated by spaces.
+	args []string
 }
 
-// profile is one kind of random schedule. Each puts its weight on other faults,
-// so that the sequences which matter come up often.
+// profile is a kind of random schedule. Each profile emphasizes other faults, so
+// that the sequences that matter are frequent.
 type profile struct {
-	name    string
+	name string
+	// opening holds the directives that every schedule starts with.
 	opening string
-	kinds   []kind
+	kinds   []weightedDirective
 }
 
 const (
@@ -46,7 +49,7 @@
 decider d3 0.95
 settle 20s`
 
-var everythingKinds = []kind{
+var everythingKinds = []weightedDirective{
 	{60, "deliver", []string{someNumber}},
 	{45, "step", []string{someProcess}},
 	{20, "work", []string{someHost, someNumber}},
@@ -87,7 +90,7 @@
 	{1, "settle", []string{"3s 20s"}},
 }
 
-// memory has two hosts that hold little of what is wanted.
+// memory sets up two hosts whose memory is too small for all models.
 const memory = `host h1 charguia r1 1 80
 host h2 lac-deux r1 1 80 ignores
 model m1 nadi 30 1 2
@@ -97,7 +100,7 @@
 decider d1
 settle 30s`
 
-var memoryKinds = []kind{
+var memoryKinds = []weightedDirective{
 	{60, "turn", []string{"h1 h2 h2 d1"}},
 	{40, "deliver", []string{"0 0 1"}},
 	{40, "work", []string{someHolder, "0 1"}},
@@ -124,8 +127,8 @@
 	{2, "model m4 kopa 50 1", []string{"1 2"}},
 }
 
-// deciderKinds leaves the engines alone and troubles those who decide.
-var deciderKinds = []kind{
+// deciderKinds injects faults into deciders, but not into engines.
+var deciderKinds = []weightedDirective{
 	{50, "turn", []string{someProcess}},
 	{20, "step", []string{someDecider}},
 	{50, "deliver", []string{someNumber}},
--- a/core/script/random_test.go
+++ b/core/script/random_test.go
@@ -12,15 +12,15 @@
 )
 
 var (
-	steps = flag.Int("steps", 9_600, "random directives that TestRandom plays in all")
+	steps = flag.Int("steps", 9_600, "total number of random directives in TestRandom")
 	seed  = flag.Uint64("seed", 1, "seed of TestRandom's first schedule")
 )
 
-// length is how many random directives one schedule has.
-const length = 400
+// scheduleLength is the number of random directives of a schedule.
+const scheduleLength = 400
 
-// healing ends every fault, and gives the fleet time to converge.
-const healing = `outage off
+// healScript ends every fault and gives the system time to converge.
+const healScript = `outage off
 part d1 off
 part d2 off
 part d3 off
@@ -64,12 +64,14 @@
 idle h4
 settle 100s`
 
+// draw returns a random one of the words, which are separated by spaces.
 func draw(r *rand.Rand, words string) string {
 	list := strings.Fields(words)
 	return list[r.IntN(len(list))]
 }
 
-// schedule draws the directives of one seed, with the opening of its profile.
+// schedule returns the random directives for a seed and the opening of their
+// profile.
 func schedule(seed uint64) (opening string, lines []string) {
 	r := rand.New(rand.NewPCG(seed, 2026))
 	kinds := profiles[seed%uint64(len(profiles))].kinds
@@ -77,7 +79,7 @@
 	for _, k := range kinds {
 		total += k.weight
 	}
-	lines = make([]string, length)
+	lines = make([]string, scheduleLength)
 	for i := range lines {
 		n := r.IntN(total)
 		j := 0
@@ -93,7 +95,8 @@
 	return profiles[seed%uint64(len(profiles))].opening, lines
 }
 
-// run plays a schedule between opening and healing and returns the breach.
+// run runs a schedule after its opening, heals the system and returns the first
+// violation, if any.
 func run(opening string, lines []string) string {
 	w := newWorld()
 	all := slices.Concat(strings.Split(opening, "\n"), lines, []string{"heal"})
@@ -107,7 +110,7 @@
 }
 
 func (w *world) heal() {
-	for _, l := range strings.Split(healing, "\n") {
+	for _, l := range strings.Split(healScript, "\n") {
 		w.exec(l)
 		if w.check.failed != "" {
 			return
@@ -115,14 +118,15 @@
 	}
 }
 
-// converged checks that all is as it should be once no fault is left.
+// converged checks that the system has reached its intended state after all
+// faults have ended. It returns the violation, if any.
 func (w *world) converged() string {
 	if h := w.holder(); h == "none" {
-		return "converged: nobody decides"
+		return "converged: no decider holds the lease"
 	}
 	d := w.deciders[w.holder()]
 	if n := len(d.planner.Unproven()); n > 0 {
-		return fmt.Sprintf("converged: %d holders unproven", n)
+		return fmt.Sprintf("converged: %d holders whose hosts may be gone", n)
 	}
 	for _, name := range []core.ModelName{"m1", "m2", "m3", "m4"} {
 		_, known := w.store.objects[key{core.KindModel, string(name)}]
@@ -144,11 +148,12 @@
 	return ""
 }
 
-// shrink cuts a failing schedule down to lines that are all needed.
+// shrink removes lines from a failing schedule for as long as it still fails
+// with the same kind of violation.
 func shrink(opening string, lines []string, want string) []string {
-	sort := strings.SplitN(want, ":", 2)[0]
+	category := strings.SplitN(want, ":", 2)[0]
 	fails := func(l []string) bool {
-		return strings.HasPrefix(run(opening, l), sort+":")
+		return strings.HasPrefix(run(opening, l), category+":")
 	}
 	for size := len(lines) / 2; size > 0; size /= 2 {
 		for i := 0; i+size <= len(lines); {
@@ -163,15 +168,15 @@
 	return lines
 }
 
-// TestRandom plays schedules of random directives with fixed seeds.
+// TestRandom runs schedules of random directives with fixed seeds.
 func TestRandom(t *testing.T) {
-	for s := range uint64(*steps / length) {
+	for s := range uint64(*steps / scheduleLength) {
 		opening, lines := schedule(*seed + s)
-		breach := run(opening, lines)
-		if breach == "" {
+		violation := run(opening, lines)
+		if violation == "" {
 			continue
 		}
-		short := shrink(opening, lines, breach)
-		t.Fatalf("seed %d: %s\n%s\n%s", *seed+s, breach, opening, strings.Join(short, "\n"))
+		short := shrink(opening, lines, violation)
+		t.Fatalf("seed %d: %s\n%s\n%s", *seed+s, violation, opening, strings.Join(short, "\n"))
 	}
 }
--- a/core/script/script_test.go
+++ b/core/script/script_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// play runs a scenario's lines and returns the first breach with its line.
-func play(text string) (breach string, line int) {
+// play runs a scenario and returns the first violation, if any, and its line.
+func play(text string) (violation string, line int) {
 	w := newWorld()
 	for i, l := range strings.Split(text, "\n") {
 		w.exec(l)
@@ -21,7 +21,8 @@
 	return "", 0
 }
 
-// TestScenarios plays testdata/*.txt. Each opens with its story.
+// TestScenarios runs testdata/*.txt. Each file starts with a comment that
+// describes the scenario.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	assert.NilError(t, err)
@@ -30,16 +31,16 @@
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
 			text, err := os.ReadFile(f)
 			assert.NilError(t, err)
-			assert.Assert(t, strings.HasPrefix(string(text), "# "), "a scenario opens with its story")
-			if breach, line := play(string(text)); breach != "" {
-				t.Fatalf("%s:%d: %s", f, line, breach)
+			assert.Assert(t, strings.HasPrefix(string(text), "# "), "a scenario must start with a description")
+			if violation, line := play(string(text)); violation != "" {
+				t.Fatalf("%s:%d: %s", f, line, violation)
 			}
 		})
 	}
 }
 
-// TestChecksSee plays testdata/broken/*.txt: in each a deliberate fault must be
-// seen by the check that the file's first line names.
+// TestChecksSee runs testdata/broken/*.txt. Each file enables a deliberate fault,
+// which the check named in its first line must detect.
 func TestChecksSee(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.txt")
 	assert.NilError(t, err)
@@ -49,13 +50,13 @@
 			text, err := os.ReadFile(f)
 			assert.NilError(t, err)
 			want, ok := strings.CutPrefix(strings.SplitN(string(text), "\n", 2)[0], "# sees ")
-			assert.Assert(t, ok, "the first line names the check")
-			breach, _ := play(string(text))
-			assert.Assert(t, strings.HasPrefix(breach, want+":"), "found %q", breach)
-			// Without the fault the same lines pass the checks.
-			sound := strings.ReplaceAll(string(text), "\nbreak ", "\n# ")
-			breach, _ = play(sound)
-			assert.Equal(t, breach, "")
+			assert.Assert(t, ok, "the first line must name the check")
+			violation, _ := play(string(text))
+			assert.Assert(t, strings.HasPrefix(violation, want+":"), "found %q", violation)
+			// Without the fault, the same scenario must pass the checks.
+			withoutFault := strings.ReplaceAll(string(text), "\nbreak ", "\n# ")
+			violation, _ = play(withoutFault)
+			assert.Equal(t, violation, "")
 		})
 	}
 }
--- a/core/script/store_test.go
+++ b/core/script/store_test.go
@@ -5,13 +5,14 @@
 	"radishwell/core/place"
 )
 
-// key names an object of the fake platform.
+// key identifies an object of the simulated platform.
 type key struct {
 	kind core.Kind
 	name string
 }
 
-// object is an object of the fake platform; the field of its kind is set.
+// object is an object of the simulated platform. Only the field for its kind is
+// set.
 type object struct {
 	key
 	version core.Version
@@ -23,17 +24,18 @@
 	owner   core.Bytes
 }
 
-// store is the fake platform: versions, conditional updates, outages.
+// store is the simulated platform, with versions, conditional updates and
+// outages.
 type store struct {
 	objects map[key]object
-	// history has every version of every object, for late and old copies.
+	// history has every version of every object, for delivering old ones.
 	history []object
 	version core.Version
 	down    bool
-	// careless is a fault of the test: conditions aren't checked.
-	careless bool
-	// wrote is called for every change, before and after it.
-	wrote func(by string, before, after object)
+	// unconditional is a deliberate fault: writes are unconditional.
+	unconditional bool
+	// onWrite is called after each write, with the states before and after it.
+	onWrite func(by string, before, after object)
 }
 
 type result struct {
@@ -44,14 +46,15 @@
 
 func failure(f core.PlatformFault) result { return result{failed: true, fault: f} }
 
-// put writes o if the object is still at o.version; zero means absent.
+// put writes o if the object is still at o.version, or if it doesn't exist and
+// o.version is zero.
 func (s *store) put(by string, o object) result {
 	if s.down {
 		return failure(core.Unavailable)
 	}
 	before, ok := s.objects[o.key]
 	switch {
-	case s.careless:
+	case s.unconditional:
 	case o.version == 0 && ok:
 		return failure(core.Exists)
 	case o.version != 0 && !ok:
@@ -67,7 +70,7 @@
 		s.objects[o.key] = o
 	}
 	s.history = append(s.history, o)
-	s.wrote(by, before, o)
+	s.onWrite(by, before, o)
 	return result{object: o}
 }
 
@@ -82,15 +85,15 @@
 	return result{object: o}
 }
 
-// force changes an object as an operator or the platform itself does.
+// force writes an object unconditionally, as an operator or the platform does.
 func (s *store) force(o object) {
-	down, careless := s.down, s.careless
-	s.down, s.careless = false, true
+	down, unconditional := s.down, s.unconditional
+	s.down, s.unconditional = false, true
 	s.put("operator", o)
-	s.down, s.careless = down, careless
+	s.down, s.unconditional = down, unconditional
 }
 
-// list returns all objects, in no order.
+// list returns all objects in random order. It reports false during an outage.
 func (s *store) list() ([]object, bool) {
 	if s.down {
 		return nil, false
--- a/core/script/world_test.go
+++ b/core/script/world_test.go
@@ -12,41 +12,44 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// message is a call on its way to the platform or an engine, or its answer.
+// message is a call in flight to the platform or an engine, or its answer.
 type message struct {
 	label string
 	from  *proc
-	// run has the call's effect and returns what the answer does at the sender;
-	// for an answer it is that itself and returns nil.
+	// run executes a call and returns the function that delivers its answer to the
+	// sender. For an answer, run delivers it and returns nil.
 	run func() func()
-	// fail tells the sender that no answer came in time.
+	// fail notifies the sender that no answer came in time. It is nil for calls
+	// whose sender no longer waits.
 	fail   func()
 	answer bool
-	// order tells that the call is an order to host's engine.
+	// order is set if the call is an order to the engine of host.
 	order bool
-	// host is set for calls of a host's engine.
-	host *machine
-	// until ends an abandoned order to an engine that ignores fencing numbers:
-	// the agent shares its host, so it arrives within ledger.Settle or never.
-	until time.Time
+	// host is set for calls to the engine of a host.
+	host *upstreamHost
+	// expires is when an abandoned order to an engine that ignores fencing numbers is
+	// dropped. Such an order arrives within ledger.Settle or never, as the agent
+	// runs on the engine's host.
+	expires time.Time
 }
 
-// proc is what deciders and agents have in common.
+// proc is the common part of deciders and agents.
 type proc struct {
 	name   string
 	dead   bool
 	paused bool
-	// parted tells that the process can't reach the platform.
-	parted bool
-	inbox  []func()
-	// rate is how fast the process's clock runs.
+	// partitioned is set if the process can't reach the platform.
+	partitioned bool
+	// inbox has the events that arrived during a pause.
+	inbox []func()
+	// rate is the speed of the process's clock relative to the real time.
 	rate float64
 	step func()
 	take func(o object)
 }
 
-// tell runs f in the process, or once it is no longer paused.
-func (p *proc) tell(f func()) {
+// dispatch runs f in the process, after the end of its pause if it is paused.
+func (p *proc) dispatch(f func()) {
 	switch {
 	case p.dead:
 	case p.paused:
@@ -56,8 +59,8 @@
 	}
 }
 
-// machine is an upstream host: its engine, and its agent if one runs.
-type machine struct {
+// upstreamHost is an upstream host with its engine, and its agent if one is running.
+type upstreamHost struct {
 	host   place.Host
 	engine *engine
 	agent  *agent
@@ -71,31 +74,32 @@
 	net      []*message
 	held     []*message
 	deciders map[string]*decider
-	hosts    map[core.HostName]*machine
+	hosts    map[core.HostName]*upstreamHost
 	sizes    map[core.ModelName]place.Entry
 	uids     int
-	// faults are deliberate breaks, to show that the checks see them.
+	// faults has the deliberate faults, which show that the checks detect them.
 	faults map[string]bool
 	check  checker
 }
 
 func newWorld() *world {
 	w := &world{
-		now: epoch, deciders: map[string]*decider{}, hosts: map[core.HostName]*machine{},
+		now: epoch, deciders: map[string]*decider{}, hosts: map[core.HostName]*upstreamHost{},
 		sizes: map[core.ModelName]place.Entry{}, faults: map[string]bool{},
 	}
 	w.store.objects = map[key]object{}
-	w.store.wrote = w.wrote
+	w.store.onWrite = w.checkWrite
 	w.check.init()
 	return w
 }
 
+// clock returns the time on a process's clock.
 func (w *world) clock(p *proc) time.Time {
 	return epoch.Add(time.Duration(float64(w.now.Sub(epoch)) * p.rate))
 }
 
-// call puts a call on its way. done gets the answer, fail is told of none.
-func call[T any](w *world, p *proc, host *machine, label string, do func() T, done func(T), fail func()) {
+// call sends a call. done receives the answer; fail is called if there is none.
+func call[T any](w *world, p *proc, host *upstreamHost, label string, do func() T, done func(T), fail func()) {
 	w.net = append(w.net, &message{
 		label: p.name + " " + label, from: p, host: host, fail: fail,
 		run: func() func() {
@@ -105,6 +109,8 @@
 	})
 }
 
+// pick returns the message with index n modulo the number of messages, and its
+// index.
 func (w *world) pick(n int) (*message, int) {
 	if len(w.net) == 0 {
 		return nil, 0
@@ -113,14 +119,14 @@
 	return w.net[i], i
 }
 
-// find returns the index of the first message whose label is given.
+// find returns the index of the first message with the given label.
 func (w *world) find(label string) int {
 	return slices.IndexFunc(w.net, func(m *message) bool { return m.label == label })
 }
 
 func (w *world) remove(i int) { w.net = slices.Delete(w.net, i, i+1) }
 
-// deliver lets a call take effect, or an answer arrive.
+// deliver executes a call or delivers an answer.
 func (w *world) deliver(n int) {
 	m, i := w.pick(n)
 	if m == nil {
@@ -128,10 +134,10 @@
 	}
 	w.remove(i)
 	if m.answer {
-		m.from.tell(func() { m.run() })
+		m.from.dispatch(func() { m.run() })
 		return
 	}
-	if m.host != nil && !m.host.up || m.host == nil && m.from.parted {
+	if m.host != nil && !m.host.up || m.host == nil && m.from.partitioned {
 		w.giveUp(m)
 		return
 	}
@@ -145,7 +151,7 @@
 	})
 }
 
-// lose drops a call or an answer; the sender finds that none came.
+// lose drops a call or an answer. The sender times out.
 func (w *world) lose(n int) {
 	m, i := w.pick(n)
 	if m == nil {
@@ -157,12 +163,12 @@
 
 func (w *world) giveUp(m *message) {
 	if m.fail != nil {
-		m.from.tell(m.fail)
+		m.from.dispatch(m.fail)
 	}
 }
 
-// late makes the sender give up a call that stays on its way.
-func (w *world) late(n int) {
+// timeOut makes the sender of a call time out. The call stays in flight.
+func (w *world) timeOut(n int) {
 	m, _ := w.pick(n)
 	if m == nil || m.answer || m.fail == nil {
 		return
@@ -171,7 +177,7 @@
 	w.abandon(m)
 }
 
-// hold keeps a message from arriving until free.
+// hold delays a message until releaseHeld is called.
 func (w *world) hold(n int) {
 	m, i := w.pick(n)
 	if m != nil {
@@ -180,37 +186,43 @@
 	}
 }
 
-func (w *world) free() {
+// releaseHeld puts the held messages first in the queue.
+func (w *world) releaseHeld() {
 	w.net = slices.Concat(w.held, w.net)
 	w.held = nil
 }
 
+// abandon marks a call whose sender no longer waits for the answer.
 func (w *world) abandon(m *message) {
 	m.fail = nil
-	if m.host != nil && !m.host.engine.checks {
-		m.until = w.now.Add(ledger.Settle)
+	if m.host != nil && !m.host.engine.checksFence {
+		m.expires = w.now.Add(ledger.Settle)
 	}
 }
 
-// orderOf returns the index of a host's first order that was given up, or not.
+// orderOf returns the index of a host's first order in flight that was abandoned,
+// or that was not.
 func (w *world) orderOf(host string, abandoned bool) int {
 	return slices.IndexFunc(w.net, func(m *message) bool {
 		return m.order && !m.answer && string(m.host.host.Name) == host && (m.fail == nil) == abandoned
 	})
 }
 
+// abandonOrder makes a host's agent time out on an order, which stays in flight.
 func (w *world) abandonOrder(host string) {
 	if i := w.orderOf(host, false); i >= 0 {
-		w.late(i)
+		w.timeOut(i)
 	}
 }
 
+// arrive delivers an abandoned order to a host's engine.
 func (w *world) arrive(host string) {
 	if i := w.orderOf(host, true); i >= 0 {
 		w.deliver(i)
 	}
 }
 
+// effect delivers an order to a host's engine and loses the answer.
 func (w *world) effect(host string) {
 	if i := w.orderOf(host, false); i >= 0 {
 		w.deliver(i)
@@ -220,12 +232,12 @@
 
 func (w *world) tick(d time.Duration) {
 	w.now = w.now.Add(d)
-	over := func(m *message) bool { return !m.until.IsZero() && !w.now.Before(m.until) }
+	over := func(m *message) bool { return !m.expires.IsZero() && !w.now.Before(m.expires) }
 	w.net = slices.DeleteFunc(w.net, over)
 	w.held = slices.DeleteFunc(w.held, over)
 }
 
-// crash ends a process; calls it has sent stay on their way if keep is set.
+// crash ends a process. The calls that it has sent stay in flight if keep is set.
 func (w *world) crash(p *proc, keep bool) {
 	p.dead = true
 	lost := func(m *message) bool { return m.from == p && (m.answer || !keep) }
@@ -238,6 +250,7 @@
 	}
 }
 
+// procs returns the running processes by name.
 func (w *world) procs() map[string]*proc {
 	all := map[string]*proc{}
 	for n, d := range w.deciders {
@@ -251,7 +264,7 @@
 	return all
 }
 
-// settle lets everything run in order for a while.
+// settle runs all processes, messages and engines in order for a while.
 func (w *world) settle(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.tick(time.Second)
@@ -282,8 +295,8 @@
 	p.step()
 }
 
-// turn lets a process act, delivers its calls but for orders, and lets it act
-// on the answers.
+// turn lets a process act, delivers its calls and their answers except orders,
+// and lets it act on the answers.
 func (w *world) turn(p *proc) {
 	w.run(p)
 	for range 2 {
@@ -298,9 +311,10 @@
 	w.run(p)
 }
 
-// sync brings a process every object as it is, as a watch that works does.
+// sync sends a process the current state of the objects that were written last,
+// as a working watch does.
 func (w *world) sync(p *proc) {
-	if w.store.down || p.parted {
+	if w.store.down || p.partitioned {
 		return
 	}
 	latest := map[key]object{}
@@ -308,7 +322,7 @@
 		latest[o.key] = o
 	}
 	for _, k := range sortedKeys(latest) {
-		p.tell(func() { p.take(latest[k]) })
+		p.dispatch(func() { p.take(latest[k]) })
 	}
 }
 
