--- a/core/losses/cause.go
+++ b/core/losses/cause.go
@@ -6,33 +6,41 @@
 	"radishwell/core"
 )
 
-// Request is what the log says of one request.
+// Request is the data about one request that is found in the log.
 type Request struct {
 	Route string
-	// Target is the route's, zero where it has none or the log does not say; Pause
-	// the longest pause in a stream that callers take well.
-	Target, Pause time.Duration
-	// Took is the time to the end, First that to the first event of a stream, zero
-	// for other answers, and Longest the longest pause between two events.
-	Took, First, Longest time.Duration
-	// Waited is the time without a host that holds the model, Fetched that in which
-	// an adapter was on its way.
-	Waited, Fetched time.Duration
-	// Sends counts the hosts that got the request.
+	// Target is the route's latency target; zero if there is none or the log
+	// doesn't have it.
+	Target time.Duration
+	// Pause is the longest acceptable pause within a stream; zero if there is no
+	// such target.
+	Pause time.Duration
+	// Took is the time until the end of the request.
+	Took time.Duration
+	// First is the time until the first event of a stream; zero for other answers.
+	First time.Duration
+	// Longest is the longest pause between two events of a stream.
+	Longest time.Duration
+	// Waited is the time during which no host held the model.
+	Waited time.Duration
+	// Fetched is the time during which an adapter was being transferred.
+	Fetched time.Duration
+	// Sends is the number of hosts that the request was sent to.
 	Sends int
-	// Answered tells that the caller got an upstream's whole answer, and Failed that it
-	// was the upstream's own failure.
-	Answered, Failed bool
-	// Code is the refusal or failure of a request that was not answered.
+	// Answered is set if the caller received an upstream's whole answer.
+	Answered bool
+	// Failed is set if that answer reported a failure of the upstream.
+	Failed bool
+	// Code is the code of a request that was refused or failed.
 	Code core.Code
-	// Spoilt tells that an upstream's answer could not be passed on.
+	// Spoilt is set if an upstream's answer was unusable and not relayed.
 	Spoilt bool
 }
 
-// Cause is why a request was lost or late.
+// Cause is the reason why a request was not served in time.
 type Cause uint8
 
-// Causes. None is that of a request that was served in time.
+// Causes. None means that the request was served in time.
 const (
 	None Cause = iota
 	LateNoCopy
@@ -55,7 +63,7 @@
 	causeCount
 )
 
-// texts name the causes as the table prints them.
+// texts are the names of the causes in printed tables.
 var texts = [causeCount]string{
 	None:             "in time",
 	LateNoCopy:       "late: no copy of the model, or on its way",
@@ -80,7 +88,7 @@
 // String implements fmt.Stringer.
 func (c Cause) String() string { return texts[c] }
 
-// Cause returns why the request was lost or late.
+// Cause returns the reason why the request was not served in time, or None.
 func (r *Request) Cause() Cause {
 	switch {
 	case r.Answered && r.Failed:
@@ -107,10 +115,11 @@
 	return RefusedOther
 }
 
-// atOnce is how long a refusal may take that was decided on arrival.
+// atOnce is the longest duration of a request that counts as refused on arrival.
 const atOnce = 100 * time.Millisecond
 
-// refused tells what became of a request for which there was no host in time.
+// refused returns the cause for a request that was refused because no host could
+// serve it in time.
 func (r *Request) refused() Cause {
 	switch {
 	case r.Took < atOnce:
@@ -121,10 +130,10 @@
 	return RefusedWaiting
 }
 
-// late tells why an answer came late.
+// late returns the cause for an answer that was late, or None.
 func (r *Request) late() Cause {
 	switch {
-	case r.Target > 0 && r.silent() > r.Target:
+	case r.Target > 0 && r.responseTime() > r.Target:
 		return r.longest(LateNoCopy, LateAdapter, LateQueue)
 	case r.Pause > 0 && r.Longest > r.Pause:
 		return LatePauses
@@ -132,19 +141,19 @@
 	return None
 }
 
-// silent returns the time in which the caller heard nothing: until the first event of
-// a stream, and until the end of other answers and of streams that brought none.
-func (r *Request) silent() time.Duration {
+// responseTime returns the time until the first event of a stream. For other
+// answers, and for streams without events, it is the time until the end.
+func (r *Request) responseTime() time.Duration {
 	if r.First > 0 {
 		return r.First
 	}
 	return r.Took
 }
 
-// longest returns the cause of the longest part of the time before the first sign of
-// an answer.
+// longest returns the cause that accounts for the largest part of the response
+// time.
 func (r *Request) longest(noCopy, adapter, queue Cause) Cause {
-	rest := r.silent() - r.Waited - r.Fetched
+	rest := r.responseTime() - r.Waited - r.Fetched
 	switch {
 	case r.Waited >= r.Fetched && r.Waited >= rest:
 		return noCopy
--- a/core/losses/losses_test.go
+++ b/core/losses/losses_test.go
@@ -51,6 +51,6 @@
 	assert.DeepEqual(t, table.Rows("b"), []losses.Row{{losses.None, 1}, {losses.FailedLost, 2}, {losses.RefusedOther, 1}})
 	all, lost := table.Total("b")
 	assert.Equal(t, all, 4)
-	assert.Equal(t, lost, 3, "what is lost adds up to all but what was in time")
+	assert.Equal(t, lost, 3, "all requests but those served in time count as lost")
 	assert.Equal(t, len(table.Rows("c")), 0)
 }
--- a/core/losses/table.go
+++ b/core/losses/table.go
@@ -23,16 +23,17 @@
 	row[r.Cause()]++
 }
 
-// Row is what became of one route's requests for one cause.
+// Row is the number of a route's requests with one cause.
 type Row struct {
 	Cause Cause
 	Count int
 }
 
-// Routes returns the routes that have requests, sorted.
+// Routes returns the names of the routes that have requests, sorted.
 func (t *Table) Routes() []string { return slices.Sorted(maps.Keys(t.counts)) }
 
-// Rows returns the causes of a route's requests in their order, those that occur.
+// Rows returns a row for each cause that a route's requests have, in the order of
+// the causes.
 func (t *Table) Rows(route string) []Row {
 	var out []Row
 	if t.counts[route] == nil {
@@ -46,8 +47,8 @@
 	return out
 }
 
-// Total returns how many requests a route has, and how many of them were lost or
-// late.
+// Total returns the number of a route's requests, and how many of them were lost
+// or late.
 func (t *Table) Total(route string) (all, lost int) {
 	for _, r := range t.Rows(route) {
 		all += r.Count
--- a/core/replay/doc.go
+++ b/core/replay/doc.go
@@ -1,7 +1,7 @@
-// Package replay plays recorded or generated arrivals against the decision of
-// how long idle models stay loaded, and reports both measures for each policy:
-// how long callers waited for cold starts, and how long accelerators idled.
+// Package replay simulates policies that decide how long idle models stay loaded.
+// It replays recorded or generated arrivals, and reports for each policy how long
+// callers waited for cold starts and how long accelerators held idle models.
 //
-// It replays that one decision with the time of the arrivals: no hosts, queues
-// or failures, and memory for everything. Weeks take seconds.
+// Only that decision is simulated, in the time of the trace. There are no hosts,
+// queues or failures, and memory is unlimited. Weeks are simulated in seconds.
 package replay
--- a/core/replay/replay_test.go
+++ b/core/replay/replay_test.go
@@ -7,9 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// fronts are the deployments with what they value: the treasurers' waits weigh
-// four times, the co-operative's accelerators are its members' own.
-var fronts = []struct {
+// deployments are the generated traces with the worth of waiting, relative to the
+// default. The waits of the treasurers count four times; those of the co-operative
+// count once, as its members own the accelerators.
+var deployments = []struct {
 	trace Trace
 	scale float64
 }{
@@ -18,7 +19,7 @@
 }
 
 func TestNoFixedTimeIsBetter(t *testing.T) {
-	for _, f := range fronts {
+	for _, f := range deployments {
 		t.Run(f.trace.Name, func(t *testing.T) {
 			results := Compare(f.trace, f.scale)
 			ours := results[5]
