--- a/core/losses/cause.go
+++ b/core/losses/cause.go
@@ -51,10 +51,10 @@
 	FailedSpoilt
 	FailedLost
 	FailedLate
-	LeftNoCopy
-	LeftAdapter
-	LeftQueue
-	HeldToEnd
+	CancelledNoCopy
+	CancelledAdapter
+	CancelledQueue
+	RefusedAtDeadline
 	RefusedAtOnce
 	RefusedWaiting
 	RefusedKey
@@ -65,24 +65,24 @@
 
 // texts are the names of the causes in printed tables.
 var texts = [causeCount]string{
-	None:             "in time",
-	LateNoCopy:       "late: no copy of the model, or on its way",
-	LateAdapter:      "late: adapter on its way",
-	LateQueue:        "late: queue and reading in the engine",
-	LatePauses:       "late: pauses within the stream",
-	FailedUpstream:   "failed by the upstream",
-	FailedSpoilt:     "failed: the upstream's answer was spoilt",
-	FailedLost:       "failed: contact with the upstream was lost",
-	FailedLate:       "failed: not answered within its time",
-	LeftNoCopy:       "caller left: no copy of the model, or on its way",
-	LeftAdapter:      "caller left: adapter on its way",
-	LeftQueue:        "caller left: nothing from the engine",
-	HeldToEnd:        "refused when its time was over, untried",
-	RefusedAtOnce:    "refused at once: overload or copy too late",
-	RefusedWaiting:   "refused while it waited",
-	RefusedKey:       "refused: key unknown or taken away",
-	RefusedAllowance: "refused: over its customer's allowance",
-	RefusedOther:     "refused: other reasons",
+	None:              "in time",
+	LateNoCopy:        "late: no copy of the model, or on its way",
+	LateAdapter:       "late: adapter on its way",
+	LateQueue:         "late: queue and reading in the engine",
+	LatePauses:        "late: pauses within the stream",
+	FailedUpstream:    "failed by the upstream",
+	FailedSpoilt:      "failed: the upstream's answer was spoilt",
+	FailedLost:        "failed: contact with the upstream was lost",
+	FailedLate:        "failed: not answered within its time",
+	CancelledNoCopy:   "caller left: no copy of the model, or on its way",
+	CancelledAdapter:  "caller left: adapter on its way",
+	CancelledQueue:    "caller left: nothing from the engine",
+	RefusedAtDeadline: "refused when its time was over, untried",
+	RefusedAtOnce:     "refused at once: overload or copy too late",
+	RefusedWaiting:    "refused while it waited",
+	RefusedKey:        "refused: key unknown or taken away",
+	RefusedAllowance:  "refused: over its customer's allowance",
+	RefusedOther:      "refused: other reasons",
 }
 
 // String implements fmt.Stringer.
@@ -100,7 +100,7 @@
 	}
 	switch r.Code {
 	case core.CodeCancelled:
-		return r.longest(LeftNoCopy, LeftAdapter, LeftQueue)
+		return r.longest(CancelledNoCopy, CancelledAdapter, CancelledQueue)
 	case core.CodeUpstreamLost:
 		return FailedLost
 	case core.CodeUpstreamLate:
@@ -125,7 +125,7 @@
 	case r.Took < atOnce:
 		return RefusedAtOnce
 	case r.Sends == 0 && r.Target > 0 && r.Took >= r.Target:
-		return HeldToEnd
+		return RefusedAtDeadline
 	}
 	return RefusedWaiting
 }
--- a/core/replay/simulate.go
+++ b/core/replay/simulate.go
@@ -44,15 +44,15 @@
 	// not in use, LoadHours the number spent on loads.
 	IdleHours float64
 	LoadHours float64
-	// Waited has the hours of waiting by class.
-	Waited [core.ClassCount]float64
+	// WaitHours has the hours of waiting by class.
+	WaitHours [core.ClassCount]float64
 }
 
 // Cost returns the sum of idle time, loads and waits in accelerator hours. Worth
 // converts waits.
 func (r Result) Cost(w warm.Worth) float64 {
 	cost := r.IdleHours + r.LoadHours
-	for class, hours := range r.Waited {
+	for class, hours := range r.WaitHours {
 		cost += hours * w[class]
 	}
 	return cost
@@ -170,8 +170,8 @@
 // time.
 func (s *simulator) addIdle(it *itemState, now time.Time) {
 	from := it.idleSince
-	if from.Before(s.trace.Measure) {
-		from = s.trace.Measure
+	if from.Before(s.trace.MeasureFrom) {
+		from = s.trace.MeasureFrom
 	}
 	if now.After(from) {
 		s.result.IdleHours += now.Sub(from).Hours() * it.item.Accelerators
@@ -189,7 +189,7 @@
 	it.ready = now.Add(it.item.Load)
 	it.idleSince = it.ready
 	s.policy.Loaded(it.item.Name, it.item.Load)
-	if !now.Before(s.trace.Measure) {
+	if !now.Before(s.trace.MeasureFrom) {
 		s.result.LoadHours += it.item.Load.Hours() * it.item.Accelerators
 	}
 	return it.ready
@@ -209,7 +209,7 @@
 		ready = s.acquire(base, a.At, it.item.Class)
 	}
 	ready = later(ready, s.acquire(it, ready, it.item.Class))
-	end := ready.Add(a.Takes)
+	end := ready.Add(a.Duration)
 	s.schedule(end, useEnd, a.Item)
 	if base := it.item.Base; base != "" {
 		s.schedule(end, useEnd, base)
@@ -242,11 +242,11 @@
 func (s *simulator) record(it *itemState, at time.Time, wait time.Duration) {
 	opener := !it.requested || at.Sub(it.lastArrival) >= openerPause
 	it.requested, it.lastArrival = true, at
-	if at.Before(s.trace.Measure) {
+	if at.Before(s.trace.MeasureFrom) {
 		return
 	}
 	s.result.Requests++
-	s.result.Waited[it.item.Class] += wait.Hours()
+	s.result.WaitHours[it.item.Class] += wait.Hours()
 	if wait > 0 {
 		s.result.Cold++
 	}
--- a/core/replay/trace.go
+++ b/core/replay/trace.go
@@ -28,18 +28,18 @@
 type Arrival struct {
 	At   time.Time
 	Item core.ModelName
-	// Takes is the duration of the request once the item is loaded.
-	Takes time.Duration
+	// Duration is the duration of the request once the item is loaded.
+	Duration time.Duration
 }
 
 // Trace is the sequence of arrivals of one deployment, ordered by time. Policies
-// learn from the arrivals before Measure; results cover those from Measure on.
+// learn from the arrivals before MeasureFrom; results cover the later ones.
 type Trace struct {
-	Name     string
-	Items    []Item
-	Arrivals []Arrival
-	Measure  time.Time
-	End      time.Time
+	Name        string
+	Items       []Item
+	Arrivals    []Arrival
+	MeasureFrom time.Time
+	End         time.Time
 }
 
 // Durations of the generated traces.
@@ -60,7 +60,7 @@
 
 func newGenerator(name string, seed uint64) *generator {
 	return &generator{rng: rand.New(rand.NewPCG(seed, 1)), trace: Trace{
-		Name: name, Measure: firstDay.Add(learnDays * day), End: firstDay.Add((learnDays + measureDays) * day),
+		Name: name, MeasureFrom: firstDay.Add(learnDays * day), End: firstDay.Add((learnDays + measureDays) * day),
 	}}
 }
 
@@ -89,7 +89,7 @@
 func (g *generator) session(name core.ModelName, at time.Time, requests int, pause time.Duration) {
 	for range requests {
 		takes := g.lognormal(2*time.Second, 0.6)
-		g.trace.Arrivals = append(g.trace.Arrivals, Arrival{At: at, Item: name, Takes: takes})
+		g.trace.Arrivals = append(g.trace.Arrivals, Arrival{At: at, Item: name, Duration: takes})
 		at = at.Add(takes + g.lognormal(pause, 1))
 	}
 }
