--- a/core/admit/allow.go
+++ b/core/admit/allow.go
@@ -30,11 +30,11 @@
 func (a Allowance) Limited() bool { return a.Rate > 0 }
 
 // Cost returns what a request counts.
-func (a Allowance) Cost(ask *core.Ask) float64 {
+func (a Allowance) Cost(ask *core.RequestHead) float64 {
 	switch {
 	case a.Unit == Requests:
 		return 1
-	case !ask.Counted:
+	case !ask.TokensSent:
 		return a.Plain
 	}
 	return float64(ask.Prompt + ask.Answer)
--- a/core/copies/place.go
+++ b/core/copies/place.go
@@ -138,7 +138,7 @@
 	}
 	took := drain(h, evict) + w.duration(name, from)
 	score := -loss - swapPenalty*took.Seconds()
-	if h.Limit.Named {
+	if h.Limit.Limited {
 		score -= limitPenalty
 	}
 	return choice{host: h, evict: evict, from: from, loss: loss, took: took, score: score}, true
--- a/core/copies/plan.go
+++ b/core/copies/plan.go
@@ -314,7 +314,7 @@
 // refused there, and its copies, few for the work, seem to be enough.
 func (w *plan) addCopy(h *Host, name core.ModelName) {
 	w.copies[name]++
-	if rate := w.demand[name].Rate; h.Limit.Named && rate > h.Limit.Rate {
+	if rate := w.demand[name].Rate; h.Limit.Limited && rate > h.Limit.Rate {
 		w.lacks[name] += 1 - h.Limit.Rate/rate
 	}
 }
--- a/core/copies/plan_test.go
+++ b/core/copies/plan_test.go
@@ -389,7 +389,7 @@
 	plan := func(rate float64, limits ...float64) []copies.Move {
 		hosts := []*copies.Host{host("a", names(0, 1)), host("b", names(0, 2)), host("c", names(3), name(0))}
 		for i, l := range limits {
-			hosts[i].Limit = core.RateLimit{Named: true, Rate: l}
+			hosts[i].Limit = core.RateLimit{Limited: true, Rate: l}
 		}
 		p := &copies.Planner{Parallel: 4}
 		return p.Plan(t0, service(4), hosts, map[core.ModelName]copies.Demand{name(0): {Rate: rate, Hasty: rate, Work: 0.1}})
@@ -400,7 +400,7 @@
 	wantMoves(t, plan(0.8, 1, 1))
 	t.Run("loaded at hosts that name no rate before others", func(t *testing.T) {
 		hosts := []*copies.Host{host("a", names(0)), host("b", names(1), name(2)), host("c", names(3), name(2))}
-		hosts[1].Limit = core.RateLimit{Named: true, Rate: 10}
+		hosts[1].Limit = core.RateLimit{Limited: true, Rate: 10}
 		p := &copies.Planner{Parallel: 4}
 		demand := map[core.ModelName]copies.Demand{name(2): {Rate: 1, Waiting: 1}}
 		wantMoves(t, p.Plan(t0, service(4), hosts, demand), "c: m-02 for []")
--- a/core/demand/book.go
+++ b/core/demand/book.go
@@ -57,7 +57,7 @@
 }
 
 // Asked notes a request for a model.
-func (b *Book) Asked(now time.Time, name core.ModelName, target time.Duration, ask *core.Ask, s *rtable.Service) {
+func (b *Book) Asked(now time.Time, name core.ModelName, target time.Duration, ask *core.RequestHead, s *rtable.Service) {
 	m := b.of(name)
 	a := Arrivals{Count: 1, Work: m.workOf(ask, s)}
 	if target < hastyTarget {
@@ -77,7 +77,7 @@
 // It answers the load of models with one or two busy copies on engines of different
 // sizes. Counted as if each engine ran the same number of requests, the models asked
 // for most get copies that engines with large batches do not need, in the way of others.
-func (m *model) workOf(ask *core.Ask, s *rtable.Service) float64 {
+func (m *model) workOf(ask *core.RequestHead, s *rtable.Service) float64 {
 	shared := 0
 	for i, p := range ask.Parts {
 		if i < len(ask.Parts)-1 {
@@ -94,7 +94,7 @@
 
 // places returns how many requests of a kind an engine runs at once, by its batch
 // and by its memory for prompts.
-func places(ask *core.Ask, s *rtable.Service) float64 {
+func places(ask *core.RequestHead, s *rtable.Service) float64 {
 	n := float64(s.Batch)
 	if size := ask.Prompt + ask.Answer; s.PromptMemory > 0 && size > 0 {
 		n = min(n, float64(s.PromptMemory)/float64(size))
--- a/core/demand/book_test.go
+++ b/core/demand/book_test.go
@@ -12,7 +12,7 @@
 
 func TestDemand(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	ask := &core.Ask{Prompt: 3040, Answer: 280} // 0.1 s of an engine with 64 places
+	ask := &core.RequestHead{Prompt: 3040, Answer: 280} // 0.1 s of an engine with 64 places
 	engine := &rtable.Service{Batch: 64, PromptMemory: 260_000}
 	book := func() *Book { return &Book{} }
 	t.Run("one request is no rise", func(t *testing.T) {
@@ -42,7 +42,7 @@
 		assert.Equal(t, len(b.models), 0)
 	})
 	t.Run("work is what has to be read and made", func(t *testing.T) {
-		ask := &core.Ask{Prompt: 9000, Answer: 400, Parts: []core.PromptPart{{ID: "a", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
+		ask := &core.RequestHead{Prompt: 9000, Answer: 400, Parts: []core.PromptPart{{ID: "a", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
 		d := &model{}
 		assert.Equal(t, d.workOf(ask, &rtable.Service{Batch: 20}), 4200/readPace+400*firstStep/20)
 		assert.Equal(t, d.workOf(ask, &rtable.Service{Batch: 64, PromptMemory: 94_000}), 4200/readPace+400*firstStep/10)
@@ -50,7 +50,7 @@
 	t.Run("work falls with what engines run at once and how fast they are", func(t *testing.T) {
 		// A chat model on engines that run 96 requests at once got four copies, as if
 		// it were on engines that run 20, and eight other models had no place.
-		ask := &core.Ask{Prompt: 715, Answer: 282}
+		ask := &core.RequestHead{Prompt: 715, Answer: 282}
 		d := &model{}
 		before := d.workOf(ask, &rtable.Service{Batch: 20})
 		assert.Assert(t, d.workOf(ask, &rtable.Service{Batch: 96, PromptMemory: 159_000}) < before/2)
--- a/core/demand/fleet_test.go
+++ b/core/demand/fleet_test.go
@@ -18,7 +18,7 @@
 // one asked for now and then; only the sum shows that demand has moved.
 func TestMovedDemandShowsInTheSum(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	ask := &core.Ask{Prompt: 9000, Answer: 60}
+	ask := &core.RequestHead{Prompt: 9000, Answer: 60}
 	engine := &rtable.Service{Batch: 64}
 	var fleet Fleet
 	sum := copies.Demand{}
@@ -40,7 +40,7 @@
 	everybody := func(core.HostName) bool { return true }
 	t.Run("arrivals are taken once", func(t *testing.T) {
 		var b Book
-		b.Asked(t0, "m", time.Second, &core.Ask{}, &rtable.Service{})
+		b.Asked(t0, "m", time.Second, &core.RequestHead{}, &rtable.Service{})
 		assert.Equal(t, b.Take()["m"].Count, 1)
 		assert.Equal(t, len(b.Take()), 0)
 	})
--- a/core/digest/table.go
+++ b/core/digest/table.go
@@ -226,7 +226,7 @@
 
 // sameHost tells whether two differ in nothing but figures.
 func sameHost(a, b *Host) bool {
-	return sameButAdapters(a, b) && core.SameModels(a.Report.Models, b.Report.Models)
+	return sameButAdapters(a, b) && core.EqualModels(a.Report.Models, b.Report.Models)
 }
 
 // sameButAdapters tells whether two differ in nothing but figures and adapters.
--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -39,9 +39,9 @@
 // noteLimit takes in what NoteLimit does.
 func (r *rateLimit) noteLimit(sent, now time.Time, limit core.RateLimit) bool {
 	switch {
-	case limit.Named && now.Before(r.endedAt), !limit.Named && !sent.After(r.namedAt):
+	case limit.Limited && now.Before(r.endedAt), !limit.Limited && !sent.After(r.namedAt):
 		return false
-	case limit.Named:
+	case limit.Limited:
 		limit.Rate = max(limit.Rate, leastRate)
 		if now.After(r.namedAt) {
 			r.namedAt = now
@@ -57,7 +57,7 @@
 // NoteReservation takes in when a request may be sent to the host, and whether that
 // reservation was made for one; otherwise it is the next that is free.
 func (r *rateLimit) NoteReservation(now, at time.Time, made bool) {
-	if made && at.After(now) && r.limit.Named {
+	if made && at.After(now) && r.limit.Limited {
 		at = at.Add(time.Duration(float64(time.Second) / r.limit.Rate))
 	}
 	r.next, r.nextAt = at, now
@@ -65,7 +65,7 @@
 
 // untilNext returns how long a request waits for the next free reservation.
 func (r *rateLimit) untilNext(now time.Time) time.Duration {
-	if !r.Limit(now).Named || now.Sub(r.nextAt) >= nextAge {
+	if !r.Limit(now).Limited || now.Sub(r.nextAt) >= nextAge {
 		return 0
 	}
 	return max(0, r.next.Sub(now))
@@ -78,7 +78,7 @@
 // Limited returns the number of hosts that name a rate limit.
 func (v *View) Limited(now time.Time) (n int) {
 	for _, h := range v.hosts {
-		if h.Limit(now).Named {
+		if h.Limit(now).Limited {
 			n++
 		}
 	}
--- a/core/fleet/limit_test.go
+++ b/core/fleet/limit_test.go
@@ -14,7 +14,7 @@
 func TestNoteLimit(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
-	one := core.RateLimit{Named: true, Rate: 1}
+	one := core.RateLimit{Limited: true, Rate: 1}
 	life := fleet.Life{ID: "i-1"}
 	var v fleet.View
 	v.Apply(fleet.Entry{ID: "i-1"})
@@ -36,7 +36,7 @@
 
 func TestLimitIsOfOneLife(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	one := core.RateLimit{Named: true, Rate: 1}
+	one := core.RateLimit{Limited: true, Rate: 1}
 	var v fleet.View
 	v.Apply(fleet.Entry{ID: "i-1", Born: 5, Usable: true})
 	v.NoteLimit(fleet.Life{ID: "i-2"}, t0, t0, one)
@@ -60,7 +60,7 @@
 	var v fleet.View
 	v.Apply(fleet.Entry{ID: "i-1", Service: "s", Usable: true})
 	h := v.Host("i-1")
-	v.NoteLimit(fleet.Life{ID: "i-1"}, t0, t0, core.RateLimit{Named: true, Rate: 2})
+	v.NoteLimit(fleet.Life{ID: "i-1"}, t0, t0, core.RateLimit{Limited: true, Rate: 2})
 	wait := func(after time.Duration) time.Duration {
 		return v.Pick(t0.Add(after), &fleet.Query{Service: "s"}).Paced
 	}
@@ -75,7 +75,7 @@
 // Guards against a host that is sent more than the rate that it names since its entry lapsed
 // with the store and came back.
 func TestLimitOutlastsEntry(t *testing.T) {
-	one := core.RateLimit{Named: true, Rate: 1}
+	one := core.RateLimit{Limited: true, Rate: 1}
 	life := fleet.Life{ID: "i-1"}
 	v := view(entry("i-1", "m"))
 	v.Remove(t0, "i-1")
--- a/core/fleet/view.go
+++ b/core/fleet/view.go
@@ -183,14 +183,14 @@
 		return
 	}
 	r.Leaving = r.Leaving || h.Report.Leaving
-	if r.Leaving != h.Report.Leaving || !core.SameModels(r.Models, h.Report.Models) || r.Loading != h.Report.Loading {
+	if r.Leaving != h.Report.Leaving || !core.EqualModels(r.Models, h.Report.Models) || r.Loading != h.Report.Loading {
 		v.changes++
 	}
 	if !h.lostAt.IsZero() {
 		h.lostAt = time.Time{}
 		v.changes++
 	}
-	if r.Limit.Named && h.noteLimit(r.Taken, r.Taken, r.Limit) {
+	if r.Limit.Limited && h.noteLimit(r.Taken, r.Taken, r.Limit) {
 		v.changes++
 	}
 	h.Report = r
--- a/core/fleet/view_test.go
+++ b/core/fleet/view_test.go
@@ -332,7 +332,7 @@
 		wantPick(t, v, after(2*time.Second), "i-1")
 	})
 	t.Run("a rate that the host names to its agent counts, and silence on it lifts none", func(t *testing.T) {
-		v, one := view(entry("i-1")), core.RateLimit{Named: true, Rate: 1}
+		v, one := view(entry("i-1")), core.RateLimit{Limited: true, Rate: 1}
 		v.Report(fleet.Report{Taken: t0, ID: "i-1", Limit: one})
 		v.Report(fleet.Report{Taken: after(time.Second), ID: "i-1"})
 		assert.Equal(t, v.Host("i-1").Limit(after(time.Second)), one)
--- a/core/manage.go
+++ b/core/manage.go
@@ -14,8 +14,8 @@
 	Adapters []string
 }
 
-// SameModels reports whether two lists of models are equal.
-func SameModels(a, b []HeldModel) bool {
+// EqualModels reports whether two lists of models are equal.
+func EqualModels(a, b []HeldModel) bool {
 	return slices.EqualFunc(a, b, func(x, y HeldModel) bool {
 		return x.Model == y.Model && x.Version == y.Version && slices.Equal(x.Adapters, y.Adapters)
 	})
@@ -48,19 +48,19 @@
 	Leaving bool
 	// Limit is the request rate that the upstream accepts.
 	Limit RateLimit
-	// Left is how long the upstream will keep running; zero if not reported.
-	Left   time.Duration
-	Models []HeldModel
-	// Coming lists the adapters being transferred to the upstream, as MODEL/NAME.
-	Coming           []string
+	// Remaining is how long the upstream will keep running; zero if not reported.
+	Remaining time.Duration
+	Models    []HeldModel
+	// IncomingAdapters lists the adapters being transferred to the upstream, as MODEL/NAME.
+	IncomingAdapters []string
 	InMemory, OnDisk []ModelName
 	// Waiting and Running are numbers of requests. MemoryUsed is the prompt memory
 	// that cannot be freed, in tokens.
 	Waiting, Running int
 	MemoryUsed       int64
-	// Reading is the number of prompt tokens of the requests in the prefill phase,
+	// PrefillTokens is the number of prompt tokens of the requests in the prefill phase,
 	// which have no first token yet.
-	Reading int64
+	PrefillTokens int64
 }
 
 // Restarted reports whether later is a report of another instance than s. An
@@ -76,8 +76,8 @@
 	Model  ModelName
 	// Adapter is empty if the order is for the model itself.
 	Adapter string
-	// After is the order count that the upstream must have for the order to apply.
-	After int64
+	// AfterOrders is the order count that the upstream must have for the order to apply.
+	AfterOrders int64
 	// Instance is the instance of the upstream that the order is for.
 	Instance HostName
 	Holder   HostName
@@ -97,8 +97,8 @@
 	OrderConflict
 	// OrderStale: the fencing number is out of date.
 	OrderStale
-	// OrderElsewhere: another instance of the upstream answered.
-	OrderElsewhere
+	// OrderOtherInstance: another instance of the upstream answered.
+	OrderOtherInstance
 	// OrderRejected: the upstream cannot carry out the order.
 	OrderRejected
 	orderResultCount
--- a/core/names.go
+++ b/core/names.go
@@ -47,8 +47,8 @@
 // Names converts strings to names. It returns nil for an empty slice.
 func Names[N ~string](texts []string) []N { return convert[N](texts) }
 
-// Texts converts names to strings. It returns nil for an empty slice.
-func Texts[N ~string](names []N) []string { return convert[string](names) }
+// Strings converts names to strings. It returns nil for an empty slice.
+func Strings[N ~string](names []N) []string { return convert[string](names) }
 
 func convert[T, F ~string](from []F) []T {
 	if len(from) == 0 {
--- a/core/proto.go
+++ b/core/proto.go
@@ -12,9 +12,9 @@
 	Tokens int
 }
 
-// Ask is the metadata that a caller on a managed platform sends with a request,
+// RequestHead is the metadata that a caller on a managed platform sends with a request,
 // besides method, path and body.
-type Ask struct {
+type RequestHead struct {
 	ID RequestID
 	// Deadline is when the caller stops waiting; zero if the caller sent none.
 	Deadline time.Time
@@ -26,14 +26,14 @@
 	// Prompt is the number of prompt tokens and Answer the maximum number of
 	// tokens to generate. Counted is set if the caller sent both.
 	Prompt, Answer int
-	Counted        bool
+	TokensSent     bool
 	// Key is the digest of the caller's key. It is valid only if KeyFault, the
 	// reason why no key could be read, is nil.
-	Key      KeyDigest
-	KeyFault *Refusal
-	// After is the ID of the last event received of an interrupted stream that the
+	Key        KeyDigest
+	KeyRefusal *Refusal
+	// LastEventID is the ID of the last event received of an interrupted stream that the
 	// caller resumes; empty for a new stream.
-	After string
+	LastEventID string
 }
 
 // Hop is the metadata that an entry sends to an upstream with a request.
@@ -41,27 +41,27 @@
 	// Instance is the instance of the upstream that is to run the request; any
 	// other refuses it.
 	Instance HostName
-	// Left is the time remaining for the upstream to run the request.
-	Left time.Duration
-	// Rank is the priority among the upstream's requests; zero is served first.
-	Rank int
-	// After is the ID of the event after which a stream resumes; empty for a new
+	// Remaining is the time remaining for the upstream to run the request.
+	Remaining time.Duration
+	// Priority is the priority among the upstream's requests; zero is served first.
+	Priority int
+	// LastEventID is the ID of the event after which a stream resumes; empty for a new
 	// stream.
-	After string
+	LastEventID string
 	// Customer is the customer that the request is from; empty if unknown.
 	Customer OwnerName
 }
 
-// Ranks is the number of priorities that upstreams distinguish.
-const Ranks = 10
+// PriorityLevels is the number of priorities that upstreams distinguish.
+const PriorityLevels = 10
 
 // Quotas accounts for the usage of customers across all entries.
 type Quotas interface {
 	// Take deducts units from a customer's allowance. Its refusal names the time
 	// at which the units are expected to be available.
 	Take(ctx context.Context, customer OwnerName, units float64) *Refusal
-	// Put returns units that were taken for a request that did not run.
-	Put(customer OwnerName, units float64)
+	// Refund returns units that were taken for a request that did not run.
+	Refund(customer OwnerName, units float64)
 }
 
 // Pacer spaces the requests of all entries to upstreams that set a rate limit.
@@ -89,34 +89,34 @@
 	// RetryAt is when this process may send to an upstream again that has rejected
 	// the request; zero if the upstream named no time.
 	RetryAt time.Time
-	// Unknown lists, sorted, the names of fields that belong to the platform but
+	// UnknownFields lists, sorted, the names of fields that belong to the platform but
 	// that this version doesn't know.
-	Unknown []string
+	UnknownFields []string
 }
 
 // RateLimit is the number of requests per second that an upstream accepts from
 // all entries together. The zero value means that the upstream sets no limit.
 type RateLimit struct {
-	// Named is set if the upstream sets a limit.
-	Named bool
-	Rate  float64
+	// Limited is set if the upstream sets a limit.
+	Limited bool
+	Rate    float64
 }
 
 // Protocol maps request and answer metadata of a managed platform to the header
 // fields of HTTP messages.
 type Protocol interface {
-	// Ask reads the header of a caller's request that arrived at the given time.
-	Ask(header map[string][]string, arrived time.Time) (Ask, *Refusal)
-	// Forward returns the header fields for the upstream: the caller's own without
+	// ParseRequest reads the header of a caller's request that arrived at the given time.
+	ParseRequest(header map[string][]string, arrived time.Time) (RequestHead, *Refusal)
+	// ForwardHeader returns the header fields for the upstream: the caller's own without
 	// hop-by-hop fields, fields that callers may not set, and credentials.
-	Forward(header map[string][]string, h Hop) map[string][]string
-	// Answer reads the header of an upstream's answer that arrived at now with the
+	ForwardHeader(header map[string][]string, h Hop) map[string][]string
+	// ParseAnswer reads the header of an upstream's answer that arrived at now with the
 	// given HTTP status.
-	Answer(header map[string][]string, status int, now time.Time) AnswerHead
-	// Reply returns the header fields of an upstream's answer that the caller
+	ParseAnswer(header map[string][]string, status int, now time.Time) AnswerHead
+	// ReplyHeader returns the header fields of an upstream's answer that the caller
 	// receives.
-	Reply(header map[string][]string) map[string][]string
-	// Refuse returns the header fields of the answer to a refused request. They
+	ReplyHeader(header map[string][]string) map[string][]string
+	// RefusalHeader returns the header fields of the answer to a refused request. They
 	// include the time to retry if the refusal has one.
-	Refuse(id RequestID, r *Refusal, now time.Time) map[string][]string
+	RefusalHeader(id RequestID, r *Refusal, now time.Time) map[string][]string
 }
--- a/core/refuse.go
+++ b/core/refuse.go
@@ -51,8 +51,8 @@
 	// Type is the error type of the OpenAI API, which client libraries map to
 	// exception classes.
 	Type string
-	// Again is set if a later attempt can succeed, so that Retry-After is sent.
-	Again bool
+	// Retryable is set if a later attempt can succeed, so that Retry-After is sent.
+	Retryable bool
 	// Text explains the code in one sentence.
 	Text string
 }
--- a/core/refuse_test.go
+++ b/core/refuse_test.go
@@ -41,7 +41,7 @@
 	b.WriteString(errorsHead)
 	for _, c := range core.Codes() {
 		again := "no"
-		if c.Again {
+		if c.Retryable {
 			again = "yes"
 		}
 		fmt.Fprintf(&b, "| `%s` | %d | `%s` | %s | %s |\n", c.Code, c.Status, c.Type, again, c.Text)
--- a/core/rtable/customer_test.go
+++ b/core/rtable/customer_test.go
@@ -36,7 +36,7 @@
 	first, last := customer("first", 0), customer("last", 1)
 	unranked := &rtable.Customer{Name: "unranked"}
 	table := buildFor(t, 1, []*rtable.Route{high, low}, first, last, unranked)
-	rank := func(c *rtable.Customer, r *rtable.Route) int { return table.Rank(c, r, core.Ranks) }
+	rank := func(c *rtable.Customer, r *rtable.Route) int { return table.Rank(c, r, core.PriorityLevels) }
 	order := []int{rank(first, high), rank(first, low), rank(last, high), rank(last, low)}
 	assert.DeepEqual(t, order, []int{0, 1, 2, 3})
 	t.Run("the route's alone counts where the customer has none", func(t *testing.T) {
@@ -49,7 +49,7 @@
 	})
 	t.Run("routes alone keep their order", func(t *testing.T) {
 		table := buildFor(t, 1, []*rtable.Route{high, low})
-		assert.Assert(t, table.Rank(nil, high, core.Ranks) < table.Rank(nil, low, core.Ranks))
+		assert.Assert(t, table.Rank(nil, high, core.PriorityLevels) < table.Rank(nil, low, core.PriorityLevels))
 	})
 }
 
--- a/io/bench/tally.go
+++ b/io/bench/tally.go
@@ -110,7 +110,7 @@
 	if r.id == "" && r.fate <= mayHaveRun {
 		t.noID++
 	}
-	if r.fate == refused && r.code.Info().Again && !r.retryAfter {
+	if r.fate == refused && r.code.Info().Retryable && !r.retryAfter {
 		t.noRetry++
 	}
 	late := !r.end.IsZero() && r.end.After(r.shot.due.Add(lateSlack))
--- a/io/deploy/planner.go
+++ b/io/deploy/planner.go
@@ -269,7 +269,7 @@
 	defer stop()
 	_, held, _ := p.entry.links.host(h.ID)
 	in := &wire.GoalCall{
-		Entry: string(p.entry.Settings.Name), Instance: string(h.ID), Load: string(m.Load), Evict: core.Texts(m.Evict),
+		Entry: string(p.entry.Settings.Name), Instance: string(h.ID), Load: string(m.Load), Evict: core.Strings(m.Evict),
 		Limits: limitsOf(s, held, append(slices.Clone(m.Evict), m.Load)...),
 		Takes:  int64(m.By.Sub(p.entry.clock.Now())), Idle: m.Idle,
 	}
--- a/io/deploy/signal.go
+++ b/io/deploy/signal.go
@@ -40,7 +40,7 @@
 			life := fleet.Life{ID: m.Host, Born: int64(m.Incarnation)}
 			switch m.Kind {
 			case peer.MarkLimited:
-				v.NoteLimit(life, now, now, core.RateLimit{Named: m.Rate > 0, Rate: m.Rate})
+				v.NoteLimit(life, now, now, core.RateLimit{Limited: m.Rate > 0, Rate: m.Rate})
 			case peer.MarkLeaving:
 				v.NoteLeaving(life, now)
 			}
--- a/io/driver/driver.go
+++ b/io/driver/driver.go
@@ -227,14 +227,14 @@
 		d.toldQueue = q
 		d.tell()
 	}
-	if s.Leaving != old.Leaving || s.Limit != old.Limit || s.Busy != old.Busy || !core.SameModels(s.Models, old.Models) {
+	if s.Leaving != old.Leaving || s.Limit != old.Limit || s.Busy != old.Busy || !core.EqualModels(s.Models, old.Models) {
 		d.tell()
 	}
 }
 
 // queue counts the requests that an upstream has to read before the next one.
 func queue(s core.UpstreamState) int {
-	if s.Reading > 0 {
+	if s.PrefillTokens > 0 {
 		return s.Waiting + 1
 	}
 	return s.Waiting
--- a/io/driver/driver_test.go
+++ b/io/driver/driver_test.go
@@ -104,8 +104,8 @@
 func (e *engine) take(o core.UpstreamOrder) core.OrderResult {
 	switch {
 	case o.Instance != e.state.ID, e.elsewhere:
-		return core.OrderElsewhere
-	case e.state.Busy || o.After != e.state.Orders:
+		return core.OrderOtherInstance
+	case e.state.Busy || o.AfterOrders != e.state.Orders:
 		e.refused++
 		return core.OrderConflict
 	}
@@ -493,7 +493,7 @@
 	e := newEngine("a")
 	drive(t, e, func(d *driver.Driver) {
 		seen := call(t, d, "edge-1").GetChange()
-		e.set(func() { e.state.Reading, e.state.Running = 9000, 1 })
+		e.set(func() { e.state.PrefillTokens, e.state.Running = 9000, 1 })
 		began := time.Now()
 		r, err := d.ServeUpstream(&wire.UpstreamCall{Entry: "edge-1", Seen: seen, Wait: int64(2 * time.Second)})
 		assert.NilError(t, err)
--- a/io/driver/order.go
+++ b/io/driver/order.go
@@ -28,7 +28,7 @@
 	switch {
 	case errors.As(err, &fault):
 		// It may be carried out now or later; the next report tells.
-	case result == core.OrderElsewhere:
+	case result == core.OrderOtherInstance:
 		// order has ended the life, and with it the goal.
 	case result == core.OrderStale, result == core.OrderRejected:
 		d.goal, d.loading = nil, loading{}
@@ -99,7 +99,7 @@
 // mu.
 func (d *Driver) newOrder() (core.UpstreamOrder, bool) {
 	fence, ok := d.Fence()
-	return core.UpstreamOrder{After: d.state.Orders, Instance: d.lives.Current(), Holder: d.Self, Fence: fence}, ok
+	return core.UpstreamOrder{AfterOrders: d.state.Orders, Instance: d.lives.Current(), Holder: d.Self, Fence: fence}, ok
 }
 
 // order sends an order, logs its result and takes in an end of the life that it was
@@ -110,7 +110,7 @@
 	if o.Unload {
 		verb = "unload"
 	}
-	pairs := []any{"order", verb, "model", o.Model, "adapter", o.Adapter, "after", o.After, "instance", o.Instance, "fence", o.Fence}
+	pairs := []any{"order", verb, "model", o.Model, "adapter", o.Adapter, "after", o.AfterOrders, "instance", o.Instance, "fence", o.Fence}
 	if err != nil {
 		events.Fail(events.OrderSent, err, pairs...)
 		return result, err
@@ -119,7 +119,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case result == core.OrderElsewhere:
+	case result == core.OrderOtherInstance:
 		// Another life answered; the registry names it in a moment.
 		d.endLife(d.Clock.Now())
 	case d.Remote && (result == core.OrderAccepted || result == core.OrderDone):
@@ -165,7 +165,7 @@
 		}
 		need += size.GetWeights() + int64(len(m.Adapters))*size.GetAdapter()
 	}
-	for _, c := range d.state.Coming {
+	for _, c := range d.state.IncomingAdapters {
 		name, _, _ := strings.Cut(c, "/")
 		need += sizes[core.ModelName(name)].GetAdapter()
 	}
--- a/io/driver/serve.go
+++ b/io/driver/serve.go
@@ -125,10 +125,10 @@
 	s := d.state
 	out := &wire.UpstreamReport{
 		Instance: string(d.lives.Current()), Busy: s.Busy || d.loading.model != "" || d.goal != nil, Leaving: s.Leaving,
-		InMemory: core.Texts(s.InMemory), OnDisk: core.Texts(s.OnDisk), Waiting: uint32(s.Waiting), Running: uint32(s.Running),
-		Reading: s.Reading, Age: int64(now.Sub(d.taken)), Reachable: !d.lost && !d.taken.IsZero(), Lost: d.lost,
-		Ended:   core.Texts(d.lives.Ended(now)),
-		Loading: string(d.loading.model), Born: s.Born, Limited: s.Limit.Named, Rate: s.Limit.Rate,
+		InMemory: core.Strings(s.InMemory), OnDisk: core.Strings(s.OnDisk), Waiting: uint32(s.Waiting), Running: uint32(s.Running),
+		Reading: s.PrefillTokens, Age: int64(now.Sub(d.taken)), Reachable: !d.lost && !d.taken.IsZero(), Lost: d.lost,
+		Ended:   core.Strings(d.lives.Ended(now)),
+		Loading: string(d.loading.model), Born: s.Born, Limited: s.Limit.Limited, Rate: s.Limit.Rate,
 	}
 	if d.loading.model != "" {
 		out.LoadLeft = int64(d.loading.by.Sub(now))
@@ -221,7 +221,7 @@
 		return done, reason
 	}
 	result, err := d.order(ctx, o)
-	if err == nil && (result == core.OrderStale || result == core.OrderElsewhere || result == core.OrderRejected) {
+	if err == nil && (result == core.OrderStale || result == core.OrderOtherInstance || result == core.OrderRejected) {
 		return false, "the upstream's answer to the order is " + result.String()
 	}
 	// The next order rests on a report that knows of this one.
@@ -244,7 +244,7 @@
 		return o, false, "the model is not held"
 	case slices.Contains(d.state.Models[i].Adapters, adapter):
 		return o, true, ""
-	case slices.Contains(d.state.Coming, string(model)+"/"+adapter), d.failures > 0, d.rests():
+	case slices.Contains(d.state.IncomingAdapters, string(model)+"/"+adapter), d.failures > 0, d.rests():
 		return o, false, ""
 	case d.state.Busy, d.goal != nil, d.loading.model != "":
 		// The upstream takes one order at a time, and a load from the weight store
@@ -255,7 +255,7 @@
 	if !ok {
 		return core.UpstreamOrder{}, false, "the agent has no fencing number yet"
 	}
-	count := len(d.state.Coming)
+	count := len(d.state.IncomingAdapters)
 	for _, m := range d.state.Models {
 		count += len(m.Adapters)
 	}
--- a/io/feed/encode.go
+++ b/io/feed/encode.go
@@ -29,7 +29,7 @@
 		Address: address, Lost: r.GetLost(), Born: r.GetBorn(), Ended: core.Names[core.HostName](r.GetEnded()),
 		Report: fleet.Report{
 			Taken: now.Add(-time.Duration(r.GetAge())), ID: core.HostName(r.GetInstance()), Reachable: r.GetReachable(),
-			Leaving: r.GetLeaving(), Busy: r.GetBusy(), Limit: core.RateLimit{Named: r.GetLimited(), Rate: r.GetRate()},
+			Leaving: r.GetLeaving(), Busy: r.GetBusy(), Limit: core.RateLimit{Limited: r.GetLimited(), Rate: r.GetRate()},
 			InMemory: core.Names[core.ModelName](r.GetInMemory()), OnDisk: core.Names[core.ModelName](r.GetOnDisk()),
 			Waiting: int(r.GetWaiting()), Running: int(r.GetRunning()), Reading: int(r.GetReading()),
 			Loading: core.ModelName(r.GetLoading()), Active: make(map[core.ModelName]int, len(r.GetModels())),
@@ -54,14 +54,14 @@
 	r := h.Report
 	out := &wire.UpstreamReport{
 		Instance: string(r.ID), Busy: r.Busy, Leaving: r.Leaving, Reachable: r.Reachable, Lost: h.Lost,
-		Limited: r.Limit.Named, Rate: r.Limit.Rate,
-		Ended: core.Texts(h.Ended), Born: h.Born, Loading: string(r.Loading),
+		Limited: r.Limit.Limited, Rate: r.Limit.Rate,
+		Ended: core.Strings(h.Ended), Born: h.Born, Loading: string(r.Loading),
 	}
 	if r.Loading != "" {
 		out.LoadLeft = int64(r.LoadedBy.Sub(now))
 	}
 	if relay {
-		out.InMemory, out.OnDisk = core.Texts(r.InMemory), core.Texts(r.OnDisk)
+		out.InMemory, out.OnDisk = core.Strings(r.InMemory), core.Strings(r.OnDisk)
 	}
 	for _, m := range r.Models {
 		out.Models = append(out.Models, &wire.HeldModel{Model: string(m.Model), Version: m.Version, Adapters: m.Adapters})
--- a/io/front/answer.go
+++ b/io/front/answer.go
@@ -36,7 +36,7 @@
 
 // mayRepeat tells a client's library whether to try again by itself: only what
 // certainly did not run and can pass later.
-func mayRepeat(r *core.Refusal) bool { return r.Outcome == core.NotRun && r.Code.Info().Again }
+func mayRepeat(r *core.Refusal) bool { return r.Outcome == core.NotRun && r.Code.Info().Retryable }
 
 // writeRefusal writes an answer that consists of a refusal.
 func writeRefusal(w http.ResponseWriter, r *core.Refusal, id core.RequestID, now time.Time) {
--- a/io/proxy/answer.go
+++ b/io/proxy/answer.go
@@ -60,7 +60,7 @@
 		return outcome{sent: sent, cause: causeOf(ctx, err)}
 	}
 	defer resp.Body.Close()
-	head := c.proxy.Protocol.Answer(resp.Header, resp.StatusCode, c.proxy.Clock.Now())
+	head := c.proxy.Protocol.ParseAnswer(resp.Header, resp.StatusCode, c.proxy.Clock.Now())
 	c.noteSignals(t, head, sentAt)
 	if head.ID == c.ask.ID && (head.NotRun || resp.StatusCode == http.StatusMisdirectedRequest) {
 		c.ended(t, func(h *fleet.Host, now time.Time) { c.turnedAway(h, now, resp.StatusCode) })
@@ -155,7 +155,7 @@
 		resp.Body = &joined{Reader: io.MultiReader(bytes.NewReader(body), resp.Body), Closer: resp.Body}
 		return false
 	}
-	c.failure = &failure{status: resp.StatusCode, header: c.proxy.Protocol.Reply(resp.Header), body: body}
+	c.failure = &failure{status: resp.StatusCode, header: c.proxy.Protocol.ReplyHeader(resp.Header), body: body}
 	return true
 }
 
@@ -260,7 +260,7 @@
 func (c *call) copyHead(resp *http.Response) {
 	c.status = resp.StatusCode
 	head := c.writer.Header()
-	for name, values := range c.proxy.Protocol.Reply(resp.Header) {
+	for name, values := range c.proxy.Protocol.ReplyHeader(resp.Header) {
 		head[name] = values
 	}
 }
--- a/io/proxy/call.go
+++ b/io/proxy/call.go
@@ -42,7 +42,7 @@
 	request *http.Request
 	arrived time.Time
 
-	ask      core.Ask
+	ask      core.RequestHead
 	route    *rtable.Route
 	customer *rtable.Customer
 	rank     int
@@ -127,7 +127,7 @@
 		return core.RefuseUntil(core.CodeNotReady, "the routing table has not arrived yet", c.arrived.Add(restPause))
 	}
 	var refusal *core.Refusal
-	if c.ask, refusal = p.Protocol.Ask(c.request.Header, c.arrived); refusal != nil {
+	if c.ask, refusal = p.Protocol.ParseRequest(c.request.Header, c.arrived); refusal != nil {
 		return refusal
 	}
 	c.version = table.Version
@@ -138,7 +138,7 @@
 	if refusal := c.identify(table); refusal != nil {
 		return refusal
 	}
-	c.rank = table.Rank(c.customer, c.route, core.Ranks)
+	c.rank = table.Rank(c.customer, c.route, core.PriorityLevels)
 	c.service = table.Services[c.route.Service(rand.Float64())]
 	if refusal := c.read(table.Limits.Body); refusal != nil {
 		return refusal
@@ -155,7 +155,7 @@
 		c.query.Model, c.query.Adapter = c.ask.Model, c.ask.Adapter
 		c.query.Parts, c.query.Tokens = c.ask.Parts, c.ask.Prompt
 	}
-	c.event = c.ask.After
+	c.event = c.ask.LastEventID
 	return nil
 }
 
@@ -283,7 +283,7 @@
 // refuse writes the answer to a request that is not served.
 func (c *call) refuse(r *core.Refusal) {
 	head := c.writer.Header()
-	for name, values := range c.proxy.Protocol.Refuse(c.ask.ID, r, c.proxy.Clock.Now()) {
+	for name, values := range c.proxy.Protocol.RefusalHeader(c.ask.ID, r, c.proxy.Clock.Now()) {
 		head[name] = values
 	}
 	text := "{\"code\":" + strconv.Quote(string(r.Code)) + ",\"message\":" + strconv.Quote(r.Reason) + "}\n"
--- a/io/proxy/customer.go
+++ b/io/proxy/customer.go
@@ -22,14 +22,14 @@
 	if !t.Keyed() {
 		return nil
 	}
-	if c.ask.KeyFault == nil {
+	if c.ask.KeyRefusal == nil {
 		c.customer = t.Holder(c.ask.Key)
 	}
 	switch {
 	case c.customer != nil || c.route.Open:
 		return nil
-	case c.ask.KeyFault != nil:
-		return c.ask.KeyFault
+	case c.ask.KeyRefusal != nil:
+		return c.ask.KeyRefusal
 	}
 	return c.proxy.unknownKey(c.ask.Key, c.arrived)
 }
@@ -86,5 +86,5 @@
 		return
 	}
 	c.charged = time.Time{}
-	c.proxy.Quotas.Put(c.customer.Name, c.units)
+	c.proxy.Quotas.Refund(c.customer.Name, c.units)
 }
--- a/io/proxy/customer_test.go
+++ b/io/proxy/customer_test.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func (c *counted) Put(_ core.OwnerName, units float64) {
+func (c *counted) Refund(_ core.OwnerName, units float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.left += units
--- a/io/proxy/log.go
+++ b/io/proxy/log.go
@@ -52,7 +52,7 @@
 		pairs = append(pairs, "host", c.best, "report-age", c.reportAge.Round(time.Millisecond), "cost", int(c.cost),
 			"foreseen", c.foreseen.Round(time.Millisecond), "event-id", c.event)
 	}
-	if c.known.limit.Named {
+	if c.known.limit.Limited {
 		pairs = append(pairs, "limit", c.known.limit.Rate)
 	}
 	if c.known.leaving {
--- a/io/proxy/refund_test.go
+++ b/io/proxy/refund_test.go
@@ -16,7 +16,7 @@
 
 func (*putBack) Take(context.Context, core.OwnerName, float64) *core.Refusal { return nil }
 
-func (p *putBack) Put(_ core.OwnerName, units float64) { p.units += units }
+func (p *putBack) Refund(_ core.OwnerName, units float64) { p.units += units }
 
 // Guards against units given back of a request that ran and waits for another host.
 func TestRefund(t *testing.T) {
--- a/io/proxy/reserve.go
+++ b/io/proxy/reserve.go
@@ -27,7 +27,7 @@
 // It is false where that is too far off or the caller has left; the host is abandoned then.
 func (c *call) reserve(ctx context.Context, t *target) bool {
 	p := c.proxy
-	if !t.limit.Named || p.Pacer == nil {
+	if !t.limit.Limited || p.Pacer == nil {
 		return true
 	}
 	began := p.Clock.Now()
--- a/io/proxy/send.go
+++ b/io/proxy/send.go
@@ -59,7 +59,7 @@
 func (u *upstreams) send(ctx context.Context, c *call, t *target, after string) (resp *http.Response, sent bool, err error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
-	hop := core.Hop{Instance: t.id, Left: c.deadline.Sub(c.proxy.Clock.Now()), Rank: c.rank, After: after}
+	hop := core.Hop{Instance: t.id, Remaining: c.deadline.Sub(c.proxy.Clock.Now()), Priority: c.rank, LastEventID: after}
 	if c.customer != nil {
 		hop.Customer = c.customer.Name
 	}
@@ -68,7 +68,7 @@
 		// Opaque keeps the path and query as the caller wrote them.
 		URL:   &url.URL{Scheme: "http", Host: t.address.String(), Opaque: c.request.RequestURI},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: c.proxy.Protocol.Forward(c.request.Header, hop),
+		Header: c.proxy.Protocol.ForwardHeader(c.request.Header, hop),
 	}).WithContext(ctx)
 	if req.Header.Get("User-Agent") == "" {
 		req.Header.Set("User-Agent", "") // keeps net/http from adding its own
--- a/io/proxy/signal.go
+++ b/io/proxy/signal.go
@@ -30,7 +30,7 @@
 	s.leavingFor, s.leaving = t.host.LeavingFor(now)
 	_, s.backoff = t.host.BackingOff(now)
 	c.known = s
-	if s.limit.Named {
+	if s.limit.Limited {
 		p.Meter.SentDespite(meter.SignalLimited)
 	}
 	if s.leaving {
@@ -68,7 +68,7 @@
 		return // it belongs to no request of this connection
 	}
 	p, life := c.proxy, fleet.Life{ID: t.id, Born: t.born}
-	for _, name := range p.firstSeen(head.Unknown) {
+	for _, name := range p.firstSeen(head.UnknownFields) {
 		events.Log(events.UpstreamFieldUnknown, "field", name, "host", t.id, "address", t.address, "request", c.ask.ID)
 	}
 	var limited, leaving, backoff bool
@@ -79,14 +79,14 @@
 		backoff = v.NoteBackoff(life, now, head.RetryAt)
 		leaving = head.Leaving && v.NoteLeaving(life, now)
 	})
-	if p.HeardLimit != nil && (limited || head.Limit.Named) {
+	if p.HeardLimit != nil && (limited || head.Limit.Limited) {
 		p.HeardLimit(life, limit)
 	}
 	if p.HeardLeaving != nil && leaving {
 		p.HeardLeaving(life)
 	}
 	if limited {
-		events.Log(events.UpstreamLimited, "host", t.id, "address", t.address, "limited", limit.Named, "rate", limit.Rate, "request", c.ask.ID)
+		events.Log(events.UpstreamLimited, "host", t.id, "address", t.address, "limited", limit.Limited, "rate", limit.Rate, "request", c.ask.ID)
 	}
 	if backoff {
 		left := head.RetryAt.Sub(p.Clock.Now()).Round(time.Millisecond)
--- a/io/proxy/signal_test.go
+++ b/io/proxy/signal_test.go
@@ -31,10 +31,10 @@
 	p := &Proxy{Clock: clock, HeardLimit: func(_ fleet.Life, l core.RateLimit) { told = append(told, l) }}
 	p.Start()
 	p.view.Apply(fleet.Entry{ID: "i-1", Usable: true})
-	c := &call{proxy: p, ask: core.Ask{ID: "q"}}
+	c := &call{proxy: p, ask: core.RequestHead{ID: "q"}}
 	host := &target{id: "i-1", host: p.view.Host("i-1")}
 	p.view.Remove(clock.now, "i-1")
-	one := core.RateLimit{Named: true, Rate: 1}
+	one := core.RateLimit{Limited: true, Rate: 1}
 	c.noteSignals(host, core.AnswerHead{ID: "q", Limit: one}, clock.now)
 	assert.DeepEqual(t, told, []core.RateLimit{one})
 }
--- a/io/quota/quota.go
+++ b/io/quota/quota.go
@@ -167,8 +167,8 @@
 	return true
 }
 
-// Put implements core.Quotas.
-func (q *Quota) Put(customer core.OwnerName, units float64) {
+// Refund implements core.Quotas.
+func (q *Quota) Refund(customer core.OwnerName, units float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.held[customer] += units
--- a/io/quota/quota_test.go
+++ b/io/quota/quota_test.go
@@ -137,7 +137,7 @@
 	f := newFleet(t, "e-1", "e-2")
 	f.settle(t.Context())
 	assert.Equal(t, f.take(t.Context(), "e-2"), 100)
-	f.quotas["e-2"].Put("c", 40)
+	f.quotas["e-2"].Refund("c", 40)
 	f.quotas["e-2"].Renew(t.Context())
 	assert.Equal(t, f.take(t.Context(), "e-1"), 40)
 }
--- a/io/soak/caller.go
+++ b/io/soak/caller.go
@@ -137,8 +137,8 @@
 }
 
 // askOf returns what a caller asks for.
-func askOf(r Result, model string, by time.Time) core.Ask {
-	ask := core.Ask{ID: core.RequestID(r.ID), Deadline: by}
+func askOf(r Result, model string, by time.Time) core.RequestHead {
+	ask := core.RequestHead{ID: core.RequestID(r.ID), Deadline: by}
 	if r.Route == Stream || r.Route == Resumed {
 		ask.Model, ask.Prompt, ask.Answer = core.ModelName(model), 100, 50
 		ask.Parts = []core.PromptPart{{ID: "aa", Tokens: 60}, {ID: "bb", Tokens: 40}}
