--- a/core/manage.go
+++ b/core/manage.go
@@ -51,15 +51,16 @@
 	// Remaining is how long the upstream will keep running; zero if not reported.
 	Remaining time.Duration
 	Models    []HeldModel
-	// IncomingAdapters lists the adapters being transferred to the upstream, as MODEL/NAME.
+	// IncomingAdapters lists the adapters being transferred to the upstream, as
+	// MODEL/NAME.
 	IncomingAdapters []string
 	InMemory, OnDisk []ModelName
 	// Waiting and Running are numbers of requests. MemoryUsed is the prompt memory
 	// that cannot be freed, in tokens.
 	Waiting, Running int
 	MemoryUsed       int64
-	// PrefillTokens is the number of prompt tokens of the requests in the prefill phase,
-	// which have no first token yet.
+	// PrefillTokens is the number of prompt tokens of the requests in the prefill
+	// phase, which have no first token yet.
 	PrefillTokens int64
 }
 
@@ -76,7 +77,8 @@
 	Model  ModelName
 	// Adapter is empty if the order is for the model itself.
 	Adapter string
-	// AfterOrders is the order count that the upstream must have for the order to apply.
+	// AfterOrders is the order count that the upstream must have for the order to
+	// apply.
 	AfterOrders int64
 	// Instance is the instance of the upstream that the order is for.
 	Instance HostName
--- a/core/proto.go
+++ b/core/proto.go
@@ -12,8 +12,8 @@
 	Tokens int
 }
 
-// RequestHead is the metadata that a caller on a managed platform sends with a request,
-// besides method, path and body.
+// RequestHead is the metadata that a caller on a managed platform sends with a
+// request, besides method, path and body.
 type RequestHead struct {
 	ID RequestID
 	// Deadline is when the caller stops waiting; zero if the caller sent none.
@@ -24,11 +24,11 @@
 	// Parts is the prompt in order. Only the last part is specific to the request.
 	Parts []PromptPart
 	// Prompt is the number of prompt tokens and Answer the maximum number of
-	// tokens to generate. Counted is set if the caller sent both.
+	// tokens to generate. TokensSent is set if the caller sent both.
 	Prompt, Answer int
 	TokensSent     bool
-	// Key is the digest of the caller's key. It is valid only if KeyFault, the
-	// reason why no key could be read, is nil.
+	// Key is the digest of the caller's key. It is valid only if KeyRefusal, the
+	// refusal of a request without a readable key, is nil.
 	Key        KeyDigest
 	KeyRefusal *Refusal
 	// LastEventID is the ID of the last event received of an interrupted stream that the
@@ -89,8 +89,8 @@
 	// RetryAt is when this process may send to an upstream again that has rejected
 	// the request; zero if the upstream named no time.
 	RetryAt time.Time
-	// UnknownFields lists, sorted, the names of fields that belong to the platform but
-	// that this version doesn't know.
+	// UnknownFields lists, sorted, the names of fields that belong to the platform
+	// but that this version doesn't know.
 	UnknownFields []string
 }
 
@@ -105,18 +105,19 @@
 // Protocol maps request and answer metadata of a managed platform to the header
 // fields of HTTP messages.
 type Protocol interface {
-	// ParseRequest reads the header of a caller's request that arrived at the given time.
+	// ParseRequest reads the header of a caller's request that arrived at the given
+	// time.
 	ParseRequest(header map[string][]string, arrived time.Time) (RequestHead, *Refusal)
-	// ForwardHeader returns the header fields for the upstream: the caller's own without
-	// hop-by-hop fields, fields that callers may not set, and credentials.
+	// ForwardHeader returns the header fields for the upstream: the caller's own
+	// without hop-by-hop fields, fields that callers may not set, and credentials.
 	ForwardHeader(header map[string][]string, h Hop) map[string][]string
-	// ParseAnswer reads the header of an upstream's answer that arrived at now with the
-	// given HTTP status.
+	// ParseAnswer reads the header of an upstream's answer that arrived at now with
+	// the given HTTP status.
 	ParseAnswer(header map[string][]string, status int, now time.Time) AnswerHead
 	// ReplyHeader returns the header fields of an upstream's answer that the caller
 	// receives.
 	ReplyHeader(header map[string][]string) map[string][]string
-	// RefusalHeader returns the header fields of the answer to a refused request. They
-	// include the time to retry if the refusal has one.
+	// RefusalHeader returns the header fields of the answer to a refused request.
+	// They include the time to retry if the refusal has one.
 	RefusalHeader(id RequestID, r *Refusal, now time.Time) map[string][]string
 }
