--- a/core/claims/call.go
+++ b/core/claims/call.go
@@ -86,8 +86,8 @@
 
 // Endings.
 const (
-	// EndWhole: the upstream's whole answer was relayed.
-	EndWhole Ending = iota
+	// EndComplete: the upstream's whole answer was relayed.
+	EndComplete Ending = iota
 	// EndRefused: the agent answered with a refusal.
 	EndRefused
 	// EndLost: the connection was lost before the end of the answer.
@@ -96,8 +96,8 @@
 	EndUnsent
 )
 
-// Standing is the result of a StepAsk.
-type Standing struct {
+// AttemptStatus is the result of a StepAsk.
+type AttemptStatus struct {
 	// Reached is false if the agent didn't answer.
 	Reached bool
 	// Gone is set if the platform no longer lists the host.
@@ -155,7 +155,7 @@
 // host.
 func (c *Call) Ended(now time.Time, e Ending, r *core.Refusal, again bool) Step {
 	switch {
-	case e == EndWhole:
+	case e == EndComplete:
 		return Step{Kind: StepDone}
 	case e == EndLost:
 		return Step{Kind: StepAsk, Claim: c.claim, At: now}
@@ -177,7 +177,7 @@
 }
 
 // Asked passes the state of the current attempt.
-func (c *Call) Asked(now time.Time, s Standing) Step {
+func (c *Call) Asked(now time.Time, s AttemptStatus) Step {
 	switch {
 	case s.Reached && s.State == dedupe.Sealed:
 		// Another call may have sealed the attempt earlier.
--- a/core/claims/call_test.go
+++ b/core/claims/call_test.go
@@ -43,7 +43,7 @@
 	c := picked()
 	assert.Equal(t, c.Claimed(start, won(c)).Kind, StepHandOver)
 	assert.Equal(t, c.Ended(start, EndLost, nil, false).Kind, StepAsk)
-	assert.Equal(t, c.Asked(start, Standing{Reached: true, State: dedupe.Sealed}).Kind, StepPick)
+	assert.Equal(t, c.Asked(start, AttemptStatus{Reached: true, State: dedupe.Sealed}).Kind, StepPick)
 	no := core.Refuse(core.CodeNoHost, "no host")
 	assertRefusal(t, c.NoHost(no), core.CodeRanElsewhere, core.MayHaveRun)
 }
@@ -63,8 +63,8 @@
 	s = c.Claimed(start, Answer{Result: Held, Holder: other})
 	assert.Equal(t, s.Kind, StepAsk)
 	assert.Equal(t, s.Claim.Host, core.HostName("agent-2"))
-	assert.Equal(t, c.Asked(start, Standing{Reached: true, State: dedupe.Done}).Kind, StepAttach)
-	assert.Equal(t, c.Ended(start, EndWhole, nil, false).Kind, StepDone)
+	assert.Equal(t, c.Asked(start, AttemptStatus{Reached: true, State: dedupe.Done}).Kind, StepAttach)
+	assert.Equal(t, c.Ended(start, EndComplete, nil, false).Kind, StepDone)
 }
 
 // TestRefusalReadLaterMayBeStale guards against a wrong "not run". An entry
@@ -76,7 +76,7 @@
 	c := picked()
 	c.Claimed(start, won(c))
 	c.Ended(start, EndLost, nil, false)
-	assert.Equal(t, c.Asked(start, Standing{Reached: true, State: dedupe.Running}).Kind, StepAttach)
+	assert.Equal(t, c.Asked(start, AttemptStatus{Reached: true, State: dedupe.Running}).Kind, StepAttach)
 	full := core.Refuse(core.CodeQueueFull, "full")
 	assert.Equal(t, c.Ended(start, EndRefused, full, false).Kind, StepPick)
 	assertRefusal(t, c.NoHost(full), core.CodeRanElsewhere, core.MayHaveRun)
@@ -95,7 +95,7 @@
 	s := c.Ended(start, EndLost, nil, false)
 	asks := 0
 	for ; s.Kind == StepAsk; asks++ {
-		s = c.Asked(s.At, Standing{})
+		s = c.Asked(s.At, AttemptStatus{})
 	}
 	assert.Equal(t, asks, int(time.Minute/askInterval))
 	assertRefusal(t, s, core.CodeRanElsewhere, core.MayHaveRun)
--- a/core/claims/claim.go
+++ b/core/claims/claim.go
@@ -92,8 +92,8 @@
 	RetryAt time.Time
 }
 
-// Ask is a request to a journal to record a claim.
-type Ask struct {
+// Submission is a request to a journal to record a claim.
+type Submission struct {
 	// Token identifies the Ask in its Answer. It is unique within the process.
 	Token uint64
 	Claim Claim
--- a/core/claims/journal.go
+++ b/core/claims/journal.go
@@ -56,7 +56,7 @@
 	newest        int            // slot of the newest segment; -1 if there is none
 	openSegment   segment        // content of the newest open segment
 	index         index
-	waiting       []Ask
+	waiting       []Submission
 	inFlight      *group // the group being written; nil if none
 	preload       bool   // the ring is to be read even if no claims wait
 	complete      bool   // the slots form a ring without gaps
@@ -125,15 +125,15 @@
 type group struct {
 	slot    int
 	segment segment
-	asks    []Ask
+	asks    []Submission
 	claims  []Claim
 }
 
 // SlotName returns the name of the object of one slot of a journal's ring.
 func SlotName(journal, slot int) string { return fmt.Sprintf("journal-%d-slot-%04d", journal, slot) }
 
-// Ask submits a claim. Its answer is in the Effects of this or a later event.
-func (j *Journal) Ask(now time.Time, a Ask) Effects {
+// Submit submits a claim. Its answer is in the Effects of this or a later event.
+func (j *Journal) Submit(now time.Time, a Submission) Effects {
 	var out Effects
 	if a.Claim.Attempt == 0 || a.Claim.Attempt > maxAttempt {
 		j.answer(&out, Answer{Token: a.Token, Result: Unsure, RetryAt: j.retryTime(now)})
@@ -151,9 +151,9 @@
 	return out
 }
 
-// Warm reads the journal in advance, so that the first claim doesn't have to
+// Preload reads the journal in advance, so that the first claim doesn't have to
 // wait for it. An entry calls it when it takes over a journal.
-func (j *Journal) Warm(now time.Time) Effects {
+func (j *Journal) Preload(now time.Time) Effects {
 	var out Effects
 	j.preload = true
 	j.advance(now, &out)
@@ -224,7 +224,7 @@
 // or the next write.
 func (j *Journal) advance(now time.Time, out *Effects) {
 	j.answerExpired(now, out)
-	j.waiting = removeAsks(j.waiting, func(a Ask) bool { return j.decide(now, a, out) })
+	j.waiting = removeAsks(j.waiting, func(a Submission) bool { return j.decide(now, a, out) })
 	j.init()
 	if now.Before(j.retryAt) || j.inFlight != nil || (len(j.waiting) == 0 && !j.preload) {
 		return
@@ -232,7 +232,7 @@
 	if !j.readRing(now, out) {
 		return
 	}
-	j.waiting = removeAsks(j.waiting, func(a Ask) bool { return j.decide(now, a, out) })
+	j.waiting = removeAsks(j.waiting, func(a Submission) bool { return j.decide(now, a, out) })
 	if len(j.waiting) > 0 && !now.Before(j.nextWrite) {
 		j.startWrite(now, out)
 	}
@@ -242,7 +242,7 @@
 // whose write is in flight may still be recorded. Its attempt is then never
 // handed over, and any call that comes across the claim seals the attempt.
 func (j *Journal) answerExpired(now time.Time, out *Effects) {
-	late := func(a Ask) bool {
+	late := func(a Submission) bool {
 		if now.Before(a.GiveUp) {
 			return false
 		}
@@ -271,7 +271,7 @@
 // durable claims. It may lack newer claims of other entries, which is safe: Held
 // permits no hand-over, and an agent refuses a sealed attempt. So repeated
 // requests with known keys are answered even while the platform is down.
-func (j *Journal) decide(now time.Time, a Ask, out *Effects) bool {
+func (j *Journal) decide(now time.Time, a Submission, out *Effects) bool {
 	holder, ok := j.index.latest(now, a.Claim.ID)
 	if !ok {
 		return false
@@ -335,7 +335,7 @@
 }
 
 // removeAsks removes the asks for which gone returns true, in place.
-func removeAsks(asks []Ask, gone func(Ask) bool) []Ask {
+func removeAsks(asks []Submission, gone func(Submission) bool) []Submission {
 	kept := asks[:0]
 	for _, a := range asks {
 		if !gone(a) {
--- a/core/claims/journal_test.go
+++ b/core/claims/journal_test.go
@@ -27,7 +27,7 @@
 
 func (d *direct) ask(now time.Time, c Claim) uint64 {
 	d.token++
-	d.execute(now, d.j.Ask(now, Ask{Token: d.token, Claim: c, GiveUp: now.Add(2 * time.Second)}))
+	d.execute(now, d.j.Submit(now, Submission{Token: d.token, Claim: c, GiveUp: now.Add(2 * time.Second)}))
 	return d.token
 }
 
@@ -37,10 +37,10 @@
 	}
 	for _, name := range out.Reads {
 		o, ok := d.objects[name]
-		d.execute(now, d.j.Read(now, Reply{Name: name, Object: o, OK: ok, Fault: core.NotFound}))
+		d.execute(now, d.j.ReadDone(now, Reply{Name: name, Object: o, OK: ok, Fault: core.NotFound}))
 	}
 	if out.Write != nil {
-		d.execute(now, d.j.Wrote(now, d.apply(out.Write.Object)))
+		d.execute(now, d.j.WriteDone(now, d.apply(out.Write.Object)))
 	}
 }
 
@@ -150,7 +150,7 @@
 	next := newDirect(small())
 	next.j.Slots = 8
 	next.objects, next.version = d.objects, d.version
-	next.execute(now, next.j.Warm(now))
+	next.execute(now, next.j.Preload(now))
 	for key := 285; key < 300; key++ {
 		c, ok := next.j.Latest(now, dedupe.KeyOf("owner", fmt.Sprint(key)))
 		assert.Assert(t, ok, key)
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -194,10 +194,10 @@
 // apply carries out the effects that a journal returned.
 func (w *world) apply(e *entryNode, out Effects) {
 	for _, name := range out.Reads {
-		w.platform(e, "read", name, nil, e.journal.Read)
+		w.platform(e, "read", name, nil, e.journal.ReadDone)
 	}
 	if out.Write != nil {
-		w.platform(e, "append", out.Write.Object.Name, out.Write, e.journal.Wrote)
+		w.platform(e, "append", out.Write.Object.Name, out.Write, e.journal.WriteDone)
 	}
 	for _, a := range out.Answers {
 		// A previous answer may have led to the entry's death.
--- a/core/claims/schedule_test.go
+++ b/core/claims/schedule_test.go
@@ -101,7 +101,7 @@
 	}
 	token := w.rng.Uint64()
 	e.asks[token] = func(Answer) {}
-	w.apply(e, e.journal.Ask(w.now, Ask{Token: token, Claim: c, GiveUp: w.now.Add(2 * time.Second)}))
+	w.apply(e, e.journal.Submit(w.now, Submission{Token: token, Claim: c, GiveUp: w.now.Add(2 * time.Second)}))
 }
 
 func (w *world) failf(format string, args ...any) {
--- a/core/claims/steps_test.go
+++ b/core/claims/steps_test.go
@@ -102,7 +102,7 @@
 				w.at(&s.entry.node, w.latency(), func() { settle(a) }, nil)
 			}
 		}
-		w.apply(journal, journal.journal.Ask(w.now, Ask{Token: token, Claim: c, GiveUp: w.now.Add(2 * time.Second)}))
+		w.apply(journal, journal.journal.Submit(w.now, Submission{Token: token, Claim: c, GiveUp: w.now.Add(2 * time.Second)}))
 	}, nil)
 }
 
@@ -174,9 +174,9 @@
 			state = a.table.Seal(w.now, callOf(s, c))
 		}
 		w.at(&s.entry.node, w.latency(), func() {
-			next(func() Step { return s.call.Asked(w.now, Standing{Reached: true, State: state}) })
+			next(func() Step { return s.call.Asked(w.now, AttemptStatus{Reached: true, State: state}) })
 		}, nil)
-	}, func(a *agentNode) { next(func() Step { return s.call.Asked(w.now, Standing{Gone: a.gone}) }) })
+	}, func(a *agentNode) { next(func() Step { return s.call.Asked(w.now, AttemptStatus{Gone: a.gone}) }) })
 }
 
 func (w *world) handOver(s *send, a *agentNode, c Claim, next func(func() Step)) {
@@ -271,7 +271,7 @@
 	case v.End.Refusal != nil:
 		r.reply(EndRefused, v.End.Refusal, "")
 	default:
-		r.reply(EndWhole, nil, string(r.buf))
+		r.reply(EndComplete, nil, string(r.buf))
 	}
 	return true
 }
--- a/core/claims/store.go
+++ b/core/claims/store.go
@@ -79,8 +79,8 @@
 
 func (j *Journal) slotOf(number uint64) int { return int(number % uint64(j.Slots)) }
 
-// Read passes the result of a read that Effects requested.
-func (j *Journal) Read(now time.Time, r Reply) Effects {
+// ReadDone passes the result of a read that Effects requested.
+func (j *Journal) ReadDone(now time.Time, r Reply) Effects {
 	var out Effects
 	i, ok := j.slotByName[r.Name]
 	if !ok || j.slots[i].state != slotReading {
@@ -200,14 +200,14 @@
 	j.waiting = j.waiting[:0]
 }
 
-// Wrote passes the result of the write that Effects requested.
+// WriteDone passes the result of the write that Effects requested.
 //
 // A conflict or an unknown result is resolved by reading the slot back. The
 // claims return to the front of the queue. If the slot holds a claimant's own
 // claim, the result is Won; if it holds another claim of the key, Held. Otherwise
 // the claim is written again, conditional on the version just read. If the
 // earlier write is still in flight, it then fails or makes the new one fail.
-func (j *Journal) Wrote(now time.Time, r Reply) Effects {
+func (j *Journal) WriteDone(now time.Time, r Reply) Effects {
 	var out Effects
 	w := j.inFlight
 	if w == nil || r.Name != SlotName(j.Number, w.slot) {
--- a/core/losses/cause.go
+++ b/core/losses/cause.go
@@ -12,19 +12,19 @@
 	// Target is the route's latency target; zero if there is none or the log
 	// doesn't have it.
 	Target time.Duration
-	// Pause is the longest acceptable pause within a stream; zero if there is no
+	// PauseTarget is the longest acceptable pause within a stream; zero if there is no
 	// such target.
-	Pause time.Duration
-	// Took is the time until the end of the request.
-	Took time.Duration
-	// First is the time until the first event of a stream; zero for other answers.
-	First time.Duration
-	// Longest is the longest pause between two events of a stream.
-	Longest time.Duration
-	// Waited is the time during which no host held the model.
-	Waited time.Duration
-	// Fetched is the time during which an adapter was being transferred.
-	Fetched time.Duration
+	PauseTarget time.Duration
+	// Duration is the time until the end of the request.
+	Duration time.Duration
+	// FirstEvent is the time until the first event of a stream; zero for other answers.
+	FirstEvent time.Duration
+	// LongestPause is the longest pause between two events of a stream.
+	LongestPause time.Duration
+	// NoCopyWait is the time during which no host held the model.
+	NoCopyWait time.Duration
+	// AdapterWait is the time during which an adapter was being transferred.
+	AdapterWait time.Duration
 	// Sends is the number of hosts that the request was sent to.
 	Sends int
 	// Answered is set if the caller received an upstream's whole answer.
@@ -122,9 +122,9 @@
 // serve it in time.
 func (r *Request) refused() Cause {
 	switch {
-	case r.Took < atOnce:
+	case r.Duration < atOnce:
 		return RefusedAtOnce
-	case r.Sends == 0 && r.Target > 0 && r.Took >= r.Target:
+	case r.Sends == 0 && r.Target > 0 && r.Duration >= r.Target:
 		return RefusedAtDeadline
 	}
 	return RefusedWaiting
@@ -135,7 +135,7 @@
 	switch {
 	case r.Target > 0 && r.responseTime() > r.Target:
 		return r.longest(LateNoCopy, LateAdapter, LateQueue)
-	case r.Pause > 0 && r.Longest > r.Pause:
+	case r.PauseTarget > 0 && r.LongestPause > r.PauseTarget:
 		return LatePauses
 	}
 	return None
@@ -144,20 +144,20 @@
 // responseTime returns the time until the first event of a stream. For other
 // answers, and for streams without events, it is the time until the end.
 func (r *Request) responseTime() time.Duration {
-	if r.First > 0 {
-		return r.First
+	if r.FirstEvent > 0 {
+		return r.FirstEvent
 	}
-	return r.Took
+	return r.Duration
 }
 
 // longest returns the cause that accounts for the largest part of the response
 // time.
 func (r *Request) longest(noCopy, adapter, queue Cause) Cause {
-	rest := r.responseTime() - r.Waited - r.Fetched
+	rest := r.responseTime() - r.NoCopyWait - r.AdapterWait
 	switch {
-	case r.Waited >= r.Fetched && r.Waited >= rest:
+	case r.NoCopyWait >= r.AdapterWait && r.NoCopyWait >= rest:
 		return noCopy
-	case r.Fetched >= rest:
+	case r.AdapterWait >= rest:
 		return adapter
 	}
 	return queue
--- a/core/replay/simulate.go
+++ b/core/replay/simulate.go
@@ -38,8 +38,8 @@
 	// come after a pause of at least openerPause, like the first of a session.
 	OpenerP50 time.Duration
 	OpenerP99 time.Duration
-	// Mean is the mean wait of openers.
-	Mean time.Duration
+	// OpenerMean is the mean wait of openers.
+	OpenerMean time.Duration
 	// IdleHours is the number of accelerator hours for which items were loaded but
 	// not in use, LoadHours the number spent on loads.
 	IdleHours float64
@@ -284,7 +284,7 @@
 	for _, w := range s.openerWaits {
 		sum += w
 	}
-	r.Mean = sum / time.Duration(max(1, len(s.openerWaits)))
+	r.OpenerMean = sum / time.Duration(max(1, len(s.openerWaits)))
 	return r
 }
 
@@ -301,9 +301,9 @@
 // time, and better by more than 2% in one of them.
 func (r Result) Better(o Result) bool {
 	const margin = 0.98
-	wait, idle := cmp.Compare(r.Mean, o.Mean), cmp.Compare(r.IdleHours, o.IdleHours)
+	wait, idle := cmp.Compare(r.OpenerMean, o.OpenerMean), cmp.Compare(r.IdleHours, o.IdleHours)
 	if wait > 0 || idle > 0 {
 		return false
 	}
-	return float64(r.Mean) < margin*float64(o.Mean) || r.IdleHours < margin*o.IdleHours
+	return float64(r.OpenerMean) < margin*float64(o.OpenerMean) || r.IdleHours < margin*o.IdleHours
 }
--- a/io/entry/claim.go
+++ b/io/entry/claim.go
@@ -9,7 +9,7 @@
 	"radishwell/wire"
 )
 
-func callOf(a claims.Ask) *wire.ClaimCall { return claimOut(a.Claim) }
+func callOf(a claims.Submission) *wire.ClaimCall { return claimOut(a.Claim) }
 
 func claimOut(c claims.Claim) *wire.ClaimCall {
 	return &wire.ClaimCall{
@@ -28,8 +28,8 @@
 	return out
 }
 
-func askOf(c *wire.ClaimCall, giveUp time.Time) claims.Ask {
-	return claims.Ask{Claim: claimIn(c), GiveUp: giveUp}
+func askOf(c *wire.ClaimCall, giveUp time.Time) claims.Submission {
+	return claims.Submission{Claim: claimIn(c), GiveUp: giveUp}
 }
 
 func replyTo(a claims.Answer) *wire.ClaimReply {
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -68,7 +68,7 @@
 	Probe func(ctx context.Context, h Host, names []core.ModelName) (*wire.HostLoad, error)
 	Seal  func(ctx context.Context, h Host, c *wire.SealCall) (*wire.SealReply, error)
 	// Claim records a keyed request's claim in its journal.
-	Claim func(ctx context.Context, a claims.Ask) claims.Answer
+	Claim func(ctx context.Context, a claims.Submission) claims.Answer
 	// KeyAge is how long an idempotency key is remembered after the deadline.
 	KeyAge time.Duration
 	Relay  *Relay
--- a/io/entry/fixture_test.go
+++ b/io/entry/fixture_test.go
@@ -257,7 +257,7 @@
 }
 
 // claim is a journal that is always up.
-func (f *fleet) claim(_ context.Context, a claims.Ask) claims.Answer {
+func (f *fleet) claim(_ context.Context, a claims.Submission) claims.Answer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := string(a.Claim.ID[:])
--- a/io/entry/journal.go
+++ b/io/entry/journal.go
@@ -103,7 +103,7 @@
 		}
 		for n, b := range s.books {
 			if leads[n] && !warm[n] && s.Known() {
-				b.send(ctx, b.state.Warm)
+				b.send(ctx, b.state.Preload)
 				warm[n] = true
 			}
 			warm[n] = warm[n] && leads[n]
@@ -174,7 +174,7 @@
 	if err == nil {
 		events.Log(events.ClaimSettled, "segment", name)
 	}
-	b.send(ctx, func(now time.Time) claims.Effects { return b.state.Read(now, replyOf(name, o, err)) })
+	b.send(ctx, func(now time.Time) claims.Effects { return b.state.ReadDone(now, replyOf(name, o, err)) })
 }
 
 // listAge is how old a list may be that slots are read from. While a journal is
@@ -200,7 +200,7 @@
 		if err != nil {
 			reply = replyOf(name, o, err)
 		}
-		b.send(ctx, func(now time.Time) claims.Effects { return b.state.Read(now, reply) })
+		b.send(ctx, func(now time.Time) claims.Effects { return b.state.ReadDone(now, reply) })
 	}
 }
 
@@ -233,7 +233,7 @@
 		do = s.Platform.Create
 	}
 	o, err := do(call, w.Object)
-	b.send(ctx, func(now time.Time) claims.Effects { return b.state.Wrote(now, replyOf(w.Object.Name, o, err)) })
+	b.send(ctx, func(now time.Time) claims.Effects { return b.state.WriteDone(now, replyOf(w.Object.Name, o, err)) })
 }
 
 func replyOf(name string, o core.Object, err error) claims.Reply {
@@ -251,7 +251,7 @@
 // Claim records a claim through the entry in charge of the key's journal, or
 // here where that one does not answer: any entry may append, since every append
 // is conditional.
-func (s *Journals) Claim(ctx context.Context, a claims.Ask) claims.Answer {
+func (s *Journals) Claim(ctx context.Context, a claims.Submission) claims.Answer {
 	n := claims.JournalOf(a.Claim.ID)
 	ranked := claims.Rank(n, s.Entries())
 	if len(ranked) == 0 || ranked[0] == s.Self {
@@ -267,14 +267,14 @@
 }
 
 // Local records a claim here.
-func (s *Journals) Local(ctx context.Context, a claims.Ask) claims.Answer {
+func (s *Journals) Local(ctx context.Context, a claims.Submission) claims.Answer {
 	b := s.books[claims.JournalOf(a.Claim.ID)]
 	to := make(chan claims.Answer, 1)
 	b.send(ctx, func(now time.Time) claims.Effects {
 		b.token++
 		a.Token = b.token
 		b.waiting[a.Token] = to
-		return b.state.Ask(now, a)
+		return b.state.Submit(now, a)
 	})
 	select {
 	case answer := <-to:
--- a/io/entry/journal_test.go
+++ b/io/entry/journal_test.go
@@ -61,9 +61,9 @@
 	return list
 }
 
-func claimOf(key string, claimant uint64) claims.Ask {
+func claimOf(key string, claimant uint64) claims.Submission {
 	now := time.Now()
-	return claims.Ask{GiveUp: now.Add(10 * time.Second), Claim: claims.Claim{
+	return claims.Submission{GiveUp: now.Add(10 * time.Second), Claim: claims.Claim{
 		ID: dedupe.KeyOf("guild", key), Fingerprint: 7, Host: "up-1", Incarnation: 5, Claimant: claimant,
 		Attempt: 1, Expires: claims.ExpiryOf(now, time.Hour),
 	}}
--- a/io/entry/keyed.go
+++ b/io/entry/keyed.go
@@ -130,7 +130,7 @@
 		if k.call.Deadline.Before(giveUp) {
 			giveUp = k.call.Deadline
 		}
-		answer = k.j.e.Claim(ctx, claims.Ask{Claim: c, GiveUp: giveUp})
+		answer = k.j.e.Claim(ctx, claims.Submission{Claim: c, GiveUp: giveUp})
 		again := k.now().Add(claimPause)
 		if answer.Result != claims.Unsure || !again.Before(until) || !k.j.waitUntil(ctx, again) {
 			break
@@ -205,7 +205,7 @@
 	case lost != nil:
 		return k.call.Ended(k.now(), claims.EndUnsent, nil, false)
 	case refusal == nil:
-		return k.call.Ended(k.now(), claims.EndWhole, nil, false)
+		return k.call.Ended(k.now(), claims.EndComplete, nil, false)
 	}
 	again := refusal.Outcome == core.NotRun && k.again(refusal)
 	return k.call.Ended(k.now(), claims.EndRefused, refusal, again)
@@ -240,14 +240,14 @@
 	c := step.Claim
 	h, ok := k.j.e.Find(c.Host)
 	if !ok {
-		return k.call.Asked(k.now(), claims.Standing{Gone: true})
+		return k.call.Asked(k.now(), claims.AttemptStatus{Gone: true})
 	}
 	reply, err := k.seal(ctx, h, c, false)
 	if err != nil {
-		return k.call.Asked(k.now(), claims.Standing{})
+		return k.call.Asked(k.now(), claims.AttemptStatus{})
 	}
 	k.j.e.trail(k.j.call.Request.ID, k.now(), "attempt at "+string(c.Host)+" is "+dedupe.State(reply.GetState()).String())
-	return k.call.Asked(k.now(), claims.Standing{Reached: true, State: dedupe.State(reply.GetState())})
+	return k.call.Asked(k.now(), claims.AttemptStatus{Reached: true, State: dedupe.State(reply.GetState())})
 }
 
 // waitFor waits until another sending's attempt has reached its agent.
@@ -275,7 +275,7 @@
 func (k *keyed) attach(ctx context.Context, c claims.Claim) claims.Step {
 	h, ok := k.j.e.Find(c.Host)
 	if !ok {
-		return k.call.Asked(k.now(), claims.Standing{Gone: true})
+		return k.call.Asked(k.now(), claims.AttemptStatus{Gone: true})
 	}
 	if k.g == nil {
 		k.g = &reading{to: k.j.call.Answer, clock: k.j.e.Clock}
--- a/io/hosted/losses.go
+++ b/io/hosted/losses.go
@@ -91,8 +91,8 @@
 		return nil, false
 	}
 	for key, at := range map[string]*time.Duration{
-		"took": &r.Took, "target": &r.Target, "waited": &r.Waited, "fetched": &r.Fetched, "first": &r.First,
-		"longest-pause": &r.Longest, "pause-target": &r.Pause,
+		"took": &r.Duration, "target": &r.Target, "waited": &r.NoCopyWait, "fetched": &r.AdapterWait, "first": &r.FirstEvent,
+		"longest-pause": &r.LongestPause, "pause-target": &r.PauseTarget,
 	} {
 		text := l.value(key)
 		if text == "" {
