--- a/core/claims/claim.go
+++ b/core/claims/claim.go
@@ -81,9 +81,9 @@
 	Held
 )
 
-// Answer is a journal's answer to an Ask.
+// Answer is a journal's answer to a Submission.
 type Answer struct {
-	// Token is the token of the Ask.
+	// Token is the token of the Submission.
 	Token  uint64
 	Result Result
 	// Holder is the key's latest claim; set for Won and Held.
@@ -92,9 +92,10 @@
 	RetryAt time.Time
 }
 
-// Submission is a request to a journal to record a claim.
+// Submission is a claim submitted to a journal.
 type Submission struct {
-	// Token identifies the Ask in its Answer. It is unique within the process.
+	// Token identifies the Submission in its Answer. It is unique within the
+	// process.
 	Token uint64
 	Claim Claim
 	// GiveUp is when the claimant stops waiting for the answer.
--- a/core/claims/journal.go
+++ b/core/claims/journal.go
@@ -34,7 +34,8 @@
 // concurrent use. Its exported fields must be set before the first call.
 //
 // Every method that takes an event returns the Effects to carry out. Reads and
-// Write are calls to the platform, whose results are passed to Read and Wrote.
+// Write are calls to the platform, whose results must be passed to ReadDone and
+// WriteDone.
 type Journal struct {
 	// Number is the number of the journal, from 0.
 	Number int
@@ -121,18 +122,18 @@
 }
 
 // group is a group of claims that one write records. Claimants that gave up
-// during the write are no longer in asks, but their claims are still in claims.
+// during the write are no longer in submissions, but their claims are in claims.
 type group struct {
-	slot    int
-	segment segment
-	asks    []Submission
-	claims  []Claim
+	slot        int
+	segment     segment
+	submissions []Submission
+	claims      []Claim
 }
 
 // SlotName returns the name of the object of one slot of a journal's ring.
 func SlotName(journal, slot int) string { return fmt.Sprintf("journal-%d-slot-%04d", journal, slot) }
 
-// Submit submits a claim. Its answer is in the Effects of this or a later event.
+// Submit accepts a claim. Its answer is in the Effects of this or a later event.
 func (j *Journal) Submit(now time.Time, a Submission) Effects {
 	var out Effects
 	if a.Claim.Attempt == 0 || a.Claim.Attempt > maxAttempt {
@@ -179,7 +180,7 @@
 		add(a.GiveUp)
 	}
 	if j.inFlight != nil {
-		for _, a := range j.inFlight.asks {
+		for _, a := range j.inFlight.submissions {
 			add(a.GiveUp)
 		}
 		return next
@@ -199,7 +200,7 @@
 func (j *Journal) Waiting() int {
 	n := len(j.waiting)
 	if j.inFlight != nil {
-		n += len(j.inFlight.asks)
+		n += len(j.inFlight.submissions)
 	}
 	return n
 }
@@ -224,7 +225,7 @@
 // or the next write.
 func (j *Journal) advance(now time.Time, out *Effects) {
 	j.answerExpired(now, out)
-	j.waiting = removeAsks(j.waiting, func(a Submission) bool { return j.decide(now, a, out) })
+	j.waiting = removeIf(j.waiting, func(a Submission) bool { return j.decide(now, a, out) })
 	j.init()
 	if now.Before(j.retryAt) || j.inFlight != nil || (len(j.waiting) == 0 && !j.preload) {
 		return
@@ -232,7 +233,7 @@
 	if !j.readRing(now, out) {
 		return
 	}
-	j.waiting = removeAsks(j.waiting, func(a Submission) bool { return j.decide(now, a, out) })
+	j.waiting = removeIf(j.waiting, func(a Submission) bool { return j.decide(now, a, out) })
 	if len(j.waiting) > 0 && !now.Before(j.nextWrite) {
 		j.startWrite(now, out)
 	}
@@ -249,9 +250,9 @@
 		j.answer(out, Answer{Token: a.Token, Result: Unsure, RetryAt: j.retryTime(now)})
 		return true
 	}
-	j.waiting = removeAsks(j.waiting, late)
+	j.waiting = removeIf(j.waiting, late)
 	if j.inFlight != nil {
-		j.inFlight.asks = removeAsks(j.inFlight.asks, late)
+		j.inFlight.submissions = removeIf(j.inFlight.submissions, late)
 	}
 }
 
@@ -334,10 +335,10 @@
 	return b
 }
 
-// removeAsks removes the asks for which gone returns true, in place.
-func removeAsks(asks []Submission, gone func(Submission) bool) []Submission {
-	kept := asks[:0]
-	for _, a := range asks {
+// removeIf removes the submissions for which gone returns true, in place.
+func removeIf(list []Submission, gone func(Submission) bool) []Submission {
+	kept := list[:0]
+	for _, a := range list {
 		if !gone(a) {
 			kept = append(kept, a)
 		}
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -55,7 +55,7 @@
 	node
 	id      int
 	journal *Journal
-	asks    map[uint64]func(Answer)
+	pending map[uint64]func(Answer)
 	tick    time.Time
 }
 
@@ -116,7 +116,7 @@
 func (w *world) bootEntry(e *entryNode) {
 	e.epoch++
 	e.tick = time.Time{}
-	e.asks = make(map[uint64]func(Answer))
+	e.pending = make(map[uint64]func(Answer))
 	e.journal = &Journal{Slots: 6, SegmentBytes: 340, MaxWaiting: 100}
 	for _, s := range w.sends {
 		if s.entry == e && !s.over {
@@ -201,8 +201,8 @@
 	}
 	for _, a := range out.Answers {
 		// A previous answer may have led to the entry's death.
-		if answered := e.asks[a.Token]; answered != nil {
-			delete(e.asks, a.Token)
+		if answered := e.pending[a.Token]; answered != nil {
+			delete(e.pending, a.Token)
 			answered(a)
 		}
 	}
--- a/core/claims/schedule_test.go
+++ b/core/claims/schedule_test.go
@@ -100,7 +100,7 @@
 		Host: "agent-0", Expires: ExpiryOf(w.now, time.Second),
 	}
 	token := w.rng.Uint64()
-	e.asks[token] = func(Answer) {}
+	e.pending[token] = func(Answer) {}
 	w.apply(e, e.journal.Submit(w.now, Submission{Token: token, Claim: c, GiveUp: w.now.Add(2 * time.Second)}))
 }
 
@@ -141,12 +141,12 @@
 func (w *world) checkNotRun(s *send, runs []run) {
 	for _, r := range runs {
 		if r.claimant == s.call.Claimant {
-			w.failf("send %s was told %q but ran", s.name, s.refusal)
+			w.failf("send %s received %q but ran", s.name, s.refusal)
 		}
 	}
 	code := s.refusal.Code
 	if s.runsAtRefusal > 0 && code != core.CodeClaimUnknown && code != core.CodeKeyReused {
-		w.failf("send %s was told %q when its key had run", s.name, s.refusal)
+		w.failf("send %s received %q although its key had run", s.name, s.refusal)
 	}
 }
 
--- a/core/claims/steps_test.go
+++ b/core/claims/steps_test.go
@@ -97,7 +97,7 @@
 	}
 	w.at(&journal.node, w.latency(), func() {
 		token := w.rng.Uint64()
-		journal.asks[token] = func(a Answer) {
+		journal.pending[token] = func(a Answer) {
 			if fault != "answer-lost" {
 				w.at(&s.entry.node, w.latency(), func() { settle(a) }, nil)
 			}
--- a/core/claims/store.go
+++ b/core/claims/store.go
@@ -152,7 +152,7 @@
 			continue
 		}
 		taken[a.Claim.ID] = true
-		w.asks = append(w.asks, a)
+		w.submissions = append(w.submissions, a)
 		w.claims = append(w.claims, a.Claim)
 	}
 	j.waiting = rest
@@ -220,7 +220,7 @@
 		j.advance(now, &out)
 		return out
 	}
-	j.waiting = append(w.asks, j.waiting...)
+	j.waiting = append(w.submissions, j.waiting...)
 	switch r.Fault {
 	case core.Conflict, core.Exists, core.NotFound:
 		j.counts.Conflicts++
@@ -251,7 +251,7 @@
 	for _, c := range w.claims {
 		j.index.apply(c, w.segment.Number)
 	}
-	for _, a := range w.asks {
+	for _, a := range w.submissions {
 		j.answer(out, Answer{Token: a.Token, Result: Won, Holder: a.Claim})
 	}
 	if opened {
--- a/core/losses/cause.go
+++ b/core/losses/cause.go
@@ -12,12 +12,13 @@
 	// Target is the route's latency target; zero if there is none or the log
 	// doesn't have it.
 	Target time.Duration
-	// PauseTarget is the longest acceptable pause within a stream; zero if there is no
-	// such target.
+	// PauseTarget is the longest acceptable pause within a stream; zero if there is
+	// none.
 	PauseTarget time.Duration
 	// Duration is the time until the end of the request.
 	Duration time.Duration
-	// FirstEvent is the time until the first event of a stream; zero for other answers.
+	// FirstEvent is the time until the first event of a stream; zero for other
+	// answers.
 	FirstEvent time.Duration
 	// LongestPause is the longest pause between two events of a stream.
 	LongestPause time.Duration
--- a/core/script/world_test.go
+++ b/core/script/world_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// upstreamHost is an upstream host with its engine, and its agent if one is running.
+// upstreamHost is an upstream host with its engine, and its agent if one is
+// running.
 type upstreamHost struct {
 	host   place.Host
 	engine *engine
