--- a/core/claims/call.go
+++ b/core/claims/call.go
@@ -134,7 +134,7 @@
 	case a.Result == Unsure:
 		// This attempt is never handed over, whether or not its claim was recorded.
 		// Any call that comes across the claim seals the attempt.
-		return c.refuse(core.RefuseUntil(core.CodeClaimUnknown, "the idempotency key could not be recorded", a.RetryAt))
+		return c.refuse(core.RefuseUntil(core.CodeClaimUnavailable, "the idempotency key could not be recorded", a.RetryAt))
 	case a.Result == Won && now.Before(c.Deadline):
 		c.claim, c.mine, c.metOther = a.Holder, true, false
 		return Step{Kind: StepHandOver, Claim: c.claim}
@@ -229,5 +229,5 @@
 }
 
 func mayHaveRun(reason string) *core.Refusal {
-	return &core.Refusal{Code: core.CodeRanElsewhere, Outcome: core.MayHaveRun, Reason: reason}
+	return &core.Refusal{Code: core.CodeAnswerLost, Outcome: core.MayHaveRun, Reason: reason}
 }
--- a/core/claims/call_test.go
+++ b/core/claims/call_test.go
@@ -32,7 +32,7 @@
 // and runs the next one. The entry resumes after its deadline.
 func TestClaimWonAfterDeadline(t *testing.T) {
 	c := picked()
-	assertRefusal(t, c.Claimed(start.Add(time.Minute), won(c)), core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefusal(t, c.Claimed(start.Add(time.Minute), won(c)), core.CodeAnswerLost, core.MayHaveRun)
 }
 
 // TestOwnAttemptFoundSealed guards against a wrong "not run". An entry loses the
@@ -45,7 +45,7 @@
 	assert.Equal(t, c.Ended(start, EndLost, nil, false).Kind, StepAsk)
 	assert.Equal(t, c.Asked(start, AttemptStatus{Reached: true, State: dedupe.Sealed}).Kind, StepPick)
 	no := core.Refuse(core.CodeNoHost, "no host")
-	assertRefusal(t, c.NoHost(no), core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefusal(t, c.NoHost(no), core.CodeAnswerLost, core.MayHaveRun)
 }
 
 // TestSealedHandOverFollowsTheNextAttempt checks that an entry whose attempt was
@@ -79,7 +79,7 @@
 	assert.Equal(t, c.Asked(start, AttemptStatus{Reached: true, State: dedupe.Running}).Kind, StepAttach)
 	full := core.Refuse(core.CodeQueueFull, "full")
 	assert.Equal(t, c.Ended(start, EndRefused, full, false).Kind, StepPick)
-	assertRefusal(t, c.NoHost(full), core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefusal(t, c.NoHost(full), core.CodeAnswerLost, core.MayHaveRun)
 }
 
 func TestRefusedHandOverIsNotRun(t *testing.T) {
@@ -98,7 +98,7 @@
 		s = c.Asked(s.At, AttemptStatus{})
 	}
 	assert.Equal(t, asks, int(time.Minute/askInterval))
-	assertRefusal(t, s, core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefusal(t, s, core.CodeAnswerLost, core.MayHaveRun)
 }
 
 func TestAttemptsAreBounded(t *testing.T) {
--- a/core/claims/faults_test.go
+++ b/core/claims/faults_test.go
@@ -113,7 +113,7 @@
 	w.runUntil(start.Add(12 * time.Second))
 	for want, s := range sends {
 		assert.Equal(t, received(s), strings.TrimSuffix(want, ", too"))
-		if s.refusal != nil && s.refusal.Code == core.CodeClaimUnknown {
+		if s.refusal != nil && s.refusal.Code == core.CodeClaimUnavailable {
 			assert.Assert(t, s.refusal.RetryAt.After(start))
 		}
 	}
--- a/core/claims/journal.go
+++ b/core/claims/journal.go
@@ -168,8 +168,8 @@
 	return out
 }
 
-// Next returns the time of the next call of Tick; zero if none is needed.
-func (j *Journal) Next() time.Time {
+// NextTick returns the time of the next call of Tick; zero if none is needed.
+func (j *Journal) NextTick() time.Time {
 	var next time.Time
 	add := func(t time.Time) {
 		if next.IsZero() || t.Before(next) {
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -206,7 +206,7 @@
 			answered(a)
 		}
 	}
-	if next := e.journal.Next(); !next.IsZero() && (e.tick.IsZero() || next.Before(e.tick)) {
+	if next := e.journal.NextTick(); !next.IsZero() && (e.tick.IsZero() || next.Before(e.tick)) {
 		e.tick = next
 		w.at(&e.node, max(0, next.Sub(w.now)), func() {
 			e.tick = time.Time{}
--- a/core/claims/rate_test.go
+++ b/core/claims/rate_test.go
@@ -34,7 +34,7 @@
 		for i, d := range all {
 			if !now.Before(due[i]) {
 				d.tick(now)
-				due[i] = d.j.Next()
+				due[i] = d.j.NextTick()
 			}
 			for token := range d.answers {
 				maxWait = max(maxWait, now.Sub(asked[token]))
--- a/core/claims/schedule_test.go
+++ b/core/claims/schedule_test.go
@@ -145,7 +145,7 @@
 		}
 	}
 	code := s.refusal.Code
-	if s.runsAtRefusal > 0 && code != core.CodeClaimUnknown && code != core.CodeKeyReused {
+	if s.runsAtRefusal > 0 && code != core.CodeClaimUnavailable && code != core.CodeKeyReused {
 		w.failf("send %s received %q although its key had run", s.name, s.refusal)
 	}
 }
--- a/core/dedupe/table.go
+++ b/core/dedupe/table.go
@@ -71,7 +71,7 @@
 	case c.Attempt > r.attempt:
 		// The previous attempt ran on this agent. This one can have been claimed only
 		// if clocks disagree on when the key expired.
-		return refuse(core.CodeRanElsewhere, core.MayHaveRun, "an earlier attempt ran here")
+		return refuse(core.CodeAnswerLost, core.MayHaveRun, "an earlier attempt ran here")
 	default:
 		return verdictOf(r)
 	}
@@ -83,7 +83,7 @@
 	t.expire(now)
 	r := t.records[c.ID]
 	if c.Incarnation != t.Incarnation || r == nil || r.attempt != c.Attempt {
-		return refuse(core.CodeRanElsewhere, core.MayHaveRun, "the agent doesn't know the attempt")
+		return refuse(core.CodeAnswerLost, core.MayHaveRun, "the agent doesn't know the attempt")
 	}
 	if r.fingerprint != c.Fingerprint && r.state != Sealed {
 		return refuse(core.CodeKeyReused, core.NotRun, "the key was used with another request")
@@ -133,11 +133,11 @@
 	}
 	// A record of this claim may have been dropped, so the attempt may have run.
 	if !c.Expires.After(t.maxDropped) {
-		return refuse(core.CodeRanElsewhere, core.MayHaveRun, "the agent no longer remembers keys as old as this one")
+		return refuse(core.CodeAnswerLost, core.MayHaveRun, "the agent no longer remembers keys as old as this one")
 	}
 	if len(t.records) >= t.MaxRecords {
 		v := refuse(core.CodeOverload, core.NotRun, "the agent's table of keyed requests is full")
-		v.Refusal.RetryAt = t.Next()
+		v.Refusal.RetryAt = t.NextExpiry()
 		return v
 	}
 	r := &record{}
@@ -187,8 +187,8 @@
 // Bytes returns the total size of the kept answers.
 func (t *Table) Bytes() core.Bytes { return core.Bytes(t.bytes) }
 
-// Next returns when the next record expires; zero if there is none.
-func (t *Table) Next() time.Time {
+// NextExpiry returns when the next record expires; zero if there is none.
+func (t *Table) NextExpiry() time.Time {
 	if len(t.expiry) == 0 {
 		return time.Time{}
 	}
@@ -227,7 +227,7 @@
 
 func verdictOf(r *record) Verdict {
 	if r.visibleState() == Lost {
-		return refuse(core.CodeRanElsewhere, core.MayHaveRun, "the answer is no longer kept")
+		return refuse(core.CodeAnswerLost, core.MayHaveRun, "the answer is no longer kept")
 	}
 	return Verdict{State: r.state}
 }
--- a/core/dedupe/table_test.go
+++ b/core/dedupe/table_test.go
@@ -101,7 +101,7 @@
 	c.Incarnation = 4
 	assertRefused(t, table.Begin(start, c), core.CodeSealed, core.NotRun)
 	assert.Equal(t, table.Seal(start, c), Lost)
-	assertRefused(t, table.Attach(start, c), core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefused(t, table.Attach(start, c), core.CodeAnswerLost, core.MayHaveRun)
 }
 
 func TestOtherBody(t *testing.T) {
@@ -129,7 +129,7 @@
 }
 
 func TestAttachNeverStarts(t *testing.T) {
-	assertRefused(t, newTable().Attach(start, call("k", 1)), core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefused(t, newTable().Attach(start, call("k", 1)), core.CodeAnswerLost, core.MayHaveRun)
 }
 
 // TestEvictedAnswersAreLostNotUnseen checks that a repeated request whose answer
@@ -140,7 +140,7 @@
 	run(t, table, call("b", 1), string(make([]byte, 60)), End{})
 	assert.Equal(t, table.Bytes(), core.Bytes(60))
 	assert.Equal(t, table.Seal(start, call("a", 1)), Lost)
-	assertRefused(t, table.Begin(start, call("a", 1)), core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefused(t, table.Begin(start, call("a", 1)), core.CodeAnswerLost, core.MayHaveRun)
 	assert.Equal(t, table.Seal(start, call("b", 1)), Done)
 }
 
@@ -181,7 +181,7 @@
 	c := call("k", 1)
 	c.Deadline = later.Add(time.Hour)
 	assert.Equal(t, table.Seal(later, c), Lost)
-	assertRefused(t, table.Begin(later, c), core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefused(t, table.Begin(later, c), core.CodeAnswerLost, core.MayHaveRun)
 	c.Expires = later.Add(2 * time.Hour)
 	assert.Assert(t, table.Begin(later, c).Start)
 }
@@ -227,7 +227,7 @@
 				assert.Equal(t, got, want)
 				kept++
 			} else if has {
-				assertRefused(t, v, core.CodeRanElsewhere, core.MayHaveRun)
+				assertRefused(t, v, core.CodeAnswerLost, core.MayHaveRun)
 				lost++
 			}
 		}
--- a/core/manage.go
+++ b/core/manage.go
@@ -121,9 +121,9 @@
 	// Fetch makes a host's agent load an adapter of a model that the host holds. It
 	// returns once the adapter is loaded.
 	Fetch(ctx context.Context, host HostName, model ModelName, adapter string) error
-	// Used records a request for an adapter that a host has, so that the host's
+	// RecordUse records a request for an adapter that a host has, so that the host's
 	// agent can tell which adapters are idle.
-	Used(host HostName, model ModelName, adapter string)
+	RecordUse(host HostName, model ModelName, adapter string)
 }
 
 // Managed is an upstream on a managed platform, as its agent controls it. An
--- a/core/refuse.go
+++ b/core/refuse.go
@@ -11,36 +11,36 @@
 // Codes of refusals and failures. docs/ERRORS.md lists them; TestErrorsPage
 // checks that the page matches codeTable.
 const (
-	CodeBadRequest     Code = "bad-request"
-	CodeBadKey         Code = "bad-credentials"
-	CodeForbidden      Code = "not-permitted"
-	CodeUnknownModel   Code = "unknown-model"
-	CodeUnknownPath    Code = "unknown-path"
-	CodeMethod         Code = "method-not-allowed"
-	CodeTooLarge       Code = "body-too-large"
-	CodeKeyReused      Code = "key-reused"
-	CodeDeadline       Code = "deadline-passed"
-	CodeWaitTooLong    Code = "wait-too-long"
-	CodeRateLimit      Code = "rate-limit"
-	CodeConcurrency    Code = "concurrency-limit"
-	CodeQueueFull      Code = "queue-full"
-	CodeOverload       Code = "overload"
-	CodeNoHost         Code = "no-host"
-	CodeNoMemory       Code = "no-memory"
-	CodeNotGranted     Code = "not-granted"
-	CodeLoadFailed     Code = "load-failed"
-	CodeLeaving        Code = "leaving"
-	CodeQuarantined    Code = "quarantined"
-	CodeClaimUnknown   Code = "claim-unavailable"
-	CodeRanElsewhere   Code = "answer-lost"
-	CodeSealed         Code = "attempt-sealed"
-	CodeUnreached      Code = "host-unreached"
-	CodeUpstreamFailed Code = "upstream-failed"
-	CodeUpstreamLost   Code = "upstream-lost"
-	CodeUpstreamLate   Code = "upstream-late"
-	CodeCancelled      Code = "cancelled"
-	CodeNotReady       Code = "not-ready"
-	CodeInternal       Code = "internal"
+	CodeBadRequest       Code = "bad-request"
+	CodeBadKey           Code = "bad-credentials"
+	CodeForbidden        Code = "not-permitted"
+	CodeUnknownModel     Code = "unknown-model"
+	CodeUnknownPath      Code = "unknown-path"
+	CodeMethod           Code = "method-not-allowed"
+	CodeTooLarge         Code = "body-too-large"
+	CodeKeyReused        Code = "key-reused"
+	CodeDeadline         Code = "deadline-passed"
+	CodeWaitTooLong      Code = "wait-too-long"
+	CodeRateLimit        Code = "rate-limit"
+	CodeConcurrency      Code = "concurrency-limit"
+	CodeQueueFull        Code = "queue-full"
+	CodeOverload         Code = "overload"
+	CodeNoHost           Code = "no-host"
+	CodeNoMemory         Code = "no-memory"
+	CodeNotGranted       Code = "not-granted"
+	CodeLoadFailed       Code = "load-failed"
+	CodeLeaving          Code = "leaving"
+	CodeQuarantined      Code = "quarantined"
+	CodeClaimUnavailable Code = "claim-unavailable"
+	CodeAnswerLost       Code = "answer-lost"
+	CodeSealed           Code = "attempt-sealed"
+	CodeUnreached        Code = "host-unreached"
+	CodeUpstreamFailed   Code = "upstream-failed"
+	CodeUpstreamLost     Code = "upstream-lost"
+	CodeUpstreamLate     Code = "upstream-late"
+	CodeCancelled        Code = "cancelled"
+	CodeNotReady         Code = "not-ready"
+	CodeInternal         Code = "internal"
 )
 
 // CodeInfo describes a code to callers and operators.
@@ -78,8 +78,8 @@
 	{CodeLoadFailed, 503, "overloaded_error", true, "The model could not be loaded."},
 	{CodeLeaving, 503, "overloaded_error", true, "The host is leaving and takes no new work."},
 	{CodeQuarantined, 422, "invalid_request_error", false, "The same request has crashed upstreams and is refused."},
-	{CodeClaimUnknown, 503, "overloaded_error", true, "The platform cannot record the idempotency key at present."},
-	{CodeRanElsewhere, 502, "api_error", false, "The request with this key ran or may have run and its answer is lost."},
+	{CodeClaimUnavailable, 503, "overloaded_error", true, "The platform cannot record the idempotency key at present."},
+	{CodeAnswerLost, 502, "api_error", false, "The request with this key ran or may have run and its answer is lost."},
 	{CodeSealed, 503, "overloaded_error", true, "This attempt was given up before it ran; another may have followed it."},
 	{CodeUnreached, 503, "overloaded_error", true, "No connection to a host that may serve the target could be made."},
 	{CodeUpstreamFailed, 502, "api_error", false, "The upstream answered with a failure."},
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -145,7 +145,7 @@
 	case core.CodeNoHost, core.CodeNoMemory, core.CodeNotGranted, core.CodeLoadFailed,
 		core.CodeLeaving, core.CodeSealed, core.CodeQueueFull, core.CodeOverload, core.CodeWaitTooLong,
 		core.CodeConcurrency, core.CodeUnreached, core.CodeUpstreamFailed, core.CodeUpstreamLost,
-		core.CodeClaimUnknown, core.CodeNotReady:
+		core.CodeClaimUnavailable, core.CodeNotReady:
 		return true
 	default:
 		return false
--- a/io/agent/serve.go
+++ b/io/agent/serve.go
@@ -55,7 +55,7 @@
 	var lost *relay.LostError
 	if errors.As(err, &lost) {
 		_ = relay.Finish(out, relay.EndOf(&core.Refusal{
-			Code: core.CodeRanElsewhere, Outcome: core.MayHaveRun, Reason: lost.Error(), Host: a.Host,
+			Code: core.CodeAnswerLost, Outcome: core.MayHaveRun, Reason: lost.Error(), Host: a.Host,
 		}))
 	}
 }
--- a/io/agent/take.go
+++ b/io/agent/take.go
@@ -84,7 +84,7 @@
 func (a *Agent) found(call dedupe.Call) (*run, *core.Refusal) {
 	r := a.runs[call.ID]
 	if r == nil || r.call.Attempt != call.Attempt {
-		return nil, &core.Refusal{Code: core.CodeRanElsewhere, Outcome: core.MayHaveRun, Reason: "the answer is no longer held"}
+		return nil, &core.Refusal{Code: core.CodeAnswerLost, Outcome: core.MayHaveRun, Reason: "the answer is no longer held"}
 	}
 	r.readers++
 	return r, nil
--- a/io/deploy/adapters.go
+++ b/io/deploy/adapters.go
@@ -69,8 +69,8 @@
 	return e, held, ok
 }
 
-// Used implements core.AdapterLoader.
-func (l *links) Used(host core.HostName, model core.ModelName, adapter string) {
+// RecordUse implements core.AdapterLoader.
+func (l *links) RecordUse(host core.HostName, model core.ModelName, adapter string) {
 	h, _, _ := l.host(host)
 	if !l.entry.feed.Direct() {
 		l.entry.feed.Used(h.Address, string(model)+"/"+adapter)
--- a/io/entry/journal.go
+++ b/io/entry/journal.go
@@ -122,7 +122,7 @@
 	defer timer.Stop()
 	for {
 		wait := time.Hour
-		if next := b.state.Next(); !next.IsZero() {
+		if next := b.state.NextTick(); !next.IsZero() {
 			wait = max(0, next.Sub(s.Clock.Now()))
 		}
 		timer.Reset(wait)
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -46,7 +46,7 @@
 	return f.err
 }
 
-func (f *fetched) Used(core.HostName, core.ModelName, string) {}
+func (f *fetched) RecordUse(core.HostName, core.ModelName, string) {}
 
 // rig is an entry before upstream stand-ins.
 type rig struct {
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -62,7 +62,7 @@
 func (c *call) hasAdapter(ctx context.Context, t *target, fetch bool) bool {
 	if !fetch {
 		if c.query.Adapter != "" {
-			c.proxy.Adapters.Used(t.id, c.query.Model, c.query.Adapter)
+			c.proxy.Adapters.RecordUse(t.id, c.query.Model, c.query.Adapter)
 		}
 		return true
 	}
