--- a/core/claims/call.go
+++ b/core/claims/call.go
@@ -36,9 +36,9 @@
 
 	// claim is the current attempt.
 	claim Claim
-	// mine is set if this call won the current claim and has not queried the agent
+	// justWon is set if this call won the current claim and has not queried the agent
 	// about it since, so that the agent's answer can't be an old one.
-	mine     bool
+	justWon  bool
 	attempts int
 	// metOther is set if this call has come across another claimant's claim since
 	// it last won one. That claimant may go on to a later attempt, so this call
@@ -115,9 +115,9 @@
 	return Step{Kind: StepPick}
 }
 
-// Picked passes the host chosen to run the next attempt.
+// Picked continues with the host chosen to run the next attempt.
 func (c *Call) Picked(host core.HostName, incarnation core.Incarnation) Step {
-	c.mine = false
+	c.justWon = false
 	c.claim = Claim{
 		ID: c.ID, Fingerprint: c.Fingerprint, Claimant: c.Claimant, Expires: c.Expires,
 		Attempt: c.claim.Attempt, Host: host, Incarnation: incarnation,
@@ -128,7 +128,7 @@
 // NoHost ends the call because no host can be chosen, for the reason in r.
 func (c *Call) NoHost(r *core.Refusal) Step { return c.refuse(r) }
 
-// Claimed passes the journal's answer.
+// Claimed handles the journal's answer.
 func (c *Call) Claimed(now time.Time, a Answer) Step {
 	switch {
 	case a.Result == Unsure:
@@ -136,7 +136,7 @@
 		// Any call that comes across the claim seals the attempt.
 		return c.refuse(core.RefuseUntil(core.CodeClaimUnavailable, "the idempotency key could not be recorded", a.RetryAt))
 	case a.Result == Won && now.Before(c.Deadline):
-		c.claim, c.mine, c.metOther = a.Holder, true, false
+		c.claim, c.justWon, c.metOther = a.Holder, true, false
 		return Step{Kind: StepHandOver, Claim: c.claim}
 	case a.Result == Won:
 		// The journal's answer may have taken so long that others have sealed this
@@ -146,11 +146,11 @@
 	case a.Holder.Fingerprint != c.Fingerprint:
 		return Step{Kind: StepRefuse, Refusal: core.Refuse(core.CodeKeyReused, "the idempotency key was used with another request")}
 	}
-	c.claim, c.mine, c.metOther = a.Holder, false, true
+	c.claim, c.justWon, c.metOther = a.Holder, false, true
 	return Step{Kind: StepAsk, Claim: c.claim, At: now}
 }
 
-// Ended passes the result of a hand-over or attachment. The refusal r is used
+// Ended handles the result of a hand-over or attachment. The refusal r is used
 // for EndRefused only; again is set if the request may be retried on another
 // host.
 func (c *Call) Ended(now time.Time, e Ending, r *core.Refusal, again bool) Step {
@@ -159,7 +159,7 @@
 		return Step{Kind: StepDone}
 	case e == EndLost:
 		return Step{Kind: StepAsk, Claim: c.claim, At: now}
-	case e == EndUnsent && c.mine:
+	case e == EndUnsent && c.justWon:
 		return c.next(now, nil)
 	case e == EndUnsent:
 		return c.askLater(now)
@@ -170,13 +170,13 @@
 		// running, so this call continues in order to find that claim.
 		c.metOther = true
 		return c.next(now, nil)
-	case again || !c.mine:
+	case again || !c.justWon:
 		return c.next(now, r)
 	}
 	return c.refuse(r)
 }
 
-// Asked passes the state of the current attempt.
+// Asked handles the agent's answer about the current attempt.
 func (c *Call) Asked(now time.Time, s AttemptStatus) Step {
 	switch {
 	case s.Reached && s.State == dedupe.Sealed:
@@ -188,7 +188,7 @@
 	case s.Reached:
 		// A refusal read by attaching may be out of date: the agent kept it, and
 		// other calls may have started the next attempt since.
-		c.mine, c.metOther = false, true
+		c.justWon, c.metOther = false, true
 		return Step{Kind: StepAttach, Claim: c.claim}
 	case s.Gone:
 		return c.refuse(mayHaveRun("the host that was to run the request with this key is gone"))
--- a/core/claims/store.go
+++ b/core/claims/store.go
@@ -79,7 +79,7 @@
 
 func (j *Journal) slotOf(number uint64) int { return int(number % uint64(j.Slots)) }
 
-// ReadDone passes the result of a read that Effects requested.
+// ReadDone handles the result of a read that Effects requested.
 func (j *Journal) ReadDone(now time.Time, r Reply) Effects {
 	var out Effects
 	i, ok := j.slotByName[r.Name]
@@ -200,7 +200,7 @@
 	j.waiting = j.waiting[:0]
 }
 
-// WriteDone passes the result of the write that Effects requested.
+// WriteDone handles the result of the write that Effects requested.
 //
 // A conflict or an unknown result is resolved by reading the slot back. The
 // claims return to the front of the queue. If the slot holds a claimant's own
--- a/core/manage.go
+++ b/core/manage.go
@@ -121,8 +121,8 @@
 	// Fetch makes a host's agent load an adapter of a model that the host holds. It
 	// returns once the adapter is loaded.
 	Fetch(ctx context.Context, host HostName, model ModelName, adapter string) error
-	// RecordUse records a request for an adapter that a host has, so that the host's
-	// agent can tell which adapters are idle.
+	// RecordUse records a request for an adapter that a host has, so that the
+	// host's agent can tell which adapters are idle.
 	RecordUse(host HostName, model ModelName, adapter string)
 }
 
