--- a/io/proxy/log.go
+++ b/io/proxy/log.go
@@ -52,7 +52,7 @@
 		pairs = append(pairs, "host", c.chosen, "report-age", c.reportAge.Round(time.Millisecond), "cost", int(c.cost),
 			"foreseen", c.expectedWait.Round(time.Millisecond), "event-id", c.lastEventID)
 	}
-	if c.signals.limit.Named {
+	if c.signals.limit.Limited {
 		pairs = append(pairs, "limit", c.signals.limit.Rate)
 	}
 	if c.signals.leaving {
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -46,7 +46,7 @@
 	return f.err
 }
 
-func (f *adapterLoader) Used(core.HostName, core.ModelName, string) {}
+func (f *adapterLoader) RecordUse(core.HostName, core.ModelName, string) {}
 
 // rig is a proxy in front of fake upstreams.
 type rig struct {
--- a/io/proxy/refund_test.go
+++ b/io/proxy/refund_test.go
@@ -16,7 +16,7 @@
 
 func (*refundCounter) Take(context.Context, core.OwnerName, float64) *core.Refusal { return nil }
 
-func (p *refundCounter) Put(_ core.OwnerName, units float64) { p.units += units }
+func (p *refundCounter) Refund(_ core.OwnerName, units float64) { p.units += units }
 
 // Guards against returning the units of a request that may have run and waits for
 // another host.
--- a/io/proxy/reserve.go
+++ b/io/proxy/reserve.go
@@ -29,7 +29,7 @@
 // choice of the host is undone then.
 func (c *call) reserve(ctx context.Context, t *target) bool {
 	p := c.proxy
-	if !t.limit.Named || p.Pacer == nil {
+	if !t.limit.Limited || p.Pacer == nil {
 		return true
 	}
 	began := p.Clock.Now()
--- a/io/proxy/signal.go
+++ b/io/proxy/signal.go
@@ -32,7 +32,7 @@
 	s.leavingFor, s.leaving = t.host.LeavingFor(now)
 	_, s.backoff = t.host.BackingOff(now)
 	c.signals = s
-	if s.limit.Named {
+	if s.limit.Limited {
 		p.Meter.SentDespite(meter.SignalLimited)
 	}
 	if s.leaving {
@@ -70,7 +70,7 @@
 		return // the answer belongs to another request
 	}
 	p, life := c.proxy, fleet.Life{ID: t.id, Born: t.born}
-	for _, name := range p.newFields(head.Unknown) {
+	for _, name := range p.newFields(head.UnknownFields) {
 		events.Log(events.UpstreamFieldUnknown, "field", name, "host", t.id, "address", t.address, "request", c.ask.ID)
 	}
 	var limited, leaving, backoff bool
@@ -81,14 +81,14 @@
 		backoff = v.NoteBackoff(life, now, head.RetryAt)
 		leaving = head.Leaving && v.NoteLeaving(life, now)
 	})
-	if p.OnRateLimit != nil && (limited || head.Limit.Named) {
+	if p.OnRateLimit != nil && (limited || head.Limit.Limited) {
 		p.OnRateLimit(life, limit)
 	}
 	if p.OnLeaving != nil && leaving {
 		p.OnLeaving(life)
 	}
 	if limited {
-		events.Log(events.UpstreamLimited, "host", t.id, "address", t.address, "limited", limit.Named, "rate", limit.Rate, "request", c.ask.ID)
+		events.Log(events.UpstreamLimited, "host", t.id, "address", t.address, "limited", limit.Limited, "rate", limit.Rate, "request", c.ask.ID)
 	}
 	if backoff {
 		left := head.RetryAt.Sub(p.Clock.Now()).Round(time.Millisecond)
