--- a/core/fleet/export_test.go
+++ b/core/fleet/export_test.go
@@ -1,4 +1,4 @@
 package fleet
 
-// Remembered returns the number of lives whose signals a View holds.
-func Remembered(v *View) int { return len(v.signals) }
+// RetainedSignals returns the number of incarnations whose signals a View keeps.
+func RetainedSignals(v *View) int { return len(v.signals) }
--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -7,75 +7,75 @@
 )
 
 const (
-	// LimitAge is how long a rate limit counts after it was last named.
+	// LimitAge is how long a rate limit applies after the host last reported it.
 	LimitAge = time.Minute
-	// leastRate is the requests a second that a host is sent whatever it names: only its
-	// answers tell when a limit has ended.
-	leastRate = 0.1
-	// nextAge is how long what is known of the next free reservation counts: others
-	// release theirs, and the part of the rate that is counted here grows.
-	nextAge = 500 * time.Millisecond
+	// minRate is the lowest rate, in requests a second, at which a host is still sent
+	// requests, since only its answers show when a limit has ended.
+	minRate = 0.1
+	// reservationTTL is how long the time of the next free reservation stays valid: other
+	// entries release theirs, and the keeper's share of the rate can grow.
+	reservationTTL = 500 * time.Millisecond
 )
 
-// rateLimit is the rate limit that one life of a host names.
+// rateLimit is the rate limit that one incarnation of a host reports.
 type rateLimit struct {
 	limit core.RateLimit
-	// namedAt is when the host last named a limit, endedAt when it surely named none for
-	// the last time.
-	namedAt, endedAt time.Time
-	// next is when the host takes this process's next request, as far as is known, and
-	// nextAt when that was known.
-	next, nextAt time.Time
+	// reportedAt is when the host last reported a limit, and liftedAt the latest time at
+	// which it is certain to have had none.
+	reportedAt, liftedAt time.Time
+	// nextFree is when the host takes this process's next request, as far as is known, and
+	// nextFreeAsOf is when that was learned.
+	nextFree, nextFreeAsOf time.Time
 }
 
-// Limit returns the rate that the host takes from all entries together.
+// Limit returns the rate limit of the host, which is shared by all entries.
 func (r *rateLimit) Limit(now time.Time) core.RateLimit {
-	if now.Sub(r.namedAt) >= LimitAge {
+	if now.Sub(r.reportedAt) >= LimitAge {
 		return core.RateLimit{}
 	}
 	return r.limit
 }
 
-// noteLimit takes in what NoteLimit does.
+// noteLimit implements NoteLimit.
 func (r *rateLimit) noteLimit(sent, now time.Time, limit core.RateLimit) bool {
 	switch {
-	case limit.Named && now.Before(r.endedAt), !limit.Named && !sent.After(r.namedAt):
+	case limit.Named && now.Before(r.liftedAt), !limit.Named && !sent.After(r.reportedAt):
 		return false
 	case limit.Named:
-		limit.Rate = max(limit.Rate, leastRate)
-		if now.After(r.namedAt) {
-			r.namedAt = now
+		limit.Rate = max(limit.Rate, minRate)
+		if now.After(r.reportedAt) {
+			r.reportedAt = now
 		}
 	default:
-		r.endedAt, r.next = sent, time.Time{}
+		r.liftedAt, r.nextFree = sent, time.Time{}
 	}
 	changed := limit != r.limit
 	r.limit = limit
 	return changed
 }
 
-// NoteReservation takes in when a request may be sent to the host, and whether that
-// reservation was made for one; otherwise it is the next that is free.
+// NoteReservation records when a request may be sent to the host. If made is set, that
+// reservation has been taken for a request; otherwise it is the next free one.
 func (r *rateLimit) NoteReservation(now, at time.Time, made bool) {
 	if made && at.After(now) && r.limit.Named {
 		at = at.Add(time.Duration(float64(time.Second) / r.limit.Rate))
 	}
-	r.next, r.nextAt = at, now
+	r.nextFree, r.nextFreeAsOf = at, now
 }
 
-// untilNext returns how long a request waits for the next free reservation.
-func (r *rateLimit) untilNext(now time.Time) time.Duration {
-	if !r.Limit(now).Named || now.Sub(r.nextAt) >= nextAge {
+// reservationDelay returns how long a request waits for the next free reservation.
+func (r *rateLimit) reservationDelay(now time.Time) time.Duration {
+	if !r.Limit(now).Named || now.Sub(r.nextFreeAsOf) >= reservationTTL {
 		return 0
 	}
-	return max(0, r.next.Sub(now))
+	return max(0, r.nextFree.Sub(now))
 }
 
-// Limit returns the rate that a life of a host takes from all entries together, whether the
-// registry lists it or not.
-func (v *View) Limit(life Life, now time.Time) core.RateLimit { return v.signalsOf(life).Limit(now) }
+// Limit returns the rate limit of an incarnation of a host, which is shared by all entries,
+// whether or not the registry lists that incarnation.
+func (v *View) Limit(inc Life, now time.Time) core.RateLimit { return v.signalsOf(inc).Limit(now) }
 
-// Limited returns the number of hosts that name a rate limit.
+// Limited returns the number of hosts that have a rate limit.
 func (v *View) Limited(now time.Time) (n int) {
 	for _, h := range v.hosts {
 		if h.Limit(now).Named {
@@ -85,9 +85,9 @@
 	return n
 }
 
-// NoteLimit takes in the limit that a life of a host names in an answer to a request that
-// was sent at a time, and tells whether it is another than before. Answers overtake each
-// other: one to a request that was sent before the host last named a limit does not end it.
-func (v *View) NoteLimit(life Life, sent, now time.Time, limit core.RateLimit) bool {
-	return v.signalsOf(life).noteLimit(sent, now, limit)
+// NoteLimit records the limit in a host's answer to a request that was sent at the given
+// time, and reports whether the limit has changed. Answers may arrive out of order: an
+// answer without a limit does not lift one that was reported after its request was sent.
+func (v *View) NoteLimit(inc Life, sent, now time.Time, limit core.RateLimit) bool {
+	return v.signalsOf(inc).noteLimit(sent, now, limit)
 }
--- a/core/fleet/limit_test.go
+++ b/core/fleet/limit_test.go
@@ -15,23 +15,25 @@
 	t0 := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 	one := core.RateLimit{Named: true, Rate: 1}
-	life := fleet.Life{ID: "i-1"}
+	inc := fleet.Life{ID: "i-1"}
 	var v fleet.View
 	v.Apply(fleet.Entry{ID: "i-1"})
 	h := v.Host("i-1")
-	assert.Assert(t, !v.NoteLimit(life, at(0), at(10), core.RateLimit{}), "nothing has changed")
-	assert.Assert(t, v.NoteLimit(life, at(20), at(30), one))
+	assert.Assert(t, !v.NoteLimit(inc, at(0), at(10), core.RateLimit{}), "no change")
+	assert.Assert(t, v.NoteLimit(inc, at(20), at(30), one))
 	assert.Equal(t, h.Limit(at(50)), one)
-	// Guards against a limit that an answer lifts which the one that named it overtook.
-	assert.Assert(t, !v.NoteLimit(life, at(25), at(40), core.RateLimit{}))
+	// Guards against an answer without a limit that lifts one reported after its request
+	// was sent.
+	assert.Assert(t, !v.NoteLimit(inc, at(25), at(40), core.RateLimit{}))
 	assert.Equal(t, h.Limit(at(50)), one)
-	assert.Assert(t, v.NoteLimit(life, at(35), at(50), core.RateLimit{}))
+	assert.Assert(t, v.NoteLimit(inc, at(35), at(50), core.RateLimit{}))
 	assert.Equal(t, h.Limit(at(50)), core.RateLimit{})
-	// Guards against a limit that a report brings back which was given before it ended.
-	assert.Assert(t, !v.NoteLimit(life, at(20), at(20), one))
+	// Guards against a report that restores a limit although it was taken before the limit
+	// ended.
+	assert.Assert(t, !v.NoteLimit(inc, at(20), at(20), one))
 	assert.Equal(t, h.Limit(at(50)), core.RateLimit{})
-	assert.Assert(t, v.NoteLimit(life, at(60), at(70), one))
-	assert.Equal(t, h.Limit(at(70).Add(fleet.LimitAge)), core.RateLimit{}, "an old one counts no more")
+	assert.Assert(t, v.NoteLimit(inc, at(60), at(70), one))
+	assert.Equal(t, h.Limit(at(70).Add(fleet.LimitAge)), core.RateLimit{}, "the limit has expired")
 }
 
 func TestLimitIsOfOneLife(t *testing.T) {
@@ -40,21 +42,22 @@
 	var v fleet.View
 	v.Apply(fleet.Entry{ID: "i-1", Born: 5, Usable: true})
 	v.NoteLimit(fleet.Life{ID: "i-2"}, t0, t0, one)
-	// Guards against a host that was born anew and is held to what it named before.
+	// Guards against a limit of an earlier incarnation that is applied to a restarted host.
 	v.NoteLimit(fleet.Life{ID: "i-1", Born: 4}, t0, t0, one)
 	assert.Equal(t, v.Limited(t0), 0)
 	v.NoteLimit(fleet.Life{ID: "i-1", Born: 5}, t0, t0, one)
 	assert.Equal(t, v.Host("i-1").Limit(t0), one)
 	v.Apply(fleet.Entry{ID: "i-1", Born: 6, Usable: true})
 	assert.Equal(t, v.Limited(t0), 0)
-	t.Run("of a life that is listed later", func(t *testing.T) {
+	t.Run("of an incarnation that is listed later", func(t *testing.T) {
 		v.NoteLimit(fleet.Life{ID: "i-3", Born: 1}, t0, t0, one)
 		v.Apply(fleet.Entry{ID: "i-3", Born: 1})
 		assert.Equal(t, v.Host("i-3").Limit(t0), one)
 	})
 }
 
-// Guards against requests that are refused for the next reservation as it was known long ago.
+// Guards against requests that are refused because of an outdated time of the next
+// reservation.
 func TestNextReservation(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	var v fleet.View
@@ -67,19 +70,19 @@
 	assert.Equal(t, wait(0), time.Duration(0))
 	h.NoteReservation(t0, t0.Add(10*time.Second), false)
 	assert.Equal(t, wait(100*time.Millisecond), 9900*time.Millisecond)
-	assert.Equal(t, wait(600*time.Millisecond), time.Duration(0), "it is asked for again")
+	assert.Equal(t, wait(600*time.Millisecond), time.Duration(0), "the known time has expired")
 	h.NoteReservation(t0, t0.Add(100*time.Millisecond), true)
-	assert.Equal(t, wait(0), 600*time.Millisecond, "the one after that which was made")
+	assert.Equal(t, wait(0), 600*time.Millisecond, "the reservation after the one that was made")
 }
 
-// Guards against a host that is sent more than the rate that it names since its entry lapsed
-// with the store and came back.
+// Guards against a rate limit that is forgotten when the host's entry lapses during an
+// outage of the store and comes back.
 func TestLimitOutlastsEntry(t *testing.T) {
 	one := core.RateLimit{Named: true, Rate: 1}
-	life := fleet.Life{ID: "i-1"}
+	inc := fleet.Life{ID: "i-1"}
 	v := view(entry("i-1", "m"))
 	v.Remove(t0, "i-1")
-	v.NoteLimit(life, t0, t0, one) // the answer to a request that was in progress
+	v.NoteLimit(inc, t0, t0, one) // the answer to a request that was in progress
 	v.Apply(entry("i-1", "m"))
 	assert.Equal(t, v.Host("i-1").Limit(after(time.Second)), one)
 	t.Run("also where a large fleet's entries lapse at once", func(t *testing.T) {
@@ -98,7 +101,7 @@
 		for i := range 5000 {
 			v.NoteLimit(fleet.Life{ID: "i-9", Born: int64(i)}, t0, t0, one)
 		}
-		assert.Assert(t, fleet.Remembered(v) < 2000, fleet.Remembered(v))
-		assert.Equal(t, v.Host("i-1").Limit(after(time.Second)), one, "one that is listed")
+		assert.Assert(t, fleet.RetainedSignals(v) < 2000, fleet.RetainedSignals(v))
+		assert.Equal(t, v.Host("i-1").Limit(after(time.Second)), one, "the host is listed")
 	})
 }
--- a/core/fleet/lives.go
+++ b/core/fleet/lives.go
@@ -8,68 +8,74 @@
 )
 
 const (
-	// endedTime is how long a life that ended is remembered: the registry lists it
-	// until its entry lapses, which takes a few of its heartbeats of 1.2 seconds, and
-	// a life that the registry still names after that is not over.
-	endedTime = 10 * time.Second
-	// mostEnded bounds the lives remembered. A host that restarts each second fills it.
-	mostEnded = 8
+	// endedTTL is how long an ended incarnation is remembered. The registry lists it until
+	// its entry lapses, which takes a few heartbeats of 1.2 seconds; if the registry still
+	// names it after that, it has not ended.
+	endedTTL = 10 * time.Second
+	// maxEnded bounds the number of ended incarnations. A host that restarts every second
+	// reaches it.
+	maxEnded = 8
 )
 
-// Life names one life of a host: an ID, and where the host tells it the time of its
-// birth in milliseconds since the Unix epoch, since an ID may live twice.
+// Life identifies one incarnation of a host by its ID and, if the host reports it, its
+// start time in milliseconds since the Unix epoch, since an ID can be reused after a
+// restart.
 type Life struct {
 	ID   core.HostName
 	Born int64
 }
 
-// Lives tells, beside a host whose own word does not name its life, the life that
-// runs from those that the registry still lists. A host that was started anew has a
-// new name there, while the old entry lapses seconds later. An agent that takes the
-// old name for its host's has every order refused, and as long as entries do not
-// know better they send it requests and plan loads for it. The zero Lives is ready
-// for use; it is not safe for use by several goroutines.
+// Lives tracks the running incarnation of a host, from the entries that the registry lists,
+// for the agent beside a host whose own reports do not name it.
+//
+// A restarted host is listed under a new name at once, while its old entry lapses only
+// seconds later. If the agent kept the old name, the host would refuse all of its orders,
+// and entries would go on sending requests and planning loads for the old name.
+//
+// The zero Lives is ready for use. It is not safe for concurrent use.
 type Lives struct {
 	current Life
-	ended   []endedLife
+	ended   []endedIncarnation
 }
 
-type endedLife struct {
+type endedIncarnation struct {
 	Life
 	until time.Time
 }
 
-// Current returns the life that runs, empty while none is known.
+// Current returns the running incarnation's ID, empty if none is known.
 func (l *Lives) Current() core.HostName { return l.current.ID }
 
-// Said takes in the life that the host itself names.
-func (l *Lives) Said(life Life) { l.current = life }
+// Said records the incarnation that the host itself reports. It takes precedence over what
+// the registry lists.
+func (l *Lives) Said(inc Life) { l.current = inc }
 
-// Named takes in the life that the registry names, and tells whether it is news. A
-// life that has ended does not come back.
-func (l *Lives) Named(now time.Time, life Life) bool {
+// Named records the incarnation that the registry lists, and reports whether it is a new
+// one. An incarnation that has ended is ignored until endedTTL has passed.
+func (l *Lives) Named(now time.Time, inc Life) bool {
 	l.forget(now)
-	over := func(e endedLife) bool { return e.Life == life }
-	if life.ID == "" || life == l.current || slices.ContainsFunc(l.ended, over) {
+	over := func(e endedIncarnation) bool { return e.Life == inc }
+	if inc.ID == "" || inc == l.current || slices.ContainsFunc(l.ended, over) {
 		return false
 	}
-	l.current = life
+	l.current = inc
 	return true
 }
 
-// End notes that the present life has ended: the host was started anew, or said so
-// to what was meant for that life.
+// End records that the current incarnation has ended: the host was restarted, or it refused
+// a message that was addressed to that incarnation.
 func (l *Lives) End(now time.Time) {
 	if l.current.ID == "" {
 		return
 	}
-	l.ended = append(l.ended, endedLife{Life: l.current, until: now.Add(endedTime)})
-	l.ended = l.ended[max(0, len(l.ended)-mostEnded):]
+	l.ended = append(l.ended, endedIncarnation{Life: l.current, until: now.Add(endedTTL)})
+	l.ended = l.ended[max(0, len(l.ended)-maxEnded):]
 	l.current = Life{}
 }
 
-// Ended returns the IDs whose only life ended lately, oldest first. An ID whose
-// births are told may live again; its lives are told apart by them.
+// Ended returns the IDs of the recently ended incarnations that have no start time, oldest
+// first. An ID with start times may be running again, and its incarnations are told apart
+// by them.
 func (l *Lives) Ended(now time.Time) []core.HostName {
 	l.forget(now)
 	var out []core.HostName
@@ -82,5 +88,5 @@
 }
 
 func (l *Lives) forget(now time.Time) {
-	l.ended = slices.DeleteFunc(l.ended, func(e endedLife) bool { return !now.Before(e.until) })
+	l.ended = slices.DeleteFunc(l.ended, func(e endedIncarnation) bool { return !now.Before(e.until) })
 }
--- a/core/fleet/lives_test.go
+++ b/core/fleet/lives_test.go
@@ -10,19 +10,19 @@
 	"radishwell/core/fleet"
 )
 
-// A host is started anew under another name, which its own reports do not tell.
-// The registry lists the old entry for seconds more, and entries name now one,
-// now the other. Orders for the old life are refused, so loads that callers wait
-// for begin only when its entry has lapsed.
+// Guards against orders to an incarnation that has ended. A host restarts under another
+// name, which its own reports do not give. For some seconds the registry lists the old
+// entry too, and entries name either. Orders for the old incarnation are refused, so loads
+// that callers wait for would begin only after the old entry has lapsed.
 func TestLives(t *testing.T) {
-	t.Run("the last named runs", func(t *testing.T) {
+	t.Run("the last one named is current", func(t *testing.T) {
 		var l fleet.Lives
 		assert.Assert(t, l.Named(t0, fleet.Life{ID: "i-1"}))
 		assert.Assert(t, !l.Named(t0, fleet.Life{ID: "i-1"}))
 		assert.Assert(t, l.Named(t0, fleet.Life{ID: "i-2"}))
 		assert.Equal(t, l.Current(), core.HostName("i-2"))
 	})
-	t.Run("one that ended does not come back while its entry lapses", func(t *testing.T) {
+	t.Run("an ended one is not restored while its entry lapses", func(t *testing.T) {
 		var l fleet.Lives
 		l.Named(t0, fleet.Life{ID: "i-1"})
 		l.End(t0)
@@ -31,13 +31,13 @@
 		assert.DeepEqual(t, l.Ended(after(5*time.Second)), []core.HostName{"i-1"})
 		assert.Assert(t, l.Named(after(5*time.Second), fleet.Life{ID: "i-2"}))
 	})
-	t.Run("one that the registry names for long has not ended", func(t *testing.T) {
+	t.Run("one that the registry still names after endedTTL has not ended", func(t *testing.T) {
 		var l fleet.Lives
 		l.Named(t0, fleet.Life{ID: "i-1"})
 		l.End(t0)
 		assert.Assert(t, l.Named(after(11*time.Second), fleet.Life{ID: "i-1"}))
 	})
-	t.Run("an ID that is born again runs", func(t *testing.T) {
+	t.Run("a reused ID with a later start time is current", func(t *testing.T) {
 		var l fleet.Lives
 		l.Named(t0, fleet.Life{ID: "i-1", Born: 1})
 		l.End(t0)
@@ -45,19 +45,19 @@
 		assert.Equal(t, len(l.Ended(t0)), 0)
 		assert.Assert(t, l.Named(t0, fleet.Life{ID: "i-1", Born: 2}))
 	})
-	t.Run("the host's own word stands above all", func(t *testing.T) {
+	t.Run("the host's own report takes precedence", func(t *testing.T) {
 		var l fleet.Lives
 		l.Named(t0, fleet.Life{ID: "i-1"})
 		l.End(t0)
 		l.Said(fleet.Life{ID: "i-1"})
 		assert.Equal(t, l.Current(), core.HostName("i-1"))
 	})
-	t.Run("no life ends while none is known", func(t *testing.T) {
+	t.Run("End without a current incarnation has no effect", func(t *testing.T) {
 		var l fleet.Lives
 		l.End(t0)
 		assert.Equal(t, len(l.Ended(t0)), 0)
 	})
-	t.Run("those remembered are bounded", func(t *testing.T) {
+	t.Run("the number of ended ones is bounded", func(t *testing.T) {
 		var l fleet.Lives
 		for i := range 20 {
 			l.Named(t0, fleet.Life{ID: core.HostName(rune('a' + i))})
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -11,61 +11,61 @@
 	"radishwell/core"
 )
 
-// The weights below add up to the time, in milliseconds, after which a host
-// should give its first answer; only their ratios matter to the choice.
+// The weights below add up to the time, in milliseconds, until a host should give its first
+// answer. Only their ratios affect the choice.
 const (
-	// ReadRate is the prompt tokens that an engine is taken to read in a millisecond. A
-	// long prompt then keeps the next request waiting for so long that it outweighs the
-	// rest.
+	// ReadRate is the assumed prefill rate of an engine in prompt tokens per millisecond.
+	// The prefill of a long prompt delays the next request by so much that it outweighs the
+	// other weights.
 	ReadRate = 38.0
-	// runningCost is what each request in progress adds: a batch grows each step
-	// by under a hundredth.
+	// runningCost is added for each request in progress, which lengthens a decode step of
+	// the batch by less than one percent.
 	runningCost = 2.0
-	// firstReadTime is how long an engine is taken to read a prompt before one has
-	// been measured, and readWeight the weight of each new measure.
-	firstReadTime = 100.0
-	readWeight    = 0.05
-	// farCost keeps requests in the caller's data centre where hosts are equal.
-	farCost = 8.0
-	// adapterCost is what fetching an adapter takes, with the orders for it.
+	// initialPrefill is the assumed prefill time of a prompt before one has been measured,
+	// and prefillWeight the weight of each new sample in the moving average.
+	initialPrefill = 100.0
+	prefillWeight  = 0.05
+	// remoteCost keeps requests in the caller's data centre if hosts are otherwise equal.
+	remoteCost = 8.0
+	// adapterCost is the time to fetch an adapter, including the orders for it.
 	adapterCost = 40.0
-	// busyCost is the least that an order in progress keeps others waiting.
+	// busyCost is the minimum delay that an order in progress causes for other orders.
 	busyCost = 100.0
-	// failingCost is added for each recent failure. One failure sends requests to
-	// another host where there is one that is about as good.
-	failingCost = 150.0
-	// failingHalf is after how long a failure counts half.
-	failingHalf = 3 * time.Second
-	// spreadCost is the most that a host's place in the order of a prompt's own
-	// hosts adds. Entries that know nothing yet of each other's requests then
-	// send the same prompts to the same host.
-	spreadCost = 60.0
-	// fullCost is added for each request beyond what a host runs at once.
-	fullCost = 60.0
-	// unreachable is for how long a host that took no connection is used only if
-	// there is no other: an agent's word or the registry's comes about then.
-	unreachable = time.Second
-	// absentFor is for how long a host's refusal counts above what it reported
-	// to hold: reports are half a second old, the registry's a second or two.
-	absentFor = 1500 * time.Millisecond
-	// prefixAge is how long a shared part of a prompt is taken to be kept, and
-	// mostPrefixes how many are remembered of one host.
-	prefixAge    = time.Minute
-	mostPrefixes = 2048
+	// failureCost is added for each recent failure. One failure is enough to prefer another
+	// host that is about as good.
+	failureCost = 150.0
+	// failureHalfLife is the time after which a failure counts half.
+	failureHalfLife = 3 * time.Second
+	// affinityCost is the cost of the last place in a prompt's own order of hosts. With it,
+	// entries that do not know each other's requests yet send the same prompts to the same
+	// host.
+	affinityCost = 60.0
+	// overloadCost is added for each request beyond the number that a host runs at once.
+	overloadCost = 60.0
+	// connectBackoff is how long a host that accepted no connection is used only if there
+	// is no other. By then the agent or the registry reports its state.
+	connectBackoff = time.Second
+	// missingTTL is how long a host's refusal overrides the models that it reported to
+	// hold: reports are half a second old, registry entries one or two seconds.
+	missingTTL = 1500 * time.Millisecond
+	// prefixTTL is how long a host is assumed to cache a shared part of a prompt, and
+	// maxPrefixes is the number of parts remembered per host.
+	prefixTTL   = time.Minute
+	maxPrefixes = 2048
 )
 
-// Query is a request in search of a host.
+// Query describes a request that needs a host.
 type Query struct {
 	Service core.ServiceName
-	// Model is empty for a plain service; Adapter where none is asked for.
+	// Model is empty for a plain service, and Adapter if none is requested.
 	Model   core.ModelName
 	Adapter string
-	// Parts is the prompt in order; the last part is the request's own.
+	// Parts is the prompt in order. The last part belongs to this request alone.
 	Parts []core.PromptPart
-	// Tokens is the length of the prompt.
+	// Tokens is the length of the prompt in tokens.
 	Tokens     int
 	DataCentre core.DataCentre
-	// Tried are hosts that are not to be chosen.
+	// Tried lists the hosts that are not to be chosen.
 	Tried []core.HostName
 }
 
@@ -77,52 +77,53 @@
 
 // Choice is the answer to a Query.
 type Choice struct {
-	// Host is nil where no host can take the request now.
+	// Host is nil if no host can take the request now.
 	Host *Host
-	// Fetch tells that the host lacks the adapter, which has to be loaded first.
+	// Fetch is set if the host lacks the adapter, which has to be loaded first.
 	Fetch bool
-	// Listed tells that the service has hosts that may get work, whatever they
+	// Listed is set if the service has hosts that may get requests, whichever models they
 	// hold.
 	Listed bool
-	// Leaving tells that the service has hosts that run and leave.
+	// Leaving is set if the service has running hosts that are leaving.
 	Leaving bool
-	// Cost is what the host was weighed by, in milliseconds.
+	// Cost is the total weight of the host, in milliseconds.
 	Cost float64
-	// Wait is when the host should give its first answer, from now.
+	// Wait is the time until the host should give its first answer.
 	Wait time.Duration
-	// RetryAt is when the first of the hosts takes requests again, zero where some host
-	// does, or none holds the model.
+	// RetryAt is when the first of the hosts takes requests again, zero if some host takes
+	// them now or none holds the model.
 	RetryAt time.Time
-	// Paced is the part of Wait that is for the rate limit that the host names.
+	// Paced is the part of Wait that is due to the host's rate limit.
 	Paced time.Duration
 }
 
-// leastQueue is the wait that is allowed whatever a route's target.
-const leastQueue = 500 * time.Millisecond
+// minWait is the wait that is allowed for any target.
+const minWait = 500 * time.Millisecond
 
-// Overloaded tells whether a request would wait for longer than its target at the
-// host that should answer first.
+// Overloaded reports whether a request would wait longer than its target even at the host
+// that should answer first.
 //
-// It answers the load of a model that is asked for more often than its hosts can
-// read prompts, as in the seconds after demand has moved. Queued in the engines,
-// requests wait until all of them are late, and many are read for callers who have
-// left. So much is let in as is served in its target, which keeps the engines busy
-// all the same; the rest is told at once when to come back. The threshold is the
-// target since an answer after it is of little use, and its work delays others.
-func (c Choice) Overloaded(target time.Duration) bool { return tooLong(c.Wait, target) }
+// This covers a model that receives more requests than its hosts can prefill, as in the
+// seconds after demand has shifted. If they were all queued in the engines, requests would
+// wait until every one is late, and many prompts would be read for callers who have left.
+// Only as many requests are admitted as can be served within their target, which still
+// keeps the engines busy. The others are told at once when to retry. The threshold is the
+// target because a later answer is of little use and delays others.
+func (c Choice) Overloaded(target time.Duration) bool { return exceeds(c.Wait, target) }
 
-// BacksOff tells whether all hosts want no requests for longer than a request with a
-// target waits. It is told at once when to come back.
+// BacksOff reports whether all hosts want no requests for longer than a request with the
+// given target waits. Such a request is told at once when to retry.
 func (c Choice) BacksOff(now time.Time, target time.Duration) bool {
-	return tooLong(c.RetryAt.Sub(now), target)
+	return exceeds(c.RetryAt.Sub(now), target)
 }
 
-func tooLong(wait, target time.Duration) bool { return wait > max(target, leastQueue) }
+func exceeds(wait, target time.Duration) bool { return wait > max(target, minWait) }
 
-// Pick chooses the host that should answer first. It answers the load of many
-// prompts that share their beginnings among hosts of uneven load: without the
-// memory of prompts each host would read every shared beginning, without the
-// work outstanding the favoured host would be overrun.
+// Pick chooses the host that should answer first.
+//
+// It is meant for many prompts that share their beginnings and for hosts of uneven load.
+// Without the remembered prefixes each host would prefill every shared beginning, and
+// without the outstanding work the preferred host would be overloaded.
 func (v *View) Pick(now time.Time, q *Query) Choice {
 	var best Choice
 	var retryAt time.Time
@@ -154,11 +155,11 @@
 		if slices.Contains(q.Tried, h.ID) {
 			continue
 		}
-		wait := h.wait(now, q, fetch, v.readTime())
+		wait := h.wait(now, q, fetch, v.prefillTime())
 		cost := wait + h.cost(now, q)
 		if best.Host == nil || cost < best.Cost || cost == best.Cost && h.ID < best.Host.ID {
 			best.Host, best.Fetch, best.Cost = h, fetch, cost
-			best.Wait, best.Paced = time.Duration(wait*float64(time.Millisecond)), h.untilNext(now)
+			best.Wait, best.Paced = time.Duration(wait*float64(time.Millisecond)), h.reservationDelay(now)
 		}
 	}
 	if !takes {
@@ -167,18 +168,18 @@
 	return best
 }
 
-// wait returns the time until the host should give its first answer, in
-// milliseconds: what it has to read before the request, and the request's own
-// prompt. Own requests that are outstanding are partly among those that the host
-// reported to wait, so the larger of the two counts.
-func (h *Host) wait(now time.Time, q *Query, fetch bool, readTime float64) float64 {
-	before := float64(h.prefill) / ReadRate
+// wait returns the time until the host should give its first answer, in milliseconds: the
+// prefill queued before the request and that of its own prompt. Some of this process's
+// outstanding requests are among those that the host reports as waiting, so the larger of
+// the two counts is used.
+func (h *Host) wait(now time.Time, q *Query, fetch bool, prefillTime float64) float64 {
+	before := float64(h.pendingPrefill) / ReadRate
 	if h.Fresh(now) {
-		before = max(before, h.backlog(readTime))
+		before = max(before, h.backlog(prefillTime))
 	}
-	before += float64(h.untilNext(now)) / float64(time.Millisecond)
+	before += float64(h.reservationDelay(now)) / float64(time.Millisecond)
 	if fetch {
-		before += adapterCost + h.untilOrders(now)
+		before += adapterCost + h.orderDelay(now)
 	}
 	if q.Model == "" {
 		return before
@@ -186,56 +187,56 @@
 	return before + float64(h.unread(now, q))/ReadRate
 }
 
-// backlog returns how long, in milliseconds, the host reads what it reported and
-// what was sent since. It answers the load of several entries that send to the same
-// hosts: each knows its own requests only, and by these alone foresees a part of the
-// wait that it sends requests into.
-func (h *Host) backlog(readTime float64) float64 {
+// backlog returns the time, in milliseconds, for the prefill of what the host reported and
+// what was sent since. An entry knows only its own requests; if several entries send to the
+// same host, these alone would underestimate its queue.
+func (h *Host) backlog(prefillTime float64) float64 {
 	tokens := h.Report.Reading
-	for _, s := range h.sent {
+	for _, s := range h.sentPrompts {
 		if s.at.After(h.Report.Taken) {
 			tokens += s.tokens
 		}
 	}
-	return float64(h.Report.Waiting)*readTime + float64(tokens)/ReadRate
+	return float64(h.Report.Waiting)*prefillTime + float64(tokens)/ReadRate
 }
 
-// cost returns what speaks against a host besides its wait.
+// cost returns the cost of a host besides its wait, in milliseconds.
 func (h *Host) cost(now time.Time, q *Query) float64 {
-	cost := float64(h.inFlight)*runningCost + h.Failing(now)*failingCost
+	cost := float64(h.inFlight)*runningCost + h.Failing(now)*failureCost
 	if h.Fresh(now) {
 		cost += float64(h.Report.Running) * runningCost / 2
 	}
-	if now.Before(h.avoidTill) {
+	if now.Before(h.avoidUntil) {
 		cost += float64(time.Minute / time.Millisecond)
 	}
 	if h.DataCentre != q.DataCentre {
-		cost += farCost
+		cost += remoteCost
 	}
 	if h.Slots > 0 && h.inFlight >= h.Slots {
-		cost += fullCost * float64(h.inFlight-h.Slots+1)
+		cost += overloadCost * float64(h.inFlight-h.Slots+1)
 	}
 	if q.Model != "" {
-		cost += h.spread(q) * spreadCost
+		cost += h.affinity(q) * affinityCost
 	}
 	return cost
 }
 
-// untilOrders returns the time, in milliseconds, until the host takes an order
-// again. Until then no adapter can be loaded there.
-func (h *Host) untilOrders(now time.Time) float64 {
+// orderDelay returns the time, in milliseconds, until the host takes an order again. Until
+// then no adapter can be loaded there.
+func (h *Host) orderDelay(now time.Time) float64 {
 	if !h.Fresh(now) || !h.Report.Busy {
 		return 0
 	}
 	return max(busyCost, float64(h.Report.LoadedBy.Sub(now))/float64(time.Millisecond))
 }
 
-// unread returns the prompt tokens that the host is not known to have read.
+// unread returns the number of the prompt's tokens that the host is not known to have
+// cached.
 func (h *Host) unread(now time.Time, q *Query) int {
 	left := q.Tokens
 	for _, p := range q.shared() {
 		at, ok := h.prefixes[q.key(p.ID)]
-		if !ok || now.Sub(at) > prefixAge {
+		if !ok || now.Sub(at) > prefixTTL {
 			break
 		}
 		left -= p.Tokens
@@ -243,7 +244,7 @@
 	return max(left, 0)
 }
 
-// shared returns the parts that other requests may have too.
+// shared returns the parts of the prompt that other requests may share.
 func (q *Query) shared() []core.PromptPart {
 	if len(q.Parts) < 2 {
 		return nil
@@ -251,44 +252,43 @@
 	return q.Parts[:len(q.Parts)-1]
 }
 
-// spread returns the host's place, from 0 up to 1, in an order of hosts that is
-// the same in all processes for requests that share a prompt, an adapter or a
-// model.
-func (h *Host) spread(q *Query) float64 {
+// affinity returns the host's position, from 0 up to 1, in an order of hosts that is the
+// same in all processes for requests that share a prompt, an adapter or a model.
+func (h *Host) affinity(q *Query) float64 {
 	part := ""
 	if shared := q.shared(); len(shared) > 0 {
 		part = shared[len(shared)-1].ID
 	}
 	if q.Adapter != "" {
-		// Hosts have few places for adapters; their requests go together.
+		// Hosts have few adapter slots, so requests for one adapter are kept together.
 		part = ""
 	}
 	key := binary.LittleEndian.AppendUint64([]byte(h.ID), uint64(q.key(part)))
 	return float64(xxhash.Sum64(key)>>11) / (1 << 53)
 }
 
-// Failing returns the host's recent failures, each counting less as it ages.
+// Failing returns the exponentially decayed count of the host's failures.
 func (h *Host) Failing(now time.Time) float64 {
-	if h.failing == 0 {
+	if h.failures == 0 {
 		return 0
 	}
-	return h.failing * math.Exp2(-now.Sub(h.failedAt).Seconds()/failingHalf.Seconds())
+	return h.failures * math.Exp2(-now.Sub(h.failedAt).Seconds()/failureHalfLife.Seconds())
 }
 
-// readTime returns how long an engine reads a prompt, in milliseconds.
-func (v *View) readTime() float64 {
-	if v.read == 0 {
-		return firstReadTime
+// prefillTime returns the average prefill time of a prompt, in milliseconds.
+func (v *View) prefillTime() float64 {
+	if v.meanPrefill == 0 {
+		return initialPrefill
 	}
-	return v.read
+	return v.meanPrefill
 }
 
-// Read notes the prompt tokens that an engine has to read for a request.
+// Read adds the prompt tokens that an engine has to prefill for a request to the average.
 func (v *View) Read(tokens int) {
-	v.read = v.readTime() + readWeight*(float64(tokens)/ReadRate-v.readTime())
+	v.meanPrefill = v.prefillTime() + prefillWeight*(float64(tokens)/ReadRate-v.prefillTime())
 }
 
-// Sent notes that a request goes to the host.
+// Sent records that a request is sent to the host.
 func (h *Host) Sent(now time.Time, q *Query) {
 	h.inFlight++
 	if q.Model == "" {
@@ -299,10 +299,10 @@
 	}
 	h.active[q.Model]++
 	unread := h.unread(now, q)
-	h.prefill += unread
-	h.sent = slices.DeleteFunc(h.sent, func(s sending) bool { return !s.at.After(h.Report.Taken) || now.Sub(s.at) > reportAge })
-	h.sent = append(h.sent, sending{at: now, tokens: unread})
-	if h.prefixes == nil || len(h.prefixes) >= mostPrefixes {
+	h.pendingPrefill += unread
+	h.sentPrompts = slices.DeleteFunc(h.sentPrompts, func(s sentPrompt) bool { return !s.at.After(h.Report.Taken) || now.Sub(s.at) > reportTTL })
+	h.sentPrompts = append(h.sentPrompts, sentPrompt{at: now, tokens: unread})
+	if h.prefixes == nil || len(h.prefixes) >= maxPrefixes {
 		h.prefixes = map[prefixKey]time.Time{}
 	}
 	for _, p := range q.shared() {
@@ -310,10 +310,10 @@
 	}
 }
 
-// Begun notes the first sign of an answer; cost is what unread was at Sent.
-func (h *Host) Begun(cost int) { h.prefill = max(0, h.prefill-cost) }
+// Begun records the start of an answer. The cost is the value of Unread before Sent.
+func (h *Host) Begun(cost int) { h.pendingPrefill = max(0, h.pendingPrefill-cost) }
 
-// Unread returns what Sent will count for a request.
+// Unread returns the number of prompt tokens that Sent will count for a request.
 func (h *Host) Unread(now time.Time, q *Query) int {
 	if q.Model == "" {
 		return 0
@@ -321,8 +321,7 @@
 	return h.unread(now, q)
 }
 
-// Ended notes that a request is over at the host; its model is empty at a plain
-// service.
+// Ended records that a request to the host is over. The model is empty for a plain service.
 func (h *Host) Ended(model core.ModelName) {
 	h.inFlight = max(0, h.inFlight-1)
 	switch n := h.active[model]; {
@@ -333,22 +332,22 @@
 	}
 }
 
-// Failed notes a failure that may be the host's fault.
+// Failed records a failure that may be the host's fault.
 func (h *Host) Failed(now time.Time) {
-	h.failing = h.Failing(now) + 1
+	h.failures = h.Failing(now) + 1
 	h.failedAt = now
 }
 
-// Unreached notes that the host took no connection.
+// Unreached records that the host accepted no connection.
 func (h *Host) Unreached(now time.Time) {
 	h.Failed(now)
-	h.avoidTill = now.Add(unreachable)
+	h.avoidUntil = now.Add(connectBackoff)
 }
 
-// Lacks notes that the host said it does not hold a model.
+// Lacks records that the host denied holding a model.
 func (h *Host) Lacks(now time.Time, model core.ModelName) {
-	if h.absent == nil {
-		h.absent = map[core.ModelName]time.Time{}
+	if h.missing == nil {
+		h.missing = map[core.ModelName]time.Time{}
 	}
-	h.absent[model] = now.Add(absentFor)
+	h.missing[model] = now.Add(missingTTL)
 }
--- a/core/fleet/pick_test.go
+++ b/core/fleet/pick_test.go
@@ -29,16 +29,16 @@
 }
 
 func TestPick(t *testing.T) {
-	t.Run("a host that lacks the model is no choice", func(t *testing.T) {
+	t.Run("a host without the model is not chosen", func(t *testing.T) {
 		c := wantPick(t, view(entry("i-1")), t0, "")
 		assert.Assert(t, c.Listed)
 	})
-	t.Run("one that was tried is no choice", func(t *testing.T) {
+	t.Run("a host that was tried is not chosen", func(t *testing.T) {
 		v := view(entry("i-1", "m"), entry("i-2", "m"))
 		c := v.Pick(t0, &fleet.Query{Service: "llm", Model: "m", Tried: []core.HostName{"i-1"}})
 		assert.Equal(t, c.Host.ID, core.HostName("i-2"))
 	})
-	t.Run("one that took no connection is the last choice", func(t *testing.T) {
+	t.Run("a host that accepted no connection is the last choice", func(t *testing.T) {
 		v := view(entry("i-1", "m"), entry("i-2", "m"))
 		v.Host("i-1").Unreached(t0)
 		wantPick(t, v, t0, "i-2")
@@ -56,9 +56,9 @@
 		c = v.Pick(t0, q)
 		assert.Assert(t, c.Host.ID == "i-1" && c.Fetch)
 	})
-	t.Run("an adapter is not fetched where a load holds up orders", func(t *testing.T) {
-		// A host loads a model from the weight store, which takes six seconds. An
-		// adapter's request sent there waits for that long, beside idle hosts.
+	t.Run("an adapter is not fetched where a load delays orders", func(t *testing.T) {
+		// A load from the weight store takes six seconds. A request with an adapter that is
+		// sent there would wait that long beside idle hosts.
 		v := view(entry("i-1", "m"), entry("i-2", "m"))
 		q := &fleet.Query{Service: "llm", Model: "m", Adapter: "a1", DataCentre: "dc-1"}
 		first := v.Pick(t0, q).Host.ID
@@ -69,8 +69,8 @@
 	})
 }
 
-// Many prompts share their beginnings. Spread at random, each host would read
-// each beginning, for 160 ms of its time.
+// Guards against hosts that all prefill the same shared beginnings: with random placement
+// each beginning would cost each host 160 ms.
 func TestSharedPromptsGoTogether(t *testing.T) {
 	v := hostsOf(9)
 	where := map[string]map[core.HostName]bool{}
@@ -92,8 +92,8 @@
 	}
 }
 
-// Five entries know nothing of each other's requests yet. They choose the same
-// host for the same prompt, so that its beginning is read once.
+// Guards against entries that send the same prompt to different hosts while they do not
+// know each other's requests yet, so that its beginning is read more than once.
 func TestEntriesAgree(t *testing.T) {
 	for i := range 20 {
 		q := prompt(fmt.Sprint("doc-", i), "own")
@@ -104,9 +104,8 @@
 	}
 }
 
-// A few prompts take most of the load: one document is asked about forty times a
-// second, more than the host that keeps it can read. The favoured host must not
-// be overrun while others stand idle.
+// Guards against overload of the preferred host while others are idle. One document gets
+// forty requests a second, more than the host that caches it can serve.
 func TestFavouredHostIsNotOverrun(t *testing.T) {
 	v := hostsOf(9)
 	type run struct {
@@ -140,13 +139,13 @@
 			runs[j], runs[j-1] = runs[j-1], runs[j]
 		}
 	}
-	// All on one host, the last request would wait for 400 x 79 ms less the ten
-	// seconds that pass: over twenty seconds.
+	// If one host got all of them, the last request would wait 400 x 79 ms less the elapsed
+	// ten seconds: over twenty seconds.
 	assert.Assert(t, worst < 800*time.Millisecond, "%v", worst)
 }
 
-// One host of three fails half of its requests while it calls itself well.
-// Requests have to keep away from it, and to come back once it does well again.
+// Guards against a host that fails half of its requests while it reports no problem. It
+// must get few requests, and get them again once it has recovered.
 func TestFailingHostIsAvoided(t *testing.T) {
 	v := hostsOf(3)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -187,11 +186,12 @@
 	}
 }
 
-// A model is asked for twenty times a second and its one host reads ten prompts a
-// second. Callers want the first word within 800 ms and leave after five seconds.
+// Guards against a queue in which every request is late. A model gets twenty requests a
+// second, and its only host can prefill ten. Callers expect the first token within 800 ms
+// and leave after five seconds.
 func TestOverload(t *testing.T) {
-	// play returns the part of the requests whose first word came in time.
-	play := func(admit func(fleet.Choice) bool) float64 {
+	// simulate returns the share of requests whose first token is in time.
+	simulate := func(admit func(fleet.Choice) bool) float64 {
 		v := hostsOf(1)
 		const requests, every, read, target, patience = 600, 50 * time.Millisecond, 100 * time.Millisecond, 800 * time.Millisecond, 5 * time.Second
 		type run struct {
@@ -209,7 +209,7 @@
 				h.Begun(r.unread)
 				h.Ended("m")
 				if free.Sub(r.came) > patience {
-					continue // its caller has left, and the engine has seen it
+					continue // the caller has left, and the engine skips the request
 				}
 				free = free.Add(read)
 				if free.Sub(r.came) <= target {
@@ -234,25 +234,24 @@
 		}
 		return float64(inTime) / requests
 	}
-	naive := play(func(fleet.Choice) bool { return true })
-	bounded := play(func(c fleet.Choice) bool { return !c.Overloaded(800 * time.Millisecond) })
-	assert.Assert(t, naive < 0.1, naive)
+	unbounded := simulate(func(fleet.Choice) bool { return true })
+	bounded := simulate(func(c fleet.Choice) bool { return !c.Overloaded(800 * time.Millisecond) })
+	assert.Assert(t, unbounded < 0.1, unbounded)
 	assert.Assert(t, bounded > 0.45, bounded)
 }
 
-// Five entries send long prompts to the two hosts of a model, which read most of
-// the time. Each entry knew only its own prompts and the requests that hosts had
-// not begun to read, sent many to the host that was far behind, and let in what
-// could not be served in time.
+// Guards against a backlog that is underestimated because each entry knows only its own
+// prompts. Five entries send long prompts to the two busy hosts of a model. They sent many
+// to the host that was far behind and admitted requests that could not be served in time.
 func TestOthersPrompts(t *testing.T) {
 	const (
 		entries, requests = 5, 2000
 		every, read       = 130 * time.Millisecond, 237 * time.Millisecond // 9,000 tokens
 		reportEvery       = 150 * time.Millisecond
 	)
-	// play returns how far the wait foreseen was off, on average, and the part of the
-	// requests that went to a host that was behind the other by more than a prompt.
-	play := func(tells bool) (off time.Duration, wrong float64) {
+	// simulate returns the mean error of the predicted wait, and the share of requests that
+	// went to a host that was behind the other by more than a prompt.
+	simulate := func(reportBacklog bool) (off time.Duration, wrong float64) {
 		views := make([]*fleet.View, entries)
 		for i := range views {
 			views[i] = hostsOf(2)
@@ -270,7 +269,7 @@
 				for _, id := range ids {
 					left := max(0, free[id].Sub(now))
 					report := fleet.Report{Taken: now, ID: id, Models: []core.HeldModel{{Model: "m"}}}
-					if tells {
+					if reportBacklog {
 						report.Reading = int(left.Milliseconds()) * 38
 					}
 					for _, v := range views {
@@ -304,8 +303,8 @@
 		}
 		return sum / requests, float64(behind) / requests
 	}
-	offBefore, wrongBefore := play(false)
-	off, wrong := play(true)
+	offBefore, wrongBefore := simulate(false)
+	off, wrong := simulate(true)
 	t.Logf("off by %v instead of %v, wrong host %.2f instead of %.2f", off, offBefore, wrong, wrongBefore)
 	assert.Assert(t, off < offBefore/2, "%v %v", off, offBefore)
 	assert.Assert(t, wrong < wrongBefore/2, "%v %v", wrong, wrongBefore)
@@ -321,7 +320,7 @@
 	const own = 237 * time.Millisecond // 9,000 tokens
 	assert.Equal(t, ask(t0), 100*time.Millisecond+own)
 	h.Sent(after(10*time.Millisecond), prompt("other", "own"))
-	assert.Equal(t, ask(after(20*time.Millisecond)), 100*time.Millisecond+2*own, "what was sent since is read too")
+	assert.Equal(t, ask(after(20*time.Millisecond)), 100*time.Millisecond+2*own, "prompts sent since the report are added")
 	v.Report(fleet.Report{Taken: after(30 * time.Millisecond), ID: "i-00", Reading: 9000, Models: []core.HeldModel{{Model: "m"}}})
-	assert.Equal(t, ask(after(40*time.Millisecond)), 2*own, "once, when the report has it")
+	assert.Equal(t, ask(after(40*time.Millisecond)), 2*own, "not counted twice once the report includes them")
 }
--- a/core/fleet/signal.go
+++ b/core/fleet/signal.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// mostUnlisted is how many lives that the registry does not list are remembered by their
-// signals.
-const mostUnlisted = 1024
+// maxUnlisted bounds the incarnations that the registry does not list whose signals are
+// kept.
+const maxUnlisted = 1024
 
-// LeaveAge is how long a host's signal that it leaves counts: by then it has left.
+// LeaveAge is how long a host's signal that it is leaving is kept. By then it has left.
 const LeaveAge = 10 * time.Minute
 
-// signals are what one life of a host says of itself in its answers. They outlast the
-// host's entry in the registry, which lapses while the store is out and comes back.
+// signals is the state that one incarnation of a host reports in its answers. It is kept
+// longer than the host's entry in the registry, which lapses during an outage of the store
+// and comes back.
 type signals struct {
 	rateLimit
-	// leavingSince is when the host first said that it leaves, zero while it has not.
+	// leavingSince is when the host first reported that it is leaving, zero if it has not.
 	leavingSince time.Time
-	// backoffUntil is until when the host wants no requests of this process, having
-	// turned one away.
+	// backoffUntil is the time until which the host wants no requests of this process,
+	// after it has refused one.
 	backoffUntil time.Time
 }
 
-// BackingOff tells whether the host wants no requests of this process, and until when.
+// BackingOff reports whether the host wants no requests of this process, and until when.
 func (s *signals) BackingOff(now time.Time) (until time.Time, ok bool) {
 	return s.backoffUntil, now.Before(s.backoffUntil)
 }
 
-// NoteBackoff takes in until when a life of a host wants no requests of this process, and
-// tells whether it took them until now.
-func (v *View) NoteBackoff(life Life, now, until time.Time) bool {
+// NoteBackoff records the time until which an incarnation of a host wants no requests of
+// this process, and reports whether this begins a new backoff.
+func (v *View) NoteBackoff(inc Life, now, until time.Time) bool {
 	if !now.Before(until) {
 		return false
 	}
-	s := v.signalsOf(life)
+	s := v.signalsOf(inc)
 	_, already := s.BackingOff(now)
 	if until.After(s.backoffUntil) {
 		s.backoffUntil = until
@@ -39,8 +40,8 @@
 	return !already
 }
 
-// LeavingFor returns for how long the host is known to say, in its answers, that it
-// leaves; false where it does not.
+// LeavingFor returns for how long the host has reported in its answers that it is leaving,
+// false if it has not.
 func (s *signals) LeavingFor(now time.Time) (age time.Duration, ok bool) {
 	age = now.Sub(s.leavingSince)
 	if s.leavingSince.IsZero() || age >= LeaveAge {
@@ -49,10 +50,10 @@
 	return age, true
 }
 
-// NoteLeaving takes in that a life of a host says it leaves, and tells whether that is
-// news.
-func (v *View) NoteLeaving(life Life, now time.Time) bool {
-	s := v.signalsOf(life)
+// NoteLeaving records that an incarnation of a host reports that it is leaving, and reports
+// whether that is new.
+func (v *View) NoteLeaving(inc Life, now time.Time) bool {
+	s := v.signalsOf(inc)
 	if _, ok := s.LeavingFor(now); ok {
 		return false
 	}
@@ -61,33 +62,33 @@
 	return true
 }
 
-// signalsOf returns the signals of a life, whether the registry lists it or not.
-func (v *View) signalsOf(life Life) *signals {
+// signalsOf returns the signals of an incarnation, whether or not the registry lists it.
+func (v *View) signalsOf(inc Life) *signals {
 	v.init()
-	s := v.signals[life]
+	s := v.signals[inc]
 	if s == nil {
 		s = &signals{}
-		v.signals[life] = s
-		v.remember(life)
+		v.signals[inc] = s
+		v.retain(inc)
 	}
 	return s
 }
 
-// unlist forgets a life that the registry does not list any more, unless it has given
-// signals: it may come back.
-func (v *View) unlist(life Life) {
-	if *v.signals[life] == (signals{}) {
-		delete(v.signals, life)
+// unlist drops the signals of an incarnation that the registry no longer lists, unless some
+// are set, since its entry may come back.
+func (v *View) unlist(inc Life) {
+	if *v.signals[inc] == (signals{}) {
+		delete(v.signals, inc)
 		return
 	}
-	v.remember(life)
+	v.retain(inc)
 }
 
-// remember keeps the signals of a life as long as it is among the last that were not
-// listed.
-func (v *View) remember(life Life) {
-	v.unlisted = append(v.unlisted, life)
-	if len(v.unlisted) <= mostUnlisted {
+// retain keeps the signals of an incarnation as long as it is among the last maxUnlisted
+// that were not listed.
+func (v *View) retain(inc Life) {
+	v.unlisted = append(v.unlisted, inc)
+	if len(v.unlisted) <= maxUnlisted {
 		return
 	}
 	oldest := v.unlisted[0]
--- a/core/fleet/view.go
+++ b/core/fleet/view.go
@@ -12,69 +12,69 @@
 )
 
 const (
-	// lapseGrace is how long a host whose registry entry is gone counts as there
-	// after the store was out of reach: entries lapse while hosts cannot renew
-	// them, and the platform says that those of living hosts are back within two
-	// seconds. Without it all hosts would be given up at the end of an outage.
+	// lapseGrace is how long a host whose registry entry is gone is kept after the store
+	// was unreachable. Entries lapse while hosts cannot renew them, and the platform
+	// promises that those of live hosts are back within two seconds. Without the grace
+	// period all hosts would be dropped at the end of an outage.
 	lapseGrace = 2 * time.Second
-	// lapseAfter is how long after the last failed read of the store a removal
-	// still counts as such a lapse: hosts renew their entries every 1.2 seconds or
-	// so, and one that lapses later was not renewed for another reason.
-	lapseAfter = 1500 * time.Millisecond
+	// lapseWindow is how long after the last failed read of the store a removal still
+	// counts as such a lapse. Hosts renew their entries about every 1.2 seconds, so an
+	// entry that lapses later was not renewed for another reason.
+	lapseWindow = 1500 * time.Millisecond
 )
 
-// View is what one process knows of the upstream hosts. The zero View is ready
-// for use; it is not safe for use by several goroutines.
+// View is one process's view of the upstream hosts. The zero View is ready for use. It is
+// not safe for concurrent use.
 type View struct {
 	hosts map[core.HostName]*Host
-	// at are the lives that the registry lists at an address: one, but for the
-	// seconds after a host was started anew.
-	at map[netip.AddrPort][]*Host
-	// lapsed are hosts whose entry went away around an outage of the store, by
-	// when they are given up.
+	// byAddress holds the incarnations that the registry lists at an address: one, except
+	// in the seconds after a restart.
+	byAddress map[netip.AddrPort][]*Host
+	// lapsed holds the hosts whose entry disappeared around an outage of the store, with
+	// the time at which they are dropped.
 	lapsed map[core.HostName]time.Time
-	// signals are what the lives of hosts say of themselves, and unlisted those that the
-	// registry did not list at some time, the oldest first.
+	// signals holds the signals of each incarnation. unlisted holds the incarnations that
+	// were not listed in the registry at some time, oldest first.
 	signals  map[Life]*signals
 	unlisted []Life
-	// troubled is when the store last failed.
-	troubled time.Time
-	changes  uint64
-	// heard is when the relay that tells of the hosts last did; zero where their agents
-	// tell this process themselves.
-	heard time.Time
-	// read is how long engines read a prompt on average, in milliseconds; zero
-	// before one was sent.
-	read float64
+	// lastStoreFailure is when the store last failed.
+	lastStoreFailure time.Time
+	changes          uint64
+	// lastRelayReport is when the relay that forwards the agents' reports last sent one,
+	// zero if the agents report to this process directly.
+	lastRelayReport time.Time
+	// meanPrefill is the average prefill time of a prompt, in milliseconds, zero before the
+	// first prompt.
+	meanPrefill float64
 }
 
 func (v *View) init() {
 	if v.hosts == nil {
 		v.hosts = map[core.HostName]*Host{}
-		v.at = map[netip.AddrPort][]*Host{}
+		v.byAddress = map[netip.AddrPort][]*Host{}
 		v.lapsed = map[core.HostName]time.Time{}
 		v.signals = map[Life]*signals{}
 	}
 }
 
-// Changes counts the changes that may matter to requests that wait.
+// Changes counts the changes after which waiting requests should look for a host again.
 func (v *View) Changes() uint64 { return v.changes }
 
-// Troubled notes that the store failed or could not be reached.
-func (v *View) Troubled(now time.Time) { v.troubled = now }
+// Troubled records that the store failed or could not be reached.
+func (v *View) Troubled(now time.Time) { v.lastStoreFailure = now }
 
-// Heard notes when the relay that tells of the hosts last did; the zero time means that
-// their agents tell this process themselves.
-func (v *View) Heard(at time.Time) { v.heard = at }
+// Heard records when the relay that forwards the agents' reports last sent one. The zero
+// time means that the agents report to this process directly.
+func (v *View) Heard(at time.Time) { v.lastRelayReport = at }
 
-// Known returns the time as of which silence of agents is known. While a relay is
-// silent, nothing is known of the agents behind it: taken for silent with it, their
-// hosts would lose all streams that pause.
+// Known returns the time against which the age of agents' reports is measured. While a
+// relay is silent, the state of the agents behind it is unknown; if they counted as silent
+// too, all paused streams of their hosts would be cut.
 func (v *View) Known(now time.Time) time.Time {
-	if v.heard.IsZero() {
+	if v.lastRelayReport.IsZero() {
 		return now
 	}
-	return v.heard
+	return v.lastRelayReport
 }
 
 // OwnActive returns this process's requests in progress, by host and model.
@@ -88,32 +88,32 @@
 	return out
 }
 
-// Apply takes in a registry entry. A host that was born anew under its id
-// holds nothing of before, so all that was known of it is dropped.
+// Apply records a registry entry. A host that was restarted under the same ID no longer
+// holds anything, so all earlier state is dropped.
 func (v *View) Apply(e Entry) {
 	v.init()
 	v.changes++
 	delete(v.lapsed, e.ID)
 	h := v.hosts[e.ID]
 	if h == nil || h.Born != e.Born || h.Address != e.Address {
-		v.take(h)
-		v.put(&Host{Entry: e})
+		v.remove(h)
+		v.add(&Host{Entry: e})
 		return
 	}
-	// A host does not come back from leaving within one life; an entry that says
-	// so is an older one that was read late.
+	// A host does not return from leaving within one incarnation; an entry that says so is
+	// an outdated read.
 	e.Leaving = e.Leaving || h.Entry.Leaving
 	h.Entry = e
 	v.supersede(e.Address)
 }
 
-// Remove takes in that the registry no longer has an entry.
+// Remove records that the registry no longer has an entry.
 func (v *View) Remove(now time.Time, id core.HostName) {
 	v.init()
 	if v.hosts[id] == nil {
 		return
 	}
-	if !v.troubled.IsZero() && now.Sub(v.troubled) < lapseAfter && !v.hosts[id].IsLeaving(now) {
+	if !v.lastStoreFailure.IsZero() && now.Sub(v.lastStoreFailure) < lapseWindow && !v.hosts[id].IsLeaving(now) {
 		if _, waiting := v.lapsed[id]; !waiting {
 			v.lapsed[id] = now.Add(lapseGrace)
 		}
@@ -125,33 +125,30 @@
 func (v *View) drop(id core.HostName) {
 	v.changes++
 	delete(v.lapsed, id)
-	v.take(v.hosts[id])
+	v.remove(v.hosts[id])
 }
 
-// put adds a host.
-func (v *View) put(h *Host) {
-	h.signals = v.signalsOf(h.life())
+func (v *View) add(h *Host) {
+	h.signals = v.signalsOf(h.incarnation())
 	v.hosts[h.ID] = h
-	v.at[h.Address] = append(v.at[h.Address], h)
+	v.byAddress[h.Address] = append(v.byAddress[h.Address], h)
 	v.supersede(h.Address)
 }
 
-// take removes a host, if there is one.
-func (v *View) take(h *Host) {
+func (v *View) remove(h *Host) {
 	if h == nil {
 		return
 	}
 	delete(v.hosts, h.ID)
-	v.unlist(h.life())
-	v.at[h.Address] = slices.DeleteFunc(v.at[h.Address], func(o *Host) bool { return o == h })
-	if len(v.at[h.Address]) == 0 {
-		delete(v.at, h.Address)
+	v.unlist(h.incarnation())
+	v.byAddress[h.Address] = slices.DeleteFunc(v.byAddress[h.Address], func(o *Host) bool { return o == h })
+	if len(v.byAddress[h.Address]) == 0 {
+		delete(v.byAddress, h.Address)
 	}
 	v.supersede(h.Address)
 }
 
-// Replace takes in a whole list of the registry: entries that it lacks are
-// removed.
+// Replace records a complete list of the registry. Hosts that are not on it are removed.
 func (v *View) Replace(now time.Time, list []Entry) {
 	v.init()
 	listed := make(map[core.HostName]bool, len(list))
@@ -166,7 +163,7 @@
 	}
 }
 
-// Tick gives up hosts whose lapsed entries have not come back.
+// Tick drops the hosts whose lapsed entries have not come back in time.
 func (v *View) Tick(now time.Time) {
 	for id, until := range v.lapsed {
 		if !now.Before(until) {
@@ -175,8 +172,8 @@
 	}
 }
 
-// Report takes in a host's own word. Reports of lives that the registry does
-// not list are passed over.
+// Report records a report of a host's agent. Reports of incarnations that the registry does
+// not list are ignored.
 func (v *View) Report(r Report) {
 	h := v.hosts[r.ID]
 	if h == nil || r.Taken.Before(h.Report.Taken) {
@@ -186,8 +183,8 @@
 	if r.Leaving != h.Report.Leaving || !core.SameModels(r.Models, h.Report.Models) || r.Loading != h.Report.Loading {
 		v.changes++
 	}
-	if !h.lostAt.IsZero() {
-		h.lostAt = time.Time{}
+	if !h.unreachableAt.IsZero() {
+		h.unreachableAt = time.Time{}
 		v.changes++
 	}
 	if r.Limit.Named && h.noteLimit(r.Taken, r.Taken, r.Limit) {
@@ -196,45 +193,45 @@
 	h.Report = r
 }
 
-// Lost notes that the agent at an address cannot reach its host. The registry lists
-// a host that has crashed for seconds more; what it held has to be loaded elsewhere
-// at once, and what is sent there fails.
+// Lost records that the agent at an address cannot reach its host. The registry lists a
+// crashed host for some seconds more. In that time its models have to be loaded elsewhere,
+// and requests sent to it fail.
 func (v *View) Lost(now time.Time, address netip.AddrPort) {
-	for _, h := range v.at[address] {
+	for _, h := range v.byAddress[address] {
 		if !h.Lost(now) {
 			v.changes++
 		}
-		h.lostAt = now
+		h.unreachableAt = now
 	}
 }
 
-// Outlived takes in what the agent at an address says of its host's lives: when
-// the present one was born, zero where the host does not tell, and which ones
-// have ended. The registry lists those for some seconds more; sent there,
-// requests are turned away and orders refused.
+// Outlived records what the agent at an address reports of its host's incarnations: the
+// start time of the current one, zero if the host does not report it, and the ones that
+// have ended. The registry lists those for some seconds more, but requests and orders for
+// them are refused.
 func (v *View) Outlived(address netip.AddrPort, born int64, ended []core.HostName) {
-	for _, h := range v.at[address] {
+	for _, h := range v.byAddress[address] {
 		over := born != 0 && h.Born != 0 && h.Born < born || slices.Contains(ended, h.ID)
-		if over != h.outlived {
-			h.outlived = over
+		if over != h.ended {
+			h.ended = over
 			v.changes++
 		}
 	}
 	v.supersede(address)
 }
 
-// supersede marks the lives at an address that the registry lists though it names a
-// newer one there.
+// supersede marks the hosts at an address for which the registry lists a newer incarnation
+// there.
 func (v *View) supersede(address netip.AddrPort) {
 	best := v.newest(address)
-	for _, h := range v.at[address] {
+	for _, h := range v.byAddress[address] {
 		h.superseded = best != nil && h != best
 	}
 }
 
-// Newest returns the newest life that the registry names at an address and that
-// is not known to have ended; the zero Life where it names none. All processes
-// that have read the same registry name the same one.
+// Newest returns the newest incarnation that the registry lists at an address and that is
+// not known to have ended, the zero value if there is none. All processes that have read
+// the same registry return the same one.
 func (v *View) Newest(address netip.AddrPort) Life {
 	if best := v.newest(address); best != nil {
 		return Life{ID: best.ID, Born: best.Born}
@@ -243,11 +240,12 @@
 }
 
 func (v *View) newest(address netip.AddrPort) (best *Host) {
-	for _, h := range v.at[address] {
-		if !h.Usable || h.outlived {
+	for _, h := range v.byAddress[address] {
+		if !h.Usable || h.ended {
 			continue
 		}
-		// A life that has ended writes its entry no more.
+		// An ended incarnation no longer writes its entry, so the higher revision is the
+		// newer one.
 		if best == nil || cmp.Or(cmp.Compare(h.Born, best.Born), cmp.Compare(h.Revision, best.Revision), cmp.Compare(h.ID, best.ID)) > 0 {
 			best = h
 		}
@@ -255,11 +253,11 @@
 	return best
 }
 
-// Host returns a host by its id, nil where it is not known.
+// Host returns a host by its ID, nil if it is unknown.
 func (v *View) Host(id core.HostName) *Host { return v.hosts[id] }
 
-// Hosts returns all hosts of a service, sorted by id; of all services where
-// the name is empty.
+// Hosts returns the hosts of a service sorted by ID, or those of all services if the name
+// is empty.
 func (v *View) Hosts(service core.ServiceName) []*Host {
 	var list []*Host
 	for _, h := range v.hosts {
--- a/core/fleet/view_test.go
+++ b/core/fleet/view_test.go
@@ -15,7 +15,7 @@
 
 func after(d time.Duration) time.Time { return t0.Add(d) }
 
-// entry is a host at an address of its own, which its name gives.
+// entry returns a host with an address that is derived from its ID.
 func entry(id string, models ...core.ModelName) fleet.Entry {
 	ip := [4]byte{10}
 	copy(ip[1:], id[max(0, len(id)-3):])
@@ -57,10 +57,10 @@
 		c := wantPick(t, v, t0, "")
 		assert.Assert(t, !c.Listed)
 	})
-	t.Run("by its agent, and an older entry does not bring it back", func(t *testing.T) {
-		// A host says at once that it leaves; the registry's word comes a second
-		// later, and a read that lags still calls it ready. New work sent on that
-		// word reaches the host after it may.
+	t.Run("by its agent, and an older entry does not revoke it", func(t *testing.T) {
+		// The host's agent reports at once that the host is leaving, while the registry
+		// follows a second later and a stale read still calls it ready. Requests sent
+		// because of that read would reach the host after it stops taking them.
 		v := view(entry("i-1", "m"))
 		v.Report(fleet.Report{Taken: t0, ID: "i-1", Leaving: true, Models: []core.HeldModel{{Model: "m"}}})
 		wantPick(t, v, t0, "")
@@ -68,7 +68,7 @@
 		v.Report(fleet.Report{Taken: after(time.Second), ID: "i-1", Models: []core.HeldModel{{Model: "m"}}})
 		wantPick(t, v, after(time.Second), "")
 	})
-	t.Run("an entry that leaves does not come back in one life", func(t *testing.T) {
+	t.Run("an entry does not return from leaving within one incarnation", func(t *testing.T) {
 		v := view()
 		e := entry("i-1", "m")
 		e.Leaving = true
@@ -76,17 +76,17 @@
 		v.Apply(entry("i-1", "m"))
 		wantPick(t, v, t0, "")
 	})
-	t.Run("by its own word, which the lapse of its entry does not end", func(t *testing.T) {
+	t.Run("by its own report, which outlasts the lapse of its entry", func(t *testing.T) {
 		v := view(entry("i-1", "m"))
 		assert.Assert(t, v.NoteLeaving(fleet.Life{ID: "i-1"}, t0))
-		assert.Assert(t, !v.NoteLeaving(fleet.Life{ID: "i-1"}, t0), "it is no news twice")
+		assert.Assert(t, !v.NoteLeaving(fleet.Life{ID: "i-1"}, t0), "already known")
 		c := wantPick(t, v, t0, "")
 		assert.Assert(t, c.Leaving && !c.Listed)
 		v.Remove(t0, "i-1")
 		v.Apply(entry("i-1", "m"))
 		wantPick(t, v, after(time.Second), "")
 	})
-	t.Run("by its own word, which holds for its life only", func(t *testing.T) {
+	t.Run("by its own report, which is for one incarnation", func(t *testing.T) {
 		v := view(entry("i-1", "m"))
 		v.NoteLeaving(fleet.Life{ID: "i-1"}, t0)
 		again := entry("i-1", "m")
@@ -94,22 +94,22 @@
 		v.Apply(again)
 		wantPick(t, v, t0, "i-1")
 	})
-	t.Run("by a word from elsewhere that comes before its entry", func(t *testing.T) {
+	t.Run("by a report that arrives before its entry", func(t *testing.T) {
 		v := view()
 		v.NoteLeaving(fleet.Life{ID: "i-1"}, t0)
 		v.Apply(entry("i-1", "m"))
 		wantPick(t, v, t0, "")
 	})
-	t.Run("removal without a word", func(t *testing.T) {
+	t.Run("removal without notice", func(t *testing.T) {
 		v := view(entry("i-1", "m"))
 		v.Remove(t0, "i-1")
 		wantPick(t, v, t0, "")
 	})
 }
 
-// The store is out for longer than the hosts' entries live. When it is back, all
-// entries are gone, and those of living hosts return within two seconds. Without
-// the grace all callers would be refused for that time.
+// Guards against callers that are refused after an outage of the store. If the store is out
+// for longer than entries live, all entries are gone when it is back, and those of live
+// hosts return within two seconds.
 func TestLapsedEntries(t *testing.T) {
 	lapse := func() *fleet.View {
 		v := view(entry("i-1", "m"))
@@ -117,7 +117,7 @@
 		v.Replace(after(time.Second), nil)
 		return v
 	}
-	t.Run("kept for the grace", func(t *testing.T) {
+	t.Run("kept for the grace period", func(t *testing.T) {
 		v := lapse()
 		v.Tick(after(2900 * time.Millisecond))
 		wantPick(t, v, after(2900*time.Millisecond), "i-1")
@@ -139,16 +139,16 @@
 		v.Tick(after(3 * time.Second))
 		wantPick(t, v, after(3*time.Second), "")
 	})
-	t.Run("a removal well after the store is back is one", func(t *testing.T) {
-		// The store turned this entry away alone, until three seconds ago. Then a
-		// host leaves without a word. Taken for a lapse, it got requests for two
-		// seconds more, eight milliseconds longer than a leaving host may.
+	t.Run("a removal well after the outage is not a lapse", func(t *testing.T) {
+		// The store refused only this process's reads, the last one three seconds ago, and
+		// this host stops without notice. Taken for a lapse, it would get requests for two
+		// seconds more, eight milliseconds longer than is allowed for a leaving host.
 		v := view(entry("i-1", "m"))
 		v.Troubled(t0)
 		v.Remove(after(3*time.Second), "i-1")
 		wantPick(t, v, after(3*time.Second), "")
 	})
-	t.Run("a host that was leaving has no grace", func(t *testing.T) {
+	t.Run("a host that was leaving gets no grace period", func(t *testing.T) {
 		v := view()
 		e := entry("i-1", "m")
 		e.Leaving = true
@@ -159,8 +159,8 @@
 	})
 }
 
-// A host crashes and starts again under its id. What it held and what was known
-// of it is void; an entry or report of before must not be taken for the new life.
+// Guards against state of an earlier incarnation that is kept after a host crashes and
+// restarts under the same ID.
 func TestBornAgain(t *testing.T) {
 	old := entry("i-1", "m")
 	old.Born = 1
@@ -174,8 +174,8 @@
 	assert.Equal(t, v.Host("i-1").Failing(t0), 0.0)
 }
 
-// A host is started anew under another id, and the registry lists its old life
-// for three beats more. What is sent to that one is turned away.
+// Guards against requests to an incarnation that has ended. A host restarts under another
+// ID, and the registry lists the old one for three heartbeats more.
 func TestOutlivedEntry(t *testing.T) {
 	old, young := entry("i-1", "m"), entry("i-2", "m")
 	old.Born, young.Born, young.Address = 1, 2, old.Address
@@ -188,9 +188,10 @@
 	}
 }
 
-// Hosts that do not say when they were born are started anew, and the agent has
-// an order refused by the new life. Requests and loads still went to the old one
-// until its entry lapsed, also after the whole registry was read again.
+// Guards against requests and loads for an incarnation that has ended when hosts do not
+// report their start times. The agent learns of the restart from a refused order, and the
+// old incarnation must stay unused until its entry lapses, also after the whole registry is
+// read again.
 func TestEndedLife(t *testing.T) {
 	old, young := entry("i-1", "m"), entry("i-2", "m")
 	t.Run("is not used", func(t *testing.T) {
@@ -205,34 +206,34 @@
 		v.Replace(t0, []fleet.Entry{old})
 		wantPick(t, v, t0, "")
 	})
-	t.Run("is used again once its agent does not say so any more", func(t *testing.T) {
+	t.Run("is used again once its agent no longer reports that", func(t *testing.T) {
 		v := view(old)
 		v.Outlived(old.Address, 0, []core.HostName{"i-1"})
 		v.Outlived(old.Address, 0, nil)
 		wantPick(t, v, t0, "i-1")
 	})
-	t.Run("of another address is left alone", func(t *testing.T) {
+	t.Run("at another address is unaffected", func(t *testing.T) {
 		v := view(old)
 		v.Outlived(netip.MustParseAddrPort("10.9.9.9:80"), 0, []core.HostName{"i-1"})
 		wantPick(t, v, t0, "i-1")
 	})
 }
 
-// Both hosts that hold a busy model crash. Their agents see it at once, but the
-// registry lists them for three seconds more: all that time the model counted as
-// held, callers waited for hosts that took no connection, and no other host began
-// to load it.
+// Guards against a model that counts as held while its hosts are down. Both hosts of a busy
+// model crash, and their agents notice at once, but the registry lists them for three
+// seconds more. In that time callers waited for hosts that accepted no connection, and no
+// other host began to load the model.
 func TestLostHost(t *testing.T) {
 	report := func(at time.Time) fleet.Report {
 		return fleet.Report{Taken: at, ID: "i-1", Models: []core.HeldModel{{Model: "m"}}}
 	}
 	e := entry("i-1", "m")
-	t.Run("is not used while its agent says so", func(t *testing.T) {
+	t.Run("is not used while its agent reports that", func(t *testing.T) {
 		v := view(e)
 		v.Report(report(t0))
 		before := v.Changes()
 		v.Lost(after(time.Second), e.Address)
-		assert.Assert(t, v.Changes() > before, "requests that wait look again")
+		assert.Assert(t, v.Changes() > before, "waiting requests have to look again")
 		wantPick(t, v, after(time.Second), "")
 		assert.Assert(t, v.Host("i-1").Lost(after(2*time.Second)))
 	})
@@ -247,17 +248,18 @@
 		v.Lost(t0, e.Address)
 		wantPick(t, v, after(3*time.Second), "i-1")
 	})
-	t.Run("others at other addresses are left alone", func(t *testing.T) {
+	t.Run("hosts at other addresses are unaffected", func(t *testing.T) {
 		v := view(e)
 		v.Lost(t0, netip.MustParseAddrPort("10.9.9.9:80"))
 		wantPick(t, v, t0, "i-1")
 	})
 }
 
-// All hosts lost power and are back under new names, and the registry lists both
-// lives of each for seconds. Entries that started meanwhile differed in which one
-// they told an agent, it changed its mind with each, and the planner gave loads to
-// dead lives, where they counted as under way.
+// Guards against processes that disagree on the running incarnation. All hosts lose power
+// and return under new names, and for some seconds the registry lists both incarnations of
+// each. Entries that started in that time passed different ones to an agent, which changed
+// its mind with each, and the planner ordered loads on dead incarnations, where they
+// counted as under way.
 func TestTwoLivesAtOneAddress(t *testing.T) {
 	at := func(id string, revision uint64) fleet.Entry {
 		e := entry(id, "m")
@@ -269,24 +271,24 @@
 		assert.Equal(t, v.Newest(netip.MustParseAddrPort("10.9.9.9:80")).ID, want)
 		wantPick(t, v, t0, string(want))
 	}
-	t.Run("the one that was written last runs, in whatever order they are read", func(t *testing.T) {
+	t.Run("the one that was written last, in whatever order they are read", func(t *testing.T) {
 		newest(t, view(at("i-1", 7), at("i-2", 9)), "i-2")
 		newest(t, view(at("i-2", 9), at("i-1", 7)), "i-2")
 		newest(t, view(at("i-1", 9), at("i-2", 7)), "i-1")
 	})
-	t.Run("the one that was born last, where that is told", func(t *testing.T) {
+	t.Run("the one that started last, if start times are known", func(t *testing.T) {
 		old, young := at("i-2", 9), at("i-1", 7)
 		old.Born, young.Born = 1, 2
 		newest(t, view(young, old), "i-1")
 	})
-	t.Run("the dead one is not used though the other leaves", func(t *testing.T) {
+	t.Run("the dead one is not used though the other is leaving", func(t *testing.T) {
 		v := view(at("i-1", 7), at("i-2", 9))
 		leaving := at("i-2", 10)
 		leaving.Leaving = true
 		v.Apply(leaving)
 		wantPick(t, v, t0, "")
 	})
-	t.Run("the other one, once the agent says that this one has ended", func(t *testing.T) {
+	t.Run("the other one, once the agent reports that this one has ended", func(t *testing.T) {
 		v := view(at("i-1", 7), at("i-2", 9))
 		v.Outlived(netip.MustParseAddrPort("10.9.9.9:80"), 0, []core.HostName{"i-2"})
 		newest(t, v, "i-1")
@@ -296,7 +298,7 @@
 		v.Remove(t0, "i-2")
 		newest(t, v, "i-1")
 	})
-	t.Run("none at an address that nobody is listed at", func(t *testing.T) {
+	t.Run("none at an address without a listed host", func(t *testing.T) {
 		v := view(at("i-1", 7))
 		assert.Equal(t, v.Newest(netip.MustParseAddrPort("10.9.9.8:80")).ID, core.HostName(""))
 	})
@@ -308,7 +310,7 @@
 }
 
 func TestReports(t *testing.T) {
-	t.Run("the fresher word on what is held counts", func(t *testing.T) {
+	t.Run("the fresher source of the held models is used", func(t *testing.T) {
 		v := view(entry("i-1", "m"))
 		v.Report(fleet.Report{Taken: t0, ID: "i-1"})
 		wantPick(t, v, after(time.Second), "")
@@ -320,24 +322,24 @@
 		v.Report(fleet.Report{Taken: t0, ID: "i-1"})
 		wantPick(t, v, after(time.Second), "i-1")
 	})
-	t.Run("reports of lives that are not listed are passed over", func(t *testing.T) {
+	t.Run("reports of incarnations that are not listed are ignored", func(t *testing.T) {
 		v := view()
 		v.Report(fleet.Report{Taken: t0, ID: "i-1", Models: []core.HeldModel{{Model: "m"}}})
 		wantPick(t, v, t0, "")
 	})
-	t.Run("a host's refusal counts above its report for a while", func(t *testing.T) {
+	t.Run("a host's refusal overrides its report for a while", func(t *testing.T) {
 		v := view(entry("i-1", "m"))
 		v.Host("i-1").Lacks(t0, "m")
 		wantPick(t, v, t0, "")
 		wantPick(t, v, after(2*time.Second), "i-1")
 	})
-	t.Run("a rate that the host names to its agent counts, and silence on it lifts none", func(t *testing.T) {
+	t.Run("a rate limit in a report is used, and a report without one does not lift it", func(t *testing.T) {
 		v, one := view(entry("i-1")), core.RateLimit{Named: true, Rate: 1}
 		v.Report(fleet.Report{Taken: t0, ID: "i-1", Limit: one})
 		v.Report(fleet.Report{Taken: after(time.Second), ID: "i-1"})
 		assert.Equal(t, v.Host("i-1").Limit(after(time.Second)), one)
 	})
-	t.Run("changes that matter are counted", func(t *testing.T) {
+	t.Run("relevant changes are counted", func(t *testing.T) {
 		v := view(entry("i-1"))
 		before := v.Changes()
 		v.Report(fleet.Report{Taken: t0, ID: "i-1", Running: 3})
@@ -347,19 +349,19 @@
 	})
 }
 
-// A host and its agent stand still. The agent's last word counts as fresh for two
-// seconds, but after one its streams are looked at.
+// Guards against a stalled host whose agent is stalled with it. The agent's last report
+// stays fresh for two seconds, but after one second the agent counts as silent.
 func TestSilentAgent(t *testing.T) {
 	v := view(entry("i-1", "m"))
 	h := v.Host("i-1")
-	assert.Assert(t, !h.Silent(t0), "an agent that was never heard of tells nothing")
+	assert.Assert(t, !h.Silent(t0), "an agent that never reported is not silent")
 	v.Report(fleet.Report{Taken: t0, ID: "i-1", Reachable: true})
 	assert.Assert(t, !h.Silent(t0.Add(900*time.Millisecond)))
 	assert.Assert(t, h.Silent(t0.Add(time.Second)))
 }
 
-// A planner asks which models a host could give up at once. Requests of other entries
-// are in progress there, which only the host's agent was told of.
+// Guards against a planner that evicts a model in use. The requests in progress of other
+// entries are known only from the host's agent.
 func TestActiveRequests(t *testing.T) {
 	v := view(entry("i-1", "m", "n"))
 	h := v.Host("i-1")
@@ -374,21 +376,21 @@
 	assert.Equal(t, len(h.OwnActive()), 0)
 }
 
-// Guards against hosts that are sent requests which they have said they do not want, and
-// against requests that wait for one while another takes them.
+// Guards against requests to hosts that have asked for a backoff, and against requests that
+// wait for such a host while another is available.
 func TestBackoff(t *testing.T) {
 	v := view(entry("i-1", "m"), entry("i-2", "m"))
 	assert.Assert(t, v.NoteBackoff(fleet.Life{ID: "i-1"}, t0, after(time.Second)))
-	assert.Assert(t, !v.NoteBackoff(fleet.Life{ID: "i-1"}, t0, after(500*time.Millisecond)), "it is no news")
+	assert.Assert(t, !v.NoteBackoff(fleet.Life{ID: "i-1"}, t0, after(500*time.Millisecond)), "already backing off")
 	c := wantPick(t, v, t0, "i-2")
 	assert.Assert(t, c.RetryAt.IsZero())
 	v.NoteBackoff(fleet.Life{ID: "i-2"}, t0, after(3*time.Second))
 	c = wantPick(t, v, t0, "")
-	assert.Equal(t, c.RetryAt, after(time.Second), "the first to take requests again")
+	assert.Equal(t, c.RetryAt, after(time.Second), "the end of the first backoff")
 	assert.Assert(t, c.BacksOff(t0, 800*time.Millisecond) && !c.BacksOff(t0, time.Second))
 	wantPick(t, v, after(time.Second), "i-1")
 	assert.Assert(t, v.NoteBackoff(fleet.Life{ID: "i-1"}, after(time.Second), after(2*time.Second)))
-	t.Run("one that was tried still takes requests", func(t *testing.T) {
+	t.Run("a host that was tried is not backing off", func(t *testing.T) {
 		v := view(entry("i-1", "m"), entry("i-2", "m"))
 		v.NoteBackoff(fleet.Life{ID: "i-1"}, t0, after(time.Hour))
 		c := v.Pick(t0, &fleet.Query{Service: "llm", Model: "m", Tried: []core.HostName{"i-2"}})
