--- a/core/copies/place.go
+++ b/core/copies/place.go
@@ -8,64 +8,64 @@
 	"radishwell/core"
 )
 
-// choice is a host for one more copy of a model.
-type choice struct {
+// candidate is a host for one more copy of a model.
+type candidate struct {
 	host  *Host
 	evict []core.ModelName
 	from  core.Tier
 	loss  float64
-	// took is how long the copy takes, with the end of the requests that use what
-	// is given up.
+	// took is the duration of the load, including the time to finish the requests of the
+	// evicted models.
 	took  time.Duration
 	score float64
 }
 
-// placeAll places copies, those that are worth most first. It answers the moment
-// after all hosts were restarted empty: with one copy of each model a round, the
-// hosts that were left went to models asked for now and then, while the busy ones lacked
-// copies for a second more.
+// placeAll places copies in descending order of worth. Placing one copy of each model per
+// round was too slow after all hosts restarted empty: the remaining hosts went to rarely
+// requested models, while the busy ones lacked copies for another second.
 //
-// A copy changes the worth of the next one of the same model and of what it displaces
-// only; these take their new places among the others. Sorting all anew at each copy would
+// A copy changes only the worth of the next copy of the same model and of the models that
+// it displaces, so only these are ranked again. Sorting all models after each copy would
 // take most of a decision in a large fleet.
 func (w *plan) placeAll() {
-	left := w.wanted(func(core.ModelName) bool { return true })
-	for len(left) > 0 {
-		first := left[0]
-		left = left[1:]
+	remaining := w.rank(func(core.ModelName) bool { return true })
+	for len(remaining) > 0 {
+		first := remaining[0]
+		remaining = remaining[1:]
 		if !w.place(first) {
 			continue
 		}
-		left = w.insert(left, first.name)
+		remaining = w.insert(remaining, first.name)
 		for _, m := range w.moves[len(w.moves)-1].Evict {
-			if at := slices.IndexFunc(left, func(r ranked) bool { return r.name == m }); at >= 0 {
-				left = w.insert(slices.Delete(left, at, at+1), m)
+			if at := slices.IndexFunc(remaining, func(r rankedModel) bool { return r.name == m }); at >= 0 {
+				remaining = w.insert(slices.Delete(remaining, at, at+1), m)
 			}
 		}
 	}
 }
 
-// insert puts a model at its place among others.
-func (w *plan) insert(list []ranked, name core.ModelName) []ranked {
-	r := ranked{name: name, worth: w.worth(name, w.copies[name]+1)}
-	at, _ := slices.BinarySearchFunc(list, r, compareRanked)
+// insert adds a model to a ranked list.
+func (w *plan) insert(list []rankedModel, name core.ModelName) []rankedModel {
+	r := rankedModel{name: name, worth: w.worth(name, w.copies[name]+1)}
+	at, _ := slices.BinarySearchFunc(list, r, compareWorth)
 	return slices.Insert(list, at, r)
 }
 
-// place finds the host for one more copy of a model, if that is worth it.
-func (w *plan) place(next ranked) bool {
+// place finds the host for one more copy of a model, and reports whether there is one that
+// is worth it.
+func (w *plan) place(next rankedModel) bool {
 	name, worth := next.name, next.worth
-	if w.copies[name] > 0 && worth < leastFurther {
+	if w.copies[name] > 0 && worth < minExtraWorth {
 		return false
 	}
-	var best choice
-	mayRead := w.mayRead() && w.maySpend(name)
+	var best candidate
+	canRead := w.storeFree() && w.mayUseStore(name)
 	hosts := w.hosts
-	if !mayRead {
+	if !canRead {
 		hosts = w.near[name]
 	}
 	for _, h := range hosts {
-		c, ok := w.try(h, next, mayRead)
+		c, ok := w.evaluate(h, next, canRead)
 		if ok && (best.host == nil || c.score > best.score) {
 			best = c
 		}
@@ -74,13 +74,13 @@
 		return false
 	}
 	took := best.took
-	if best.from == core.TierStore && w.nearSooner(name, w.now.Add(took)) {
+	if best.from == core.TierStore && w.nearHostIsSooner(name, w.now.Add(took)) {
 		return false
 	}
 	move := Move{
 		Copies: w.copies[name], Demand: w.demand[name], Worth: worth, Loss: best.loss,
-		Host: best.host.ID, Evict: best.evict, Load: name, From: best.from, Idle: drain(best.host, best.evict) == 0,
-		At: w.now, By: w.now.Add(took), Until: w.now.Add(settle),
+		Host: best.host.ID, Evict: best.evict, Load: name, From: best.from, Idle: drainDelay(best.host, best.evict) == 0,
+		At: w.now, By: w.now.Add(took), Until: w.now.Add(moveTTL),
 	}
 	w.moves = append(w.moves, move)
 	w.Planner.moves[move.Host] = move
@@ -90,85 +90,83 @@
 		w.copies[m] = max(0, w.copies[m]-1)
 	}
 	if best.from == core.TierStore {
-		w.loading++
-		w.starts = append(w.starts, w.now)
+		w.storeLoads++
+		w.storeStarts = append(w.storeStarts, w.now)
 	}
 	return true
 }
 
-// nearSooner tells whether a host that has a model's weights near will have loaded
-// it by a time, though it takes no order yet.
+// nearSooner reports whether a host that has a model's weights near will have loaded it
+// before the given time, though it takes no order yet.
 //
-// It answers the load of more models in turn than the hosts hold, each asked for
-// every second or two: a load from the weight store occupies a host for seconds, in
-// which it takes no other order, while one from a disk takes half a second.
-func (w *plan) nearSooner(name core.ModelName, by time.Time) bool {
+// This matters if requests cycle through more models than the hosts can hold, with one
+// request per model every second or two: a load from the weight store occupies a host for
+// seconds, in which it takes no other order, while one from a disk takes half a second.
+func (w *plan) nearHostIsSooner(name core.ModelName, by time.Time) bool {
 	for _, h := range w.near[name] {
 		if slices.Contains(h.Held, name) {
 			continue
 		}
 		begin := w.now
-		if _, at, _ := w.underWay(h); at.After(begin) {
+		if _, at, _ := w.currentLoad(h); at.After(begin) {
 			begin = at
 		}
-		if begin.Add(drainTime + w.duration(name, h.Near(name))).Before(by) {
+		if begin.Add(drainTime + w.loadDuration(name, h.Near(name))).Before(by) {
 			return true
 		}
 	}
 	return false
 }
 
-// try weighs one host for a model's next copy; mayRead tells whether it may be read
-// from the weight store.
-func (w *plan) try(h *Host, next ranked, mayRead bool) (choice, bool) {
+// evaluate scores one host for a model's next copy. canRead is set if the model may be
+// loaded from the weight store.
+func (w *plan) evaluate(h *Host, next rankedModel, canRead bool) (candidate, bool) {
 	name := next.name
 	if !h.Open || h.Leaving || slices.Contains(h.Held, name) || h.Loading == name {
-		return choice{}, false
+		return candidate{}, false
 	}
 	if _, moving := w.Planner.moves[h.ID]; moving {
-		return choice{}, false
+		return candidate{}, false
 	}
 	from := h.Near(name)
-	if from == core.TierStore && !mayRead {
-		return choice{}, false
+	if from == core.TierStore && !canRead {
+		return candidate{}, false
 	}
-	evict, loss, ok := w.room(h, name)
+	evict, loss, ok := w.makeRoom(h, name)
 	if !ok || loss > next.worth*hysteresis {
-		return choice{}, false
+		return candidate{}, false
 	}
-	took := drain(h, evict) + w.duration(name, from)
-	score := -loss - swapPenalty*took.Seconds()
+	took := drainDelay(h, evict) + w.loadDuration(name, from)
+	score := -loss - loadTimePenalty*took.Seconds()
 	if h.Limit.Named {
 		score -= limitPenalty
 	}
-	return choice{host: h, evict: evict, from: from, loss: loss, took: took, score: score}, true
+	return candidate{host: h, evict: evict, from: from, loss: loss, took: took, score: score}, true
 }
 
-// mayRead tells whether the weight store takes one more load. More loads at once
-// than it serves at full speed make each of them slower, and none is ready
-// sooner.
-func (w *plan) mayRead() bool {
-	if w.loading >= w.width.Value() {
+// storeFree reports whether the weight store can take one more load. With more loads than
+// it serves at full speed, each becomes slower and none is ready sooner.
+func (w *plan) storeFree() bool {
+	if w.storeLoads >= w.width.Value() {
 		return false
 	}
 	rate := w.service.LoadsPerSecond
-	return rate <= 0 || float64(len(w.starts)+1) <= max(1, rate*storeSpan.Seconds()*storeShare)
+	return rate <= 0 || float64(len(w.storeStarts)+1) <= max(1, rate*storeWindow.Seconds()*storeShare)
 }
 
-// maySpend tells whether a load that takes seconds may be spent on a model. Those
-// that nobody asks for leave half of the weight store's speed to the others, and
-// all of it while requests wait: on its host the load also holds up the adapters
-// and swaps that callers wait for.
-func (w *plan) maySpend(name core.ModelName) bool {
+// mayUseStore reports whether a model is worth a load from the weight store. Models without
+// demand leave half of the store's capacity to the others, and all of it while any requests
+// wait, since the load would also delay the adapters and swaps that callers wait for on its
+// host.
+func (w *plan) mayUseStore(name core.ModelName) bool {
 	if w.demand[name].Rate > 0 || w.demand[name].Waiting > 0 || len(w.demand) == 0 {
 		return true
 	}
-	return !w.waited && w.loading < max(1, w.width.Value()/2)
+	return !w.waiting && w.storeLoads < max(1, w.width.Value()/2)
 }
 
-// room returns the models that a host gives up for another and what they are
-// worth together.
-func (w *plan) room(h *Host, name core.ModelName) (evict []core.ModelName, loss float64, ok bool) {
+// makeRoom returns the models that a host evicts for another one, and their total worth.
+func (w *plan) makeRoom(h *Host, name core.ModelName) (evict []core.ModelName, loss float64, ok bool) {
 	free := h.Memory - h.Adapters
 	for _, m := range h.Held {
 		free -= w.service.Models[m].Weights
@@ -177,9 +175,9 @@
 	if free >= need {
 		return nil, 0, true
 	}
-	held := slices.DeleteFunc(slices.Clone(h.Held), func(m core.ModelName) bool { return !w.mayGiveUp(h, m, name) })
+	held := slices.DeleteFunc(slices.Clone(h.Held), func(m core.ModelName) bool { return !w.mayEvict(h, m, name) })
 	keep := func(m core.ModelName) float64 {
-		return w.worth(m, w.copies[m]) + swapPenalty*drain(h, []core.ModelName{m}).Seconds()
+		return w.worth(m, w.copies[m]) + loadTimePenalty*drainDelay(h, []core.ModelName{m}).Seconds()
 	}
 	slices.SortFunc(held, func(a, b core.ModelName) int {
 		return cmp.Or(cmp.Compare(keep(a), keep(b)), cmp.Compare(a, b))
@@ -208,9 +206,9 @@
 	return evict, loss, true
 }
 
-// drain returns how long a host takes to give models up: it ends their requests in
-// progress first.
-func drain(h *Host, evict []core.ModelName) time.Duration {
+// drainDelay returns how long a host takes to evict models, whose requests in progress it
+// finishes first.
+func drainDelay(h *Host, evict []core.ModelName) time.Duration {
 	for _, m := range evict {
 		if h.Active[m] > 0 {
 			return drainTime
@@ -219,23 +217,23 @@
 	return 0
 }
 
-// mayGiveUp tells whether a host may give up one model for another.
+// mayEvict reports whether a host may evict one model for another.
 //
-// It answers the load of more models in turn than the hosts hold, each asked for
-// every second or two and busy for as long with a request. A host ends the requests
-// of what it gives up before it loads anything, and has neither model meanwhile; most
-// hosts can be in such a wait at the same moment, their memory half empty. At most
-// moments some last copies are idle; while callers have waited for less than patience
-// only those go.
-func (w *plan) mayGiveUp(h *Host, m, name core.ModelName) bool {
-	if w.now.Sub(w.since[copyKey{h.ID, m}]) < keepTime {
+// A host finishes the requests of an evicted model before it loads anything, and serves
+// neither model meanwhile. If requests cycle through more models than the hosts can hold,
+// with one request per model every second or two that keeps it busy for as long, most hosts
+// can be draining at the same moment with half of their memory empty. Since some last
+// copies are idle at most moments, only these are evicted until callers have waited for
+// busyEvictionWait.
+func (w *plan) mayEvict(h *Host, m, name core.ModelName) bool {
+	if w.now.Sub(w.since[copyKey{h.ID, m}]) < minHoldTime {
 		return false
 	}
-	return h.Active[m] == 0 || w.copies[m] > 1 || w.waitedFor(name) >= patience
+	return h.Active[m] == 0 || w.copies[m] > 1 || w.waitTime(name) >= busyEvictionWait
 }
 
-// waitedFor returns for how long requests have waited for a model without a copy.
-func (w *plan) waitedFor(name core.ModelName) time.Duration {
+// waitTime returns how long requests have waited for a model without a copy.
+func (w *plan) waitTime(name core.ModelName) time.Duration {
 	at, ok := w.waits[name]
 	if !ok {
 		return 0
@@ -243,8 +241,8 @@
 	return w.now.Sub(at)
 }
 
-// duration returns how long a load takes.
-func (w *plan) duration(name core.ModelName, from core.Tier) time.Duration {
+// loadDuration returns how long a load takes.
+func (w *plan) loadDuration(name core.ModelName, from core.Tier) time.Duration {
 	m := w.service.Models[name]
 	switch from {
 	case core.TierMemory:
@@ -252,7 +250,7 @@
 	case core.TierDisk:
 		return m.FromDisk
 	}
-	// Loads beyond those served at full speed share it.
-	over := float64(w.loading+1) / float64(w.width.Value())
+	// Loads beyond the store's width share its speed.
+	over := float64(w.storeLoads+1) / float64(w.width.Value())
 	return time.Duration(float64(m.Load) * max(1, over))
 }
--- a/core/copies/plan.go
+++ b/core/copies/plan.go
@@ -10,75 +10,74 @@
 )
 
 const (
-	// silentWorth is the worth of the first copy of a model that nobody has asked
-	// for lately: less than that of a model asked for once in ten minutes.
-	silentWorth = 0.001
-	// startCopies is how many copies of a model are kept while nothing is known of
-	// demand yet: a model of which hosts start with several is a busy one.
-	startCopies = 3
-	// waitingWorth is what each request that waits adds to the worth of a copy,
-	// as if it had come in a second of its own.
+	// idleWorth is the worth of the first copy of a model without recent demand. It is less
+	// than that of a model with one request in ten minutes.
+	idleWorth = 0.001
+	// initialCopies is how many copies of a model are kept while demand is unknown, since a
+	// model of which hosts start with several copies is a busy one.
+	initialCopies = 3
+	// waitingWorth is what each waiting request adds to the worth of a copy, as if it were
+	// one request a second.
 	waitingWorth = 1.0
-	// furtherWorth is the worth of each copy after the first, as a part of the
-	// one before, where one copy carries the load: a second then saves a load only
-	// when its host is lost.
-	furtherWorth = 0.03
-	// leastFurther is the least worth of a further copy. Below it the load is not
-	// paid back, even where memory is free.
-	leastFurther = 0.02
-	// easyLoad is the part of an engine's time from which its requests begin to be
-	// late, and fullLoad that from which it serves no more in time, which are then
-	// fullShare of what comes at that load: a prompt that is read holds up the
-	// others for a quarter of a second, so queues form well before an engine is
-	// busy all the time.
-	easyLoad  = 0.3
-	fullLoad  = 0.8
-	fullShare = 0.6
-	// swapWorth is the worth of a first copy to callers who bear a load from a
-	// host's disk, as a part of that to callers who do not.
-	swapWorth = 0.4
-	// hysteresis is how much of a new copy's worth the copies it displaces may
-	// have. Without it two models asked for about as often displace each other
-	// again and again.
+	// extraCopyFactor is the worth of each copy after the first, as a fraction of the
+	// previous one, if one copy carries the load. Such a copy only saves a load if the host
+	// of the first one is lost.
+	extraCopyFactor = 0.03
+	// minExtraWorth is the least worth of an additional copy. Below it the copy does not
+	// pay for its load, even if memory is free.
+	minExtraWorth = 0.02
+	// queueingLoad is the utilization of an engine above which its requests begin to be
+	// late. At saturationLoad only saturationShare of the requests are in time, and the
+	// number served in time grows no further. Queues form well before an engine is fully
+	// busy because each prefill delays the other requests by a quarter of a second.
+	queueingLoad    = 0.3
+	saturationLoad  = 0.8
+	saturationShare = 0.6
+	// diskWorthFactor is the worth of a first copy to callers who can wait for a load from a
+	// host's disk, as a fraction of its worth to those who cannot.
+	diskWorthFactor = 0.4
+	// hysteresis is the highest worth of the displaced copies as a fraction of the new
+	// copy's worth. Without it two models with about equal demand would displace each other
+	// repeatedly.
 	hysteresis = 0.6
-	// settle is for how long a move that was told counts as under way without
-	// being seen in the host's reports: two exchanges with its agent.
-	settle = 1500 * time.Millisecond
-	// takeUp is how long a move is on its way to its agent at the most, on a sound
+	// moveTTL is how long a move that was sent counts as under way without being visible in
+	// the host's reports: two exchanges with its agent.
+	moveTTL = 1500 * time.Millisecond
+	// deliveryTime is the longest time that a move takes to reach its agent on a healthy
 	// network.
-	takeUp = 100 * time.Millisecond
-	// storeShare is the part of the weight store's rate that is used, since hosts
-	// whose loads this process cannot see load too.
+	deliveryTime = 100 * time.Millisecond
+	// storeShare is the fraction of the weight store's rate that is used, since hosts that
+	// this process cannot see use the store too.
 	storeShare = 0.9
-	// storeSpan is over how long that rate is counted.
-	storeSpan = 5 * time.Second
-	// keepTime is how long a copy stays once it is there: the requests that waited
-	// for it have begun there by then. Kept for longer, it stands in the way of the
-	// models that other callers wait for.
-	keepTime = 1200 * time.Millisecond
-	// drainTime is how long a host takes to give up a model, whose requests in
-	// progress it ends first.
+	// storeWindow is the window over which that rate is measured.
+	storeWindow = 5 * time.Second
+	// minHoldTime is how long a new copy is exempt from eviction, so that the requests that
+	// waited for it have started. A longer time would block models that other callers wait
+	// for.
+	minHoldTime = 1200 * time.Millisecond
+	// drainTime is how long a host takes to evict a model with requests in progress, which
+	// it finishes first.
 	drainTime = time.Second
-	// patience is how long callers wait for a model before a last copy of another
-	// that is in use is given up for it. Without such a bound callers of a model whose
-	// hosts are all in use would wait until they leave.
-	patience = 2 * time.Second
-	// swapPenalty is the worth of a second of loading time when hosts are weighed
-	// against each other for the same copy: about what its callers lose by it. Copies
-	// then go where the weights are in memory or on disk.
-	swapPenalty = 0.3
-	// limitPenalty is that of a host which names a rate limit.
+	// busyEvictionWait is how long callers wait for a model before a last copy of another
+	// model that is in use is evicted for it. Without this bound, callers of a model whose
+	// hosts are all in use would wait until they give up.
+	busyEvictionWait = 2 * time.Second
+	// loadTimePenalty is the cost of a second of loading time in the choice among hosts for the
+	// same copy: about what its callers lose by it. Copies then go where the weights are in
+	// memory or on disk.
+	loadTimePenalty = 0.3
+	// limitPenalty is the cost of a host with a rate limit in that choice.
 	limitPenalty = 1.0
 )
 
-// Demand is how much a model is asked for, over all entries.
+// Demand is the demand for a model over all entries.
 type Demand struct {
-	// Rate is requests a second, Hasty those of them whose target is shorter than
-	// a load from a host's disk takes.
+	// Rate is in requests per second. Hasty is the part of Rate whose target latency is
+	// shorter than a load from a host's disk.
 	Rate, Hasty float64
-	// Work is the part of one engine's time that the requests take.
+	// Work is the fraction of one engine's time that the requests take.
 	Work float64
-	// Waiting counts the requests that wait for a copy.
+	// Waiting is the number of requests that wait for a copy.
 	Waiting int
 }
 
@@ -87,83 +86,83 @@
 	return Demand{Rate: d.Rate + e.Rate, Hasty: d.Hasty + e.Hasty, Work: d.Work + e.Work, Waiting: d.Waiting + e.Waiting}
 }
 
-// Host is an upstream host as the planner sees it.
+// Host is the planner's view of an upstream host.
 type Host struct {
 	ID core.HostName
-	// Open tells that the host takes an order now: it is reached, not leaving and
-	// not busy.
+	// Open is set if the host takes an order now: it is reachable, not leaving and not
+	// busy.
 	Open bool
-	// Seen is when the host gave the report that all this is from.
+	// Seen is when the host's agent took the report that all of this comes from.
 	Seen time.Time
-	// Leaving hosts' copies do not count.
+	// Leaving is set if the host is leaving. Its copies are not counted.
 	Leaving bool
-	// Limit is the rate of requests that the host takes.
+	// Limit is the host's rate limit.
 	Limit core.RateLimit
 	Held  []core.ModelName
 	// Active counts the requests in progress by model.
 	Active map[core.ModelName]int
-	// Loading is the model on its way, there at LoadedBy.
+	// Loading is the model that is being loaded, and LoadedBy is when the load should be
+	// done.
 	Loading  core.ModelName
 	LoadedBy time.Time
 	Memory   core.Bytes
-	// Adapters is the memory that loaded adapters take.
+	// Adapters is the memory used by loaded adapters.
 	Adapters core.Bytes
-	// InMemory and OnDisk are the models whose weights are near the host.
+	// InMemory and OnDisk are the models whose weights are in the host's memory or on its
+	// disk.
 	InMemory, OnDisk []core.ModelName
 }
 
-// Near tells where the host has a copy of a model's weights.
+// Near returns the nearest tier from which the host can load a model.
 func (h *Host) Near(name core.ModelName) core.Tier {
 	return core.NearestTier(name, h.InMemory, h.OnDisk)
 }
 
-// Move is the next change of one host: the models to give up, then the one to
-// load.
+// Move is the next change on one host: the models to evict, then the one to load.
 type Move struct {
 	Host  core.HostName
 	Evict []core.ModelName
 	Load  core.ModelName
 	From  core.Tier
-	// Idle tells that the move was chosen since no requests for what it gives up are in
-	// progress.
+	// Idle is set if none of the evicted models has requests in progress.
 	Idle bool
-	// Why the move was made, for the log: the copies there were, what the model
-	// is asked for, and what the copy is worth against those it displaces.
+	// The following fields explain the move in the log: the number of copies before it, the
+	// demand for the model, and the worth of the copy and of those that it displaces.
 	Copies      int
 	Demand      Demand
 	Worth, Loss float64
-	// At is when the move was made, By when the load should be done, and Until when
-	// the move counts as not taken up if no report shows it.
+	// At is when the move was decided, By when the load should be done, and Until when the
+	// move is given up if no report shows it.
 	At, By, Until time.Time
 }
 
-// Planner decides moves for the hosts of one service. Set the exported fields
-// before use. It is not safe for use by several goroutines.
+// Planner decides the moves for the hosts of one service. Set the exported fields before
+// use. It is not safe for concurrent use.
 type Planner struct {
-	// Parallel is how many loads the weight store is taken to serve at once at full speed
-	// before any was seen.
+	// Parallel is the assumed number of loads that the weight store serves at once at full
+	// speed until one has been measured.
 	Parallel int
 
 	width Width
 
-	moves  map[core.HostName]Move
-	starts []time.Time
-	// since is when a copy was first seen.
+	moves       map[core.HostName]Move
+	storeStarts []time.Time
+	// since is when each copy was first seen.
 	since map[copyKey]time.Time
 	ready map[core.ModelName]time.Time
-	// waits is since when requests wait for a model that has no copy.
+	// waits is the time since which requests have been waiting for a model without a copy.
 	waits map[core.ModelName]time.Time
 }
 
-// copyKey names a copy of a model on a host.
+// copyKey identifies a copy of a model on a host.
 type copyKey struct {
 	host  core.HostName
 	model core.ModelName
 }
 
-// note keeps when each copy was first seen. Those of a first look have been there
-// for a time that is not known, and count as old.
-func (p *Planner) note(now time.Time, hosts []*Host) {
+// noteCopies records when each copy was first seen. The age of the copies in the first call
+// is unknown, and they count as old.
+func (p *Planner) noteCopies(now time.Time, hosts []*Host) {
 	old := p.since
 	p.since = make(map[copyKey]time.Time, len(old))
 	for _, h := range hosts {
@@ -178,87 +177,87 @@
 	}
 }
 
-// plan is the work on one decision.
+// plan is the state of one decision.
 type plan struct {
 	*Planner
 	now     time.Time
 	service *rtable.Service
 	hosts   []*Host
 	demand  map[core.ModelName]Demand
-	// copies counts, by model, the hosts that hold it or are about to, less what lacks
-	// adds up to.
+	// copies is the number of hosts, by model, that hold it or are about to, less the
+	// shortfall.
 	copies map[core.ModelName]int
-	// lacks is, by model, what the copies on hosts that name a rate limit lack of whole
-	// ones.
-	lacks map[core.ModelName]float64
-	// near are the hosts that can load a model without the weight store.
-	near    map[core.ModelName][]*Host
-	loading int
-	// waited tells that requests wait for some model.
-	waited bool
-	moves  []Move
+	// shortfall is, by model, how many whole copies are missing because hosts with a rate
+	// limit serve only part of the load.
+	shortfall map[core.ModelName]float64
+	// near lists the hosts that can load a model without the weight store.
+	near       map[core.ModelName][]*Host
+	storeLoads int
+	// waiting is set if requests wait for any model.
+	waiting bool
+	moves   []Move
 }
 
-// Plan returns the moves to make now. Equal inputs give equal moves.
+// Plan returns the moves to make now. It is deterministic: equal inputs give equal moves.
 func (p *Planner) Plan(now time.Time, s *rtable.Service, hosts []*Host, demand map[core.ModelName]Demand) []Move {
-	p.settle(now, hosts)
-	p.note(now, hosts)
+	p.expireMoves(now, hosts)
+	p.noteCopies(now, hosts)
 	p.width.First = float64(p.Parallel)
 	p.width.Note(now, hosts, func(m core.ModelName) time.Duration { return s.Models[m].Load })
 	w := &plan{
 		Planner: p, now: now, service: s, hosts: hosts, demand: demand,
-		copies: map[core.ModelName]int{}, lacks: map[core.ModelName]float64{}, near: make(map[core.ModelName][]*Host, len(s.Models)),
+		copies: map[core.ModelName]int{}, shortfall: map[core.ModelName]float64{}, near: make(map[core.ModelName][]*Host, len(s.Models)),
 	}
-	w.count()
-	w.noteWaits()
+	w.countCopies()
+	w.recordWaits()
 	w.placeAll()
-	w.foresee()
+	w.predictReady()
 	return w.moves
 }
 
-// Ready returns when a model's next copy should be there; false where none is
-// on its way.
+// Ready returns when a model's next copy should be available, false if none is on its way.
 func (p *Planner) Ready(name core.ModelName) (time.Time, bool) {
 	at, ok := p.ready[name]
 	return at, ok
 }
 
-// Width returns how many loads the weight store is taken to serve at once, and Learn takes
-// over what another process found out.
+// Width returns the estimated number of loads that the weight store serves at once at full
+// speed.
 func (p *Planner) Width() float64 { return p.width.value }
 
-// Learn takes over how many loads the weight store serves at once.
+// Learn adopts the width that another process measured.
 func (p *Planner) Learn(width float64) { p.width.Learn(width) }
 
-// shown tells whether a host's report shows that the move is carried out.
-func (m *Move) shown(h *Host) bool { return slices.Contains(h.Held, m.Load) || h.Loading == m.Load }
+// confirmed reports whether a host's report shows that the move is being carried out.
+func (m *Move) confirmed(h *Host) bool { return slices.Contains(h.Held, m.Load) || h.Loading == m.Load }
 
-// void tells whether a host that could have taken the move up takes orders without
-// it. Counted as under way until it runs out, a move that an agent dropped kept its
-// host from others for a second and a half.
-func (m *Move) void(h *Host) bool { return h.Open && h.Seen.After(m.At.Add(takeUp)) }
+// ignored reports whether the host takes orders although the move must have reached its
+// agent. Without this check, a move that an agent dropped kept its host from other moves
+// for a second and a half.
+func (m *Move) ignored(h *Host) bool { return h.Open && h.Seen.After(m.At.Add(deliveryTime)) }
 
-// settle forgets moves that the hosts' reports show, or that were not taken up.
-func (p *Planner) settle(now time.Time, hosts []*Host) {
+// expireMoves forgets moves that are confirmed by the hosts' reports, were ignored or have
+// expired.
+func (p *Planner) expireMoves(now time.Time, hosts []*Host) {
 	if p.moves == nil {
 		p.moves = map[core.HostName]Move{}
 	}
 	for id, m := range p.moves {
 		i := slices.IndexFunc(hosts, func(h *Host) bool { return h.ID == id })
-		if i < 0 || m.shown(hosts[i]) || m.void(hosts[i]) || !now.Before(m.Until) {
+		if i < 0 || m.confirmed(hosts[i]) || m.ignored(hosts[i]) || !now.Before(m.Until) {
 			delete(p.moves, id)
 		}
 	}
-	p.starts = slices.DeleteFunc(p.starts, func(at time.Time) bool { return now.Sub(at) >= storeSpan })
+	p.storeStarts = slices.DeleteFunc(p.storeStarts, func(at time.Time) bool { return now.Sub(at) >= storeWindow })
 }
 
-// noteWaits notes whether requests wait at all, and keeps since when they do for models
+// recordWaits records whether any requests wait, and since when they have waited for models
 // without a copy.
-func (w *plan) noteWaits() {
+func (w *plan) recordWaits() {
 	old := w.waits
 	w.waits = map[core.ModelName]time.Time{}
 	for name, d := range w.demand {
-		w.waited = w.waited || d.Waiting > 0
+		w.waiting = w.waiting || d.Waiting > 0
 		if d.Waiting == 0 || w.copies[name] > 0 {
 			continue
 		}
@@ -270,7 +269,7 @@
 	}
 }
 
-func (w *plan) count() {
+func (w *plan) countCopies() {
 	for _, h := range w.hosts {
 		if h.Leaving {
 			continue
@@ -293,28 +292,28 @@
 		case h.Loading != "" && !slices.Contains(h.Held, h.Loading):
 			w.addCopy(h, h.Loading)
 			if h.Near(h.Loading) == core.TierStore {
-				w.loading++
+				w.storeLoads++
 			}
 		case moving:
 			w.addCopy(h, move.Load)
 			if move.From == core.TierStore {
-				w.loading++
+				w.storeLoads++
 			}
 		}
 	}
-	for name, part := range w.lacks {
+	for name, part := range w.shortfall {
 		w.copies[name] = max(0, w.copies[name]-int(math.Round(part)))
 	}
 }
 
-// addCopy counts a copy. Those on hosts that name a rate limit count for the part of the model's
-// requests that these take.
+// addCopy counts a copy. A copy on a host with a rate limit counts for the fraction of the
+// model's requests that the limit allows.
 //
-// It answers the load of a model whose hosts are in need all at once: its callers are
-// refused there, and its copies, few for the work, seem to be enough.
+// Without this, a model whose hosts all have rate limits would seem to have enough copies
+// while its callers are refused.
 func (w *plan) addCopy(h *Host, name core.ModelName) {
 	w.copies[name]++
 	if rate := w.demand[name].Rate; h.Limit.Named && rate > h.Limit.Rate {
-		w.lacks[name] += 1 - h.Limit.Rate/rate
+		w.shortfall[name] += 1 - h.Limit.Rate/rate
 	}
 }
--- a/core/copies/plan_test.go
+++ b/core/copies/plan_test.go
@@ -17,7 +17,8 @@
 
 const gb = core.Bytes(1e9)
 
-// service has models m-00, m-01, ... of 70 GB, and hosts of 145 GB: two each.
+// service returns a service with models m-00, m-01, ... of 70 GB and hosts of 145 GB, which
+// hold two models each.
 func service(models int) *rtable.Service {
 	s := &rtable.Service{
 		Name: "llm", Models: map[core.ModelName]rtable.Model{}, Memory: 145 * gb, Batch: 64, LoadsPerSecond: 1.6,
@@ -33,7 +34,7 @@
 
 func name(i int) core.ModelName { return core.ModelName(fmt.Sprintf("m-%02d", i)) }
 
-// host is a host whose disk has the models it holds and those in disk.
+// host returns an open host whose disk has the models that it holds and those in disk.
 func host(id string, held []core.ModelName, disk ...core.ModelName) *copies.Host {
 	return &copies.Host{
 		ID: core.HostName(id), Open: true, Held: held, Memory: 145 * gb, OnDisk: slices.Concat(held, disk),
@@ -67,38 +68,37 @@
 		got := p.Plan(t0, service(2), []*copies.Host{host("a", names(0))}, nil)
 		wantMoves(t, got, "a: m-01 for []")
 	})
-	t.Run("in the place of a further copy, not of a last one", func(t *testing.T) {
+	t.Run("in place of an additional copy, not of a last one", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
 		hosts := []*copies.Host{host("a", names(0, 1)), host("b", names(0, 2))}
 		demand := map[core.ModelName]copies.Demand{name(2): {Rate: 0.001}}
 		wantMoves(t, p.Plan(t0, service(4), hosts, demand), "a: m-03 for [m-00]")
 	})
-	t.Run("not while nothing is known of demand", func(t *testing.T) {
-		// Hosts start with several copies of the models that are busy. Their places
-		// went to models that nobody asked for, and the first callers found one host
-		// for most of the load.
+	t.Run("not while demand is unknown", func(t *testing.T) {
+		// Hosts start with several copies of the busy models. If models without demand
+		// replaced these, the first callers would find one host for most of the load.
 		p := &copies.Planner{Parallel: 4}
 		hosts := []*copies.Host{host("a", names(0, 1)), host("b", names(0, 2))}
 		wantMoves(t, p.Plan(t0, service(4), hosts, nil))
 	})
-	t.Run("what is waited for comes first and may displace what is asked for seldom", func(t *testing.T) {
+	t.Run("models with waiting requests come first and may displace rarely requested ones", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
 		demand := map[core.ModelName]copies.Demand{name(0): {Rate: 0.1}, name(1): {Rate: 0.3}, name(2): {Rate: 0.1, Waiting: 1}}
 		got := p.Plan(t0, service(3), []*copies.Host{host("a", names(0, 1), name(2))}, demand)
 		wantMoves(t, got, "a: m-02 for [m-00]")
 	})
-	t.Run("models asked for alike do not displace each other", func(t *testing.T) {
-		// Two models are asked for as often and one place is left. Without a
-		// hysteresis each report would swap them, and neither would be there.
+	t.Run("models with similar demand do not displace each other", func(t *testing.T) {
+		// Two models have similar demand, and there is room for one of them. Without
+		// hysteresis they would be swapped with each report, and neither would be
+		// available.
 		p := &copies.Planner{Parallel: 4}
 		demand := map[core.ModelName]copies.Demand{name(0): {Rate: 0.20}, name(1): {Rate: 0.20}, name(2): {Rate: 0.25}}
 		wantMoves(t, p.Plan(t0, service(3), []*copies.Host{host("a", names(0, 1), name(2))}, demand))
 	})
 }
 
-// All hosts lost power and are back with nothing loaded. Most callers ask for one
-// model, a few for the others. Each host got another model, so the busy one had a
-// single copy, its requests queued there, and most of them came late.
+// Guards against a busy model that gets a single copy after a restart of all hosts. Each
+// host was given another model, so most requests queued at one host and were late.
 func TestRestart(t *testing.T) {
 	p := &copies.Planner{Parallel: 4}
 	disk := names(0, 1, 2)
@@ -109,18 +109,18 @@
 	wantMoves(t, p.Plan(t0, service(3), hosts, demand), "a: m-00 for []", "b: m-00 for []", "c: m-00 for []")
 }
 
-// The copy goes where the weights are near: a load from the store takes seven
-// times as long, and holds up the others.
+// Guards against a load from the store while another host has the weights near. It takes
+// seven times as long and delays other loads.
 func TestNearestHost(t *testing.T) {
 	p := &copies.Planner{Parallel: 4}
 	hosts := []*copies.Host{host("a", nil), host("b", names(0), name(1))}
 	wantMoves(t, p.Plan(t0, service(2), hosts, nil), "b: m-01 for []")
 }
 
-// A caller waits for a model that one host has on its disk; that host ends another
-// load in half a second. A free host began to read the weights from the store, which
-// took six seconds and kept it from every other change; with four hosts so occupied
-// the callers of all models that were not held waited for seconds.
+// Guards against a load from the store although a host with the weights on its disk ends
+// another load in half a second. The load from the store took six seconds and kept a free
+// host from every other change. With four hosts so occupied, the callers of all models
+// without a copy waited for seconds.
 func TestWaitsForNearHost(t *testing.T) {
 	demand := map[core.ModelName]copies.Demand{name(0): {Rate: 0.7, Waiting: 1}}
 	hosts := func(left time.Duration) []*copies.Host {
@@ -131,7 +131,7 @@
 	only0 := func(moves []copies.Move) []copies.Move {
 		return slices.DeleteFunc(moves, func(m copies.Move) bool { return m.Load != name(0) })
 	}
-	t.Run("that is ready sooner", func(t *testing.T) {
+	t.Run("one that is ready sooner", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
 		wantMoves(t, only0(p.Plan(t0, service(3), hosts(500*time.Millisecond), demand)))
 	})
@@ -139,7 +139,7 @@
 		p := &copies.Planner{Parallel: 4}
 		wantMoves(t, only0(p.Plan(t0, service(3), hosts(5*time.Second), demand)), "a: m-00 for []")
 	})
-	t.Run("not for one that leaves", func(t *testing.T) {
+	t.Run("not for one that is leaving", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
 		list := hosts(0)
 		list[1].Leaving = true
@@ -147,9 +147,9 @@
 	})
 }
 
-// A model is waited for. One host has room for it and the weights on its disk, the
-// other has them in memory and gives up a model that is asked for every half minute.
-// Weighed by what is given up alone, callers waited for the slower load.
+// Guards against the choice of a slower load because only the worth of the evicted models
+// is compared. Here one host has free memory and the weights on its disk, and the other has
+// the weights in memory and evicts a model with a request every half minute.
 func TestCallersWaitForLess(t *testing.T) {
 	p := &copies.Planner{Parallel: 4}
 	hosts := []*copies.Host{host("a", names(1), name(0)), host("b", names(2, 3), name(0))}
@@ -160,10 +160,11 @@
 	wantMoves(t, p.Plan(t0, service(4), hosts, demand), "a: m-03 for []", "b: m-00 for [m-03]")
 }
 
-// Every model is asked for every second or two, and one more than the hosts hold is
-// waited for. Its host gave up a model in the middle of its requests: it waited for
-// these to end and served neither model's callers meanwhile, so that more models were
-// waited for, until most hosts did nothing else.
+// Guards against the eviction of models in use while others are idle. Every model gets a
+// request every second or two, and there is one more than the hosts can hold. A host that
+// evicted a model in use waited for its requests to finish and served neither model's
+// callers meanwhile, so that more models had waiting requests, until most hosts were only
+// draining.
 func TestIdleModelsGoFirst(t *testing.T) {
 	hosts := func() []*copies.Host {
 		list := []*copies.Host{host("a", names(0, 1), name(4)), host("b", names(2, 3), name(4))}
@@ -179,7 +180,7 @@
 		p := &copies.Planner{Parallel: 4}
 		wantMoves(t, p.Plan(t0, service(5), hosts(), demand), "b: m-04 for [m-03]")
 	})
-	t.Run("none while all are in use, but after a time one that is", func(t *testing.T) {
+	t.Run("none while all are in use, until requests have waited for a while", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
 		busy := hosts()
 		busy[1].Active[name(3)] = 1
@@ -187,7 +188,7 @@
 		wantMoves(t, p.Plan(t0.Add(time.Second), service(5), busy, demand))
 		assert.Equal(t, len(p.Plan(t0.Add(2*time.Second), service(5), busy, demand)), 1)
 	})
-	t.Run("a further copy goes though it is in use", func(t *testing.T) {
+	t.Run("an additional copy is evicted though it is in use", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
 		busy := hosts()
 		busy[1].Held = names(0, 3)
@@ -197,8 +198,8 @@
 	})
 }
 
-// A host has a large model and two small ones, and has to make room for another large
-// one. It gave up a small model as well, which did not help.
+// Guards against the eviction of more models than needed. A host with one large and two
+// small models has to make room for another large one, and evicted a small model in vain.
 func TestGivesUpNoMoreThanNeeded(t *testing.T) {
 	s := service(4)
 	for i, size := range []core.Bytes{30, 30, 70, 70} {
@@ -222,12 +223,12 @@
 		return hosts
 	}
 	t.Run("no more loads at once than it serves at full speed", func(t *testing.T) {
-		// Everything was restarted, and all models are missing. Nine loads at once
-		// take nine shares of the store's speed, and none is ready sooner.
+		// Everything was restarted, and no model has a copy. Nine loads at once would share
+		// the store's speed, and none would be ready sooner.
 		p := &copies.Planner{Parallel: 4}
 		assert.Equal(t, len(p.Plan(t0, service(30), many(9), nil)), 4)
 	})
-	t.Run("loads that others began count", func(t *testing.T) {
+	t.Run("loads that others began are counted", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
 		hosts := many(9)
 		for _, h := range hosts[:3] {
@@ -266,9 +267,8 @@
 		wantMoves(t, p.Plan(t0, service(8), hosts(), d))
 	})
 	t.Run("more when demand moves to a model that one host holds", func(t *testing.T) {
-		// Demand moves to another model within seconds, and its one host turns a
-		// third of the arrivals away while models asked for every few seconds keep
-		// their places.
+		// Demand moves to another model within seconds, and its only host refuses a third
+		// of the requests while models with a request every few seconds keep their memory.
 		p := &copies.Planner{Parallel: 4}
 		d := quiet()
 		d[name(0)] = copies.Demand{Rate: 9, Hasty: 6, Work: 0.9}
@@ -277,10 +277,11 @@
 	})
 }
 
-// Everything was restarted and callers come back: a model is asked for several
-// times over what one host can do. Measured by how many requests are late, a
-// second copy seemed worth nothing, since all were late with two as with one; the
-// model stayed on one host while others loaded what is asked for seldom.
+// Guards against additional copies that seem worthless at high overload. After a restart, a
+// model has several times the demand that one host can serve. If the worth were the change
+// in the fraction of late requests, a second copy would be worth nothing, since all
+// requests are late with two copies as with one; the model stayed on one host while others
+// loaded rarely requested models.
 func TestFarTooFewCopies(t *testing.T) {
 	p := &copies.Planner{Parallel: 4}
 	hosts := []*copies.Host{host("a", names(0, 1)), host("b", names(2, 3), name(0)), host("c", names(4, 5), name(0))}
@@ -291,9 +292,10 @@
 	wantMoves(t, p.Plan(t0, service(6), hosts, demand), "b: m-00 for [m-02]", "c: m-00 for [m-04]")
 }
 
-// A caller waits six seconds for a model to be loaded. In the moment it is there
-// its place goes to another copy of a busy model, the caller's request is turned
-// away, and the load begins anew on another host until the caller has left.
+// Guards against a model that is evicted as soon as it is loaded. A caller waits six
+// seconds for a model. If it were replaced at once by another copy of a busy model, the
+// caller's request would be refused, and the load would start again on another host until
+// the caller gives up.
 func TestLoadedModelServesFirst(t *testing.T) {
 	p := &copies.Planner{Parallel: 4}
 	others := []*copies.Host{host("b", names(2, 3)), host("c", names(4, 5))}
@@ -314,7 +316,7 @@
 	p := &copies.Planner{Parallel: 4}
 	hosts := func() []*copies.Host { return []*copies.Host{host("a", names(0))} }
 	assert.Equal(t, len(p.Plan(t0, service(3), hosts(), nil)), 1)
-	t.Run("are not told twice", func(t *testing.T) {
+	t.Run("are not returned twice", func(t *testing.T) {
 		wantMoves(t, p.Plan(t0.Add(200*time.Millisecond), service(3), hosts(), nil))
 	})
 	t.Run("end with a report of a host that takes orders without them", func(t *testing.T) {
@@ -326,10 +328,10 @@
 		later[0].Seen = t0.Add(150 * time.Millisecond)
 		assert.Equal(t, len(p.Plan(t0.Add(200*time.Millisecond), service(3), later, nil)), 1)
 	})
-	t.Run("are told again when nobody took them up", func(t *testing.T) {
+	t.Run("are returned again when no report shows them", func(t *testing.T) {
 		assert.Equal(t, len(p.Plan(t0.Add(3*time.Second), service(3), hosts(), nil)), 1)
 	})
-	t.Run("tell when the model will be there", func(t *testing.T) {
+	t.Run("determine when the model will be ready", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
 		p.Plan(t0, service(2), hosts(), nil)
 		at, ok := p.Ready(name(1))
@@ -345,16 +347,16 @@
 	leaving.Leaving, busy.Open = true, false
 	p := &copies.Planner{Parallel: 4}
 	wantMoves(t, p.Plan(t0, service(2), []*copies.Host{leaving, busy}, nil))
-	t.Run("copies of a leaving host do not count", func(t *testing.T) {
+	t.Run("copies on a leaving host are not counted", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
 		got := p.Plan(t0, service(1), []*copies.Host{leaving, host("c", nil)}, nil)
 		wantMoves(t, got, "c: m-00 for []")
 	})
 }
 
-// Every host is full at any moment of a long play of moving demand: a move never
-// needs more memory than its host has, and a model that is waited for is loaded
-// beside those that take most of the load.
+// Guards against moves that exceed a host's memory, and against models with waiting
+// requests that are never loaded beside the busy ones, in a long simulation of moving
+// demand on full hosts.
 func TestMovesFit(t *testing.T) {
 	s := service(12)
 	s.LoadsPerSecond = 100
@@ -376,15 +378,15 @@
 			hosts[i] = host(string(m.Host), held)
 		}
 		waited := slices.ContainsFunc(hosts, func(h *copies.Host) bool { return slices.Contains(h.Held, name((step*7)%12)) })
-		assert.Assert(t, waited, "step %d: what is waited for has its place beside busy models", step)
+		assert.Assert(t, waited, "step %d: a model with waiting requests is loaded beside busy ones", step)
 		for _, h := range hosts {
 			h.Open = true
 		}
 	}
 }
 
-// Guards against callers who are refused at hosts that take few requests a second, since
-// the model's copies there count as whole ones.
+// Guards against callers who are refused at hosts with a low rate limit because the model's
+// copies there count as whole ones.
 func TestLimitedCopies(t *testing.T) {
 	plan := func(rate float64, limits ...float64) []copies.Move {
 		hosts := []*copies.Host{host("a", names(0, 1)), host("b", names(0, 2)), host("c", names(3), name(0))}
@@ -398,7 +400,7 @@
 	wantMoves(t, plan(6, 1, 1), "c: m-00 for []")
 	wantMoves(t, plan(6, 1), "c: m-00 for []")
 	wantMoves(t, plan(0.8, 1, 1))
-	t.Run("loaded at hosts that name no rate before others", func(t *testing.T) {
+	t.Run("hosts without a rate limit are preferred", func(t *testing.T) {
 		hosts := []*copies.Host{host("a", names(0)), host("b", names(1), name(2)), host("c", names(3), name(2))}
 		hosts[1].Limit = core.RateLimit{Named: true, Rate: 10}
 		p := &copies.Planner{Parallel: 4}
--- a/core/copies/play_test.go
+++ b/core/copies/play_test.go
@@ -17,80 +17,81 @@
 	"radishwell/core/rtable"
 )
 
-// policy decides moves as copies.Planner does.
+// policy decides moves with the signature of copies.Planner.Plan.
 type policy func(now time.Time, s *rtable.Service, hosts []*copies.Host, demand map[core.ModelName]copies.Demand) []copies.Move
 
-// pattern is a load and the hosts that bear it.
+// pattern is a load and the hosts that serve it.
 type pattern struct {
 	name          string
 	models, hosts int
-	// memory is a host's in models, disk how many models each host has on its disk
-	// when the play begins.
+	// memory is a host's capacity in models, and disk is how many models each host has on
+	// its disk at the start of the simulation.
 	memory, disk int
-	// perSecond is the rate of all requests; the first busy models get half of it.
+	// perSecond is the rate of all requests. The first busy models get half of it.
 	perSecond float64
 	busy      int
 	load      time.Duration
-	// moves is when the busy models change, lost when the first two hosts lose what
-	// they hold, restart when all do.
+	// moves is when the busy models change, lost when the first two hosts lose their
+	// models, and restart when all hosts do.
 	moves, lost, restart time.Duration
-	// burst is when requests for the models asked for least come ten times as often,
-	// for five seconds.
+	// burst is when the rate doubles for five seconds, with half of the requests for the
+	// last three models.
 	burst time.Duration
 }
 
 const (
-	playStep   = 50 * time.Millisecond
-	playLength = time.Minute
-	playTarget = 2 * time.Second
-	playRun    = 1500 * time.Millisecond
-	playLeave  = 8 * time.Second
+	simStep         = 50 * time.Millisecond
+	simLength       = time.Minute
+	simTarget       = 2 * time.Second
+	requestDuration = 1500 * time.Millisecond
+	callerPatience  = 8 * time.Second
 )
 
-// waiting is a request that waits for a copy, running one that a host works on.
-type waiting struct {
+// waitingRequest is a request that waits for a copy.
+type waitingRequest struct {
 	model core.ModelName
 	at    time.Time
 }
 
-type running struct {
+type runningRequest struct {
 	model core.ModelName
 	ends  time.Time
 }
 
-// playHost is a host that ends the requests of what it gives up before it loads.
-type playHost struct {
+// simHost is a host that finishes the requests of evicted models before it loads.
+type simHost struct {
 	id      core.HostName
 	held    []core.ModelName
 	disk    map[core.ModelName]bool
-	runs    []running
+	runs    []runningRequest
 	move    *copies.Move
 	readyAt time.Time
 }
 
-// play is one run of a policy against a pattern.
-type play struct {
+// simulation is one run of a policy against a pattern.
+type simulation struct {
 	pattern
 	decide  policy
 	rng     *rand.Rand
 	service *rtable.Service
-	hosts   []*playHost
-	queue   []waiting
+	hosts   []*simHost
+	queue   []waitingRequest
 	rates   map[core.ModelName]float64
-	// timely, late and left count requests by how they ended.
+	// timely, late and left count the requests by how they ended: answered within the
+	// target, answered later, or given up by their callers.
 	timely, late, left int
 }
 
-func newPlay(p pattern, decide policy) *play {
+func newSimulation(p pattern, decide policy) *simulation {
 	s := &rtable.Service{Name: "llm", Models: map[core.ModelName]rtable.Model{}, Memory: core.Bytes(p.memory) * 10 * gb, Batch: 64, LoadsPerSecond: 4}
 	for i := range p.models {
 		s.Models[name(i)] = rtable.Model{
 			Name: name(i), Weights: 10 * gb, Load: p.load, FromDisk: p.load / 12, FromMemory: p.load / 20,
 		}
 	}
-	w := &play{pattern: p, decide: decide, rng: rand.New(rand.NewPCG(7, 7)), service: s, rates: map[core.ModelName]float64{}}
+	w := &simulation{pattern: p, decide: decide, rng: rand.New(rand.NewPCG(7, 7)), service: s, rates: map[core.ModelName]float64{}}
 	for i := range p.hosts {
-		h := &playHost{id: core.HostName(fmt.Sprintf("h-%02d", i)), disk: map[core.ModelName]bool{}}
+		h := &simHost{id: core.HostName(fmt.Sprintf("h-%02d", i)), disk: map[core.ModelName]bool{}}
 		for j := range p.disk {
 			m := name((i*p.disk + j) % p.models)
 			h.disk[m] = true
@@ -103,27 +104,28 @@
 	return w
 }
 
-// share returns the part of the requests that were served in their target.
-func (w *play) share() float64 {
-	for t := time.Duration(0); t < playLength; t += playStep {
+// timelyShare runs the simulation and returns the fraction of the requests that were served
+// within their target.
+func (w *simulation) timelyShare() float64 {
+	for t := time.Duration(0); t < simLength; t += simStep {
 		now := t0.Add(t)
-		w.troubles(t)
+		w.failHosts(t)
 		w.arrive(now, t)
 		w.serve(now)
 		for _, m := range w.decide(now, w.service, w.view(now), w.demand()) {
-			i := slices.IndexFunc(w.hosts, func(h *playHost) bool { return h.id == m.Host })
+			i := slices.IndexFunc(w.hosts, func(h *simHost) bool { return h.id == m.Host })
 			w.hosts[i].move = &m
 			w.hosts[i].held = slices.DeleteFunc(w.hosts[i].held, func(n core.ModelName) bool { return slices.Contains(m.Evict, n) })
 		}
 		for _, h := range w.hosts {
-			w.carryOut(h, now)
+			w.advanceMove(h, now)
 		}
 	}
 	return float64(w.timely) / float64(w.timely+w.late+w.left)
 }
 
-// troubles has hosts lose what they hold.
-func (w *play) troubles(t time.Duration) {
+// failHosts makes hosts lose their models.
+func (w *simulation) failHosts(t time.Duration) {
 	for i, h := range w.hosts {
 		if t > 0 && (t == w.restart || t == w.lost && i < 2) {
 			h.held, h.runs, h.move = nil, nil, nil
@@ -131,16 +133,16 @@
 	}
 }
 
-func (w *play) arrive(now time.Time, t time.Duration) {
+func (w *simulation) arrive(now time.Time, t time.Duration) {
 	for m := range w.rates {
-		w.rates[m] *= math.Exp(-playStep.Seconds() / 20)
+		w.rates[m] *= math.Exp(-simStep.Seconds() / 20)
 	}
 	rate := w.perSecond
 	bursting := w.burst > 0 && t >= w.burst && t < w.burst+5*time.Second
 	if bursting {
 		rate *= 2
 	}
-	for range w.poisson(rate * playStep.Seconds()) {
+	for range w.poisson(rate * simStep.Seconds()) {
 		i := w.rng.IntN(w.models)
 		switch {
 		case bursting && w.rng.IntN(2) == 0:
@@ -152,12 +154,12 @@
 			}
 		}
 		w.rates[name(i)] += 1.0 / 20
-		w.queue = append(w.queue, waiting{model: name(i), at: now})
+		w.queue = append(w.queue, waitingRequest{model: name(i), at: now})
 	}
 }
 
-// poisson draws how many requests come in a step.
-func (w *play) poisson(mean float64) int {
+// poisson draws the number of requests that arrive in a step.
+func (w *simulation) poisson(mean float64) int {
 	n, left := 0, math.Exp(-mean)
 	for p := w.rng.Float64(); p > left; p *= w.rng.Float64() {
 		n++
@@ -165,37 +167,38 @@
 	return n
 }
 
-// serve starts the requests whose model a host holds and counts how they ended.
-func (w *play) serve(now time.Time) {
+// serve starts the requests whose model a host holds, and counts those that are answered or
+// given up.
+func (w *simulation) serve(now time.Time) {
 	for _, h := range w.hosts {
-		h.runs = slices.DeleteFunc(h.runs, func(r running) bool { return !r.ends.After(now) })
+		h.runs = slices.DeleteFunc(h.runs, func(r runningRequest) bool { return !r.ends.After(now) })
 	}
-	w.queue = slices.DeleteFunc(w.queue, func(q waiting) bool {
-		i := slices.IndexFunc(w.hosts, func(h *playHost) bool { return slices.Contains(h.held, q.model) })
+	w.queue = slices.DeleteFunc(w.queue, func(q waitingRequest) bool {
+		i := slices.IndexFunc(w.hosts, func(h *simHost) bool { return slices.Contains(h.held, q.model) })
 		waited := now.Sub(q.at)
 		switch {
-		case i >= 0 && waited < playTarget:
+		case i >= 0 && waited < simTarget:
 			w.timely++
 		case i >= 0:
 			w.late++
-		case waited >= playLeave:
+		case waited >= callerPatience:
 			w.left++
 			return true
 		default:
 			return false
 		}
-		w.hosts[i].runs = append(w.hosts[i].runs, running{model: q.model, ends: now.Add(playRun)})
+		w.hosts[i].runs = append(w.hosts[i].runs, runningRequest{model: q.model, ends: now.Add(requestDuration)})
 		return true
 	})
 }
 
-// carryOut goes on with a host's move: it ends the requests of what it gives up, then
-// loads.
-func (w *play) carryOut(h *playHost, now time.Time) {
+// advanceMove advances a host's move, which finishes the requests of evicted models before
+// it loads.
+func (w *simulation) advanceMove(h *simHost, now time.Time) {
 	if h.move == nil {
 		return
 	}
-	if slices.ContainsFunc(h.runs, func(r running) bool { return slices.Contains(h.move.Evict, r.model) }) {
+	if slices.ContainsFunc(h.runs, func(r runningRequest) bool { return slices.Contains(h.move.Evict, r.model) }) {
 		h.readyAt = time.Time{}
 		return
 	}
@@ -215,7 +218,7 @@
 	h.move, h.readyAt = nil, time.Time{}
 }
 
-func (w *play) view(now time.Time) []*copies.Host {
+func (w *simulation) view(now time.Time) []*copies.Host {
 	var out []*copies.Host
 	for _, h := range w.hosts {
 		v := &copies.Host{
@@ -233,7 +236,7 @@
 	return out
 }
 
-func (w *play) demand() map[core.ModelName]copies.Demand {
+func (w *simulation) demand() map[core.ModelName]copies.Demand {
 	out := map[core.ModelName]copies.Demand{}
 	for m, r := range w.rates {
 		out[m] = copies.Demand{Rate: r, Work: r * 0.02}
@@ -246,9 +249,8 @@
 	return out
 }
 
-// onDemand loads what is waited for, the longest first, in the place of what was used
-// least lately.
-func onDemand() policy {
+// leastRecentlyUsed loads models with waiting requests in place of the least recently used ones.
+func leastRecentlyUsed() policy {
 	used := map[copyOf]time.Time{}
 	return func(now time.Time, s *rtable.Service, hosts []*copies.Host, demand map[core.ModelName]copies.Demand) []copies.Move {
 		for _, h := range hosts {
@@ -274,17 +276,17 @@
 	model core.ModelName
 }
 
-// mostAsked loads what is waited for in the place of what is asked for least.
-func mostAsked(_ time.Time, s *rtable.Service, hosts []*copies.Host, demand map[core.ModelName]copies.Demand) []copies.Move {
+// leastRequested loads models with waiting requests in place of the least requested ones.
+func leastRequested(_ time.Time, s *rtable.Service, hosts []*copies.Host, demand map[core.ModelName]copies.Demand) []copies.Move {
 	return greedy(s, hosts, demand, func(h *copies.Host) (core.ModelName, float64) {
 		m := slices.MinFunc(h.Held, func(a, b core.ModelName) int { return cmp.Compare(demand[a].Rate, demand[b].Rate) })
 		return m, -demand[m].Rate
 	})
 }
 
-// greedy loads each model that is waited for on the open host that has its weights
-// near, or else on any, and gives up what victim names there; hosts whose victim is
-// weighed highest first.
+// greedy loads each model with waiting requests on the open host that has its weights near,
+// or on any other open host, and evicts the model that victim returns there. Hosts whose
+// victim has the highest weight are preferred.
 func greedy(s *rtable.Service, hosts []*copies.Host, demand map[core.ModelName]copies.Demand, victim func(*copies.Host) (core.ModelName, float64)) []copies.Move {
 	var moves []copies.Move
 	var names []core.ModelName
@@ -302,7 +304,7 @@
 			if !h.Open {
 				continue
 			}
-			weight := 1e6 // room that is free
+			weight := 1e6 // free memory
 			if core.Bytes(len(h.Held)+1)*10*gb > s.Memory {
 				_, weight = victim(h)
 			}
@@ -327,12 +329,13 @@
 	return moves
 }
 
-// Callers of rarely used models have their answer in time if the model is there or is
-// loaded while they bear to wait. Each pattern is a load in which a policy that looks
-// at one side only loses them: where many models take turns, what was used least
-// lately or is asked for least is as often as not in use, and its host waits for its
-// requests to end; where demand moves or hosts lose what they hold, loads from the
-// store occupy the hosts that others need.
+// Guards against a planner that serves fewer requests in time than a simple eviction
+// policy. Callers of a rarely used model get their answer in time if the model is loaded,
+// or is loaded while they still wait. Each pattern is one that a policy with a single
+// criterion handles badly. If requests cycle through many models, the least recently used
+// or least requested model is often in use, and its host waits for its requests to finish.
+// If demand moves or hosts lose their models, loads from the store occupy the hosts that
+// others need.
 func TestPolicies(t *testing.T) {
 	patterns := []pattern{
 		{name: "more models in turn than the hosts hold", models: 30, hosts: 9, memory: 3, disk: 12, perSecond: 18, load: 6 * time.Second},
@@ -346,24 +349,24 @@
 		{name: "many hosts", models: 120, hosts: 60, memory: 3, disk: 12, perSecond: 60, load: 6 * time.Second},
 		{name: "many models a host", models: 300, hosts: 4, memory: 60, disk: 120, perSecond: 40, load: 6 * time.Second},
 	}
-	// behind is how far the planner may be behind another policy, in the part of the
-	// requests that are served in time: the spread between seeds.
+	// behind is how far the planner's fraction of timely requests may be below that of
+	// another policy: the spread between seeds.
 	const behind = 0.02
 	for _, p := range patterns {
 		t.Run(p.name, func(t *testing.T) {
-			planner := newPlay(p, (&copies.Planner{Parallel: 4}).Plan).share()
-			lru := newPlay(p, onDemand()).share()
-			asked := newPlay(p, mostAsked).share()
-			t.Logf("in time: planner %.3f, on demand by last use %.3f, by demand %.3f", planner, lru, asked)
-			assert.Assert(t, planner >= lru-behind && planner >= asked-behind)
+			planner := newSimulation(p, (&copies.Planner{Parallel: 4}).Plan).timelyShare()
+			lru := newSimulation(p, leastRecentlyUsed()).timelyShare()
+			byDemand := newSimulation(p, leastRequested).timelyShare()
+			t.Logf("in time: planner %.3f, on demand by last use %.3f, by demand %.3f", planner, lru, byDemand)
+			assert.Assert(t, planner >= lru-behind && planner >= byDemand-behind)
 		})
 	}
 }
 
-// BenchmarkPlan is one decision at the size to design for: 640 hosts and 3,000 models,
-// a tenth of them asked for and a few waited for.
+// BenchmarkPlan measures one decision at the design size: 640 hosts and 3,000 models, a
+// tenth of which have demand and a few of which have waiting requests.
 func BenchmarkPlan(b *testing.B) {
-	w := newPlay(pattern{models: 3000, hosts: 640, memory: 4, disk: 20, load: 6 * time.Second}, nil)
+	w := newSimulation(pattern{models: 3000, hosts: 640, memory: 4, disk: 20, load: 6 * time.Second}, nil)
 	hosts := w.view(t0)
 	demand := map[core.ModelName]copies.Demand{}
 	for i := range 300 {
--- a/core/copies/ready.go
+++ b/core/copies/ready.go
@@ -7,13 +7,13 @@
 	"radishwell/core"
 )
 
-// foresee works out when models will have a copy: those on their way when they
-// should be there, those that are waited for after the loads before them.
-func (w *plan) foresee() {
+// predictReady computes when models will have a copy: for loads under way, their expected
+// end, and for models with waiting requests, a load after those before it.
+func (w *plan) predictReady() {
 	w.ready = map[core.ModelName]time.Time{}
 	var store []time.Time
 	for _, h := range w.hosts {
-		name, by, from := w.underWay(h)
+		name, by, from := w.currentLoad(h)
 		if name == "" {
 			continue
 		}
@@ -31,10 +31,10 @@
 		_, coming := w.ready[name]
 		return !coming && w.copies[name] == 0 && w.demand[name].Waiting > 0
 	}
-	for _, next := range w.wanted(missing) {
+	for _, next := range w.rank(missing) {
 		name := next.name
 		slices.SortFunc(store, time.Time.Compare)
-		at, from, ok := w.soonest(name, store[0])
+		at, from, ok := w.earliestLoad(name, store[0])
 		if !ok {
 			continue
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// underWay returns the load that a host carries out or is about to.
-func (w *plan) underWay(h *Host) (name core.ModelName, by time.Time, from core.Tier) {
+// currentLoad returns the load that a host carries out or is about to.
+func (w *plan) currentLoad(h *Host) (name core.ModelName, by time.Time, from core.Tier) {
 	if move, moving := w.Planner.moves[h.ID]; moving {
 		return move.Load, move.By, move.From
 	}
@@ -60,22 +60,22 @@
 	return h.Loading, by, h.Near(h.Loading)
 }
 
-// soonest returns when the first of the hosts could have a model loaded, if the
-// weight store is free from a time on.
-func (w *plan) soonest(name core.ModelName, store time.Time) (at time.Time, from core.Tier, ok bool) {
+// earliestLoad returns when the first of the hosts could have a model loaded, if the weight
+// store is free from the given time on.
+func (w *plan) earliestLoad(name core.ModelName, store time.Time) (at time.Time, from core.Tier, ok bool) {
 	for _, h := range w.hosts {
 		if h.Leaving {
 			continue
 		}
 		begin := w.now
-		if _, by, _ := w.underWay(h); by.After(begin) {
+		if _, by, _ := w.currentLoad(h); by.After(begin) {
 			begin = by
 		}
 		near := h.Near(name)
 		if near == core.TierStore && store.After(begin) {
 			begin = store
 		}
-		end := begin.Add(w.duration(name, near))
+		end := begin.Add(w.loadDuration(name, near))
 		if !ok || end.Before(at) {
 			at, from, ok = end, near, true
 		}
--- a/core/copies/width_test.go
+++ b/core/copies/width_test.go
@@ -11,33 +11,33 @@
 	"radishwell/core/copies"
 )
 
-// loader plays a weight store that serves some loads at once at full speed, and hosts
+// storeSimulation simulates a weight store that serves some loads at once at full speed, and hosts
 // that begin a load whenever the width allows one more.
-type loader struct {
+type storeSimulation struct {
 	now   time.Time
 	speed float64
 	width copies.Width
 	hosts []*copies.Host
-	// left is what each host's load still takes alone.
+	// left is the remaining time of each host's load at full speed.
 	left []time.Duration
 	done int
 }
 
 const (
-	loadAlone = 10 * time.Second
-	look      = 250 * time.Millisecond
+	loadAlone    = 10 * time.Second
+	pollInterval = 250 * time.Millisecond
 )
 
-func newLoader(speed float64, first float64) *loader {
-	l := &loader{now: time.Unix(1000, 0), speed: speed, width: copies.Width{First: first}, left: make([]time.Duration, 40)}
+func newStoreSimulation(speed float64, first float64) *storeSimulation {
+	l := &storeSimulation{now: time.Unix(1000, 0), speed: speed, width: copies.Width{First: first}, left: make([]time.Duration, 40)}
 	for i := range l.left {
 		l.hosts = append(l.hosts, &copies.Host{ID: core.HostName(fmt.Sprint("h-", i))})
 	}
 	return l
 }
 
-func (l *loader) run(d time.Duration) {
-	for end := l.now.Add(d); l.now.Before(end); l.now = l.now.Add(look) {
+func (l *storeSimulation) run(d time.Duration) {
+	for end := l.now.Add(d); l.now.Before(end); l.now = l.now.Add(pollInterval) {
 		l.width.Note(l.now, l.hosts, func(core.ModelName) time.Duration { return loadAlone })
 		running := 0
 		for _, h := range l.hosts {
@@ -56,7 +56,7 @@
 			if h.Loading == "" {
 				continue
 			}
-			l.left[i] -= time.Duration(float64(look) * min(1, l.speed/float64(running)))
+			l.left[i] -= time.Duration(float64(pollInterval) * min(1, l.speed/float64(running)))
 			if l.left[i] <= 0 {
 				h.Held, h.Loading = []core.ModelName{h.Loading}, ""
 			}
@@ -64,12 +64,12 @@
 	}
 }
 
-// Guards against loads that all take several times as long since the store serves fewer
-// at once, and against a store that stands half idle.
-func TestWidthFindsTheStore(t *testing.T) {
+// Guards against loads that are all slowed down because the store serves fewer at once, and
+// against a store that is partly idle.
+func TestWidthFindsStoreCapacity(t *testing.T) {
 	for _, speed := range []float64{1, 2, 4, 9} {
 		t.Run(fmt.Sprint(speed, " at once"), func(t *testing.T) {
-			l := newLoader(speed, 2)
+			l := newStoreSimulation(speed, 2)
 			l.run(2 * time.Minute)
 			got := float64(l.width.Value())
 			assert.Assert(t, got >= speed && got <= speed+2, got)
@@ -77,9 +77,9 @@
 	}
 }
 
-// Guards against a width that was right before the store changed.
+// Guards against an outdated width after the store's speed has changed.
 func TestWidthFollowsTheStore(t *testing.T) {
-	l := newLoader(6, 2)
+	l := newStoreSimulation(6, 2)
 	l.run(time.Minute)
 	assert.Assert(t, l.width.Value() >= 5, l.width.Value())
 	l.speed = 2
@@ -90,9 +90,9 @@
 	assert.Assert(t, l.width.Value() >= 5, l.width.Value())
 }
 
-// Guards against loads of a process before this one, whose beginning is not known, that
-// are taken for quick ones.
-func TestWidthPassesOverLoadsItDidNotSeeBegin(t *testing.T) {
+// Guards against loads that another process began, whose start time is unknown, being
+// measured as fast ones.
+func TestWidthIgnoresLoadsWithUnknownStart(t *testing.T) {
 	w := copies.Width{First: 2}
 	now := time.Unix(1000, 0)
 	alone := func(core.ModelName) time.Duration { return loadAlone }
