--- a/core/rtable/customer.go
+++ b/core/rtable/customer.go
@@ -8,17 +8,17 @@
 	"radishwell/core/admit"
 )
 
-// Customer is one who calls with keys.
+// Customer is a customer, whose requests are identified by keys.
 type Customer struct {
 	Name core.OwnerName
 	Keys []core.KeyDigest
-	// Rank is the urgency of its requests, which goes before that of their routes; zero
-	// is the most urgent, and nil leaves the route's alone.
+	// Rank is the urgency of the customer's requests and takes precedence over the rank of
+	// their routes. Zero is the most urgent. If it is nil, the rank of the route is used.
 	Rank      *int
 	Allowance admit.Allowance
 }
 
-// CustomerError reports a customer that can't be used.
+// CustomerError reports an invalid customer.
 type CustomerError struct {
 	Customer core.OwnerName
 	Reason   string
@@ -27,7 +27,8 @@
 // Error implements error.
 func (e *CustomerError) Error() string { return "customer " + string(e.Customer) + ": " + e.Reason }
 
-// addCustomers checks the customers and takes them in. Its error is a CustomerError.
+// addCustomers validates the customers and adds them to the table. Its error is a
+// CustomerError.
 func (t *Table) addCustomers(customers []*Customer) error {
 	if customers == nil {
 		return nil
@@ -54,13 +55,13 @@
 	return nil
 }
 
-// Keyed tells whether callers need keys, but on routes that are open.
+// Keyed reports whether callers need keys, except on open routes.
 func (t *Table) Keyed() bool { return t.keys != nil }
 
-// Holder returns the customer that holds a key, nil where none does.
+// Holder returns the customer that holds a key, nil if none does.
 func (t *Table) Holder(key core.KeyDigest) *Customer { return t.keys[key] }
 
-// Customer returns a customer by its name, nil where there is none. A nil table has none.
+// Customer returns a customer by its name, nil if there is none. A nil table has none.
 func (t *Table) Customer(name core.OwnerName) *Customer {
 	if t == nil {
 		return nil
@@ -68,7 +69,8 @@
 	return t.byName[name]
 }
 
-// Limited tells whether the use of any customer is limited. A nil table limits nothing.
+// Limited reports whether any customer has a limited allowance. It is false for a nil
+// table.
 func (t *Table) Limited() bool {
 	if t == nil {
 		return false
@@ -81,7 +83,8 @@
 	return false
 }
 
-// urgency is the rank of a customer and that of a route; the first goes before.
+// urgency is the combined rank of a customer and a route. The customer's rank is compared
+// first.
 type urgency struct{ customer, route int }
 
 func urgencyOf(c *Customer, r *Route) urgency {
@@ -91,11 +94,11 @@
 	return urgency{*c.Rank, r.Rank}
 }
 
-// ranks are all urgencies of a table, the most urgent first.
+// ranks are the distinct urgencies of a table in descending order of urgency.
 type ranks []urgency
 
 func newRanks(routes []*Route, customers []*Customer) ranks {
-	// Thousands of routes and customers have a few ranks.
+	// Ranks are collected first because thousands of routes and customers share a few.
 	ofRoutes, ofCustomers := map[int]bool{}, map[int]bool{}
 	for _, r := range routes {
 		ofRoutes[r.Rank] = true
@@ -120,9 +123,9 @@
 	return cmp.Or(cmp.Compare(a.customer, b.customer), cmp.Compare(a.route, b.route))
 }
 
-// Rank returns the urgency of a customer's requests on a route, from 0, the most
-// urgent, up to below count. Where the table has more urgencies than that, neighbours
-// share a rank. The customer may be nil.
+// Rank maps the urgency of a customer's requests on a route to a number from 0, the most
+// urgent, to count-1. If the table has more than count urgencies, neighbouring ones share a
+// number. The customer may be nil.
 func (t *Table) Rank(c *Customer, r *Route, count int) int {
 	at, _ := slices.BinarySearchFunc(t.ranks, urgencyOf(c, r), compareUrgency)
 	if n := len(t.ranks); n > count {
--- a/core/rtable/customer_test.go
+++ b/core/rtable/customer_test.go
@@ -30,8 +30,8 @@
 	return table
 }
 
-// Guards against a route's rank that goes before its customer's.
-func TestRankOfCustomerGoesFirst(t *testing.T) {
+// Guards against the rank of a route taking precedence over that of a customer.
+func TestCustomerRankTakesPrecedence(t *testing.T) {
 	high, low := ranked("high", 0), ranked("low", 2)
 	first, last := customer("first", 0), customer("last", 1)
 	unranked := &rtable.Customer{Name: "unranked"}
@@ -39,21 +39,21 @@
 	rank := func(c *rtable.Customer, r *rtable.Route) int { return table.Rank(c, r, core.Ranks) }
 	order := []int{rank(first, high), rank(first, low), rank(last, high), rank(last, low)}
 	assert.DeepEqual(t, order, []int{0, 1, 2, 3})
-	t.Run("the route's alone counts where the customer has none", func(t *testing.T) {
+	t.Run("the route's rank is used if the customer has none", func(t *testing.T) {
 		assert.Equal(t, rank(unranked, high), rank(nil, high))
 		assert.Assert(t, rank(unranked, high) < rank(unranked, low))
 	})
-	t.Run("neighbours share a rank where there are too many", func(t *testing.T) {
+	t.Run("neighbours share a number if there are too many", func(t *testing.T) {
 		assert.Equal(t, table.Rank(first, high, 2), 0)
 		assert.Equal(t, table.Rank(unranked, low, 2), 1)
 	})
-	t.Run("routes alone keep their order", func(t *testing.T) {
+	t.Run("without customers, routes keep their order", func(t *testing.T) {
 		table := buildFor(t, 1, []*rtable.Route{high, low})
 		assert.Assert(t, table.Rank(nil, high, core.Ranks) < table.Rank(nil, low, core.Ranks))
 	})
 }
 
-// Guards against a key that comes back by an older table after it was taken away.
+// Guards against a removed key that an older table restores.
 func TestRemovedKeysStayRemoved(t *testing.T) {
 	routes := []*rtable.Route{ranked("r", 0)}
 	var k rtable.Keeper
--- a/core/rtable/doc.go
+++ b/core/rtable/doc.go
@@ -1,6 +1,7 @@
-// Package rtable is the routing table of a managed platform: which service a
-// request goes to, how often it may be tried, and what models a service has.
+// Package rtable holds the routing table of a managed platform: the service that a request
+// goes to, how often it may be tried, which models a service has, and which customers may
+// call.
 //
-// A Table is one version, built and checked once and never changed. A Keeper
-// holds the version in force and never goes back to an older one.
+// A Table is one version, which is validated when it is built and immutable afterwards. A
+// Keeper holds the current version and rejects older ones.
 package rtable
--- a/core/rtable/table.go
+++ b/core/rtable/table.go
@@ -8,64 +8,64 @@
 	"radishwell/core"
 )
 
-// Kind tells what may be repeated of a route's requests.
+// Kind says whether the requests of a route may be repeated.
 type Kind uint8
 
 // Kinds of routes.
 const (
-	// Once: a request runs at most once.
+	// Once means that a request runs at most once.
 	Once Kind = iota
-	// Repeatable: a request may run several times.
+	// Repeatable means that a request may run several times.
 	Repeatable
-	// Stream: the answer is a series of events; a request runs at most once
+	// Stream means that the answer is a series of events. A request runs at most once
 	// unless its route is resumable.
 	Stream
 )
 
-// Share is the part of a route's requests that go to one service.
+// Share is the fraction of a route's requests that go to one service.
 type Share struct {
 	Service core.ServiceName
-	// Weight counts against the sum over all shares of the route.
+	// Weight is relative to the sum of the weights of all shares of the route.
 	Weight float64
 }
 
-// Route sends the requests of one host name and path prefix to services.
+// Route directs the requests for one host name and path prefix to services.
 type Route struct {
 	Name string
-	// Host is the host name that callers ask for, without a port.
+	// Host is the host name in requests, without a port.
 	Host string
-	// Prefix is the beginning of the path; it begins and ends with a slash.
+	// Prefix is the beginning of the path. It begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Shares are the services that the requests are split over, one at least.
+	// Shares lists the services that the requests are split among. There is at least one.
 	Shares []Share
-	// MostHosts bounds the upstream hosts that run one request.
+	// MostHosts is the maximum number of upstream hosts that run one request.
 	MostHosts int
-	// Timeout is the longest a request is kept without a final answer; zero
-	// where there is no such bound.
+	// Timeout is the longest time that a request is kept without a final answer, zero if it
+	// is unlimited.
 	Timeout time.Duration
-	// Target is the time within which an answer is of full use to callers: of
-	// streams, the first event.
+	// Target is the time within which callers get the full use of an answer, or of the
+	// first event of a stream.
 	Target time.Duration
-	// Pause is the longest gap between a stream's events that callers take well.
+	// Pause is the longest gap between the events of a stream that callers accept.
 	Pause time.Duration
-	// Silence is how long callers wait for a stream's first event, and for each
-	// next one, before they leave; zero where that is not known.
+	// Silence is how long callers wait for the first event of a stream, and for each next
+	// one, before they disconnect. It is zero if unknown.
 	Silence time.Duration
-	// Rank orders routes by urgency; zero is the most urgent.
+	// Rank is the urgency of the route's requests. Zero is the most urgent.
 	Rank int
-	// Resumable tells that a stream may go on at another upstream host after
-	// the last event that the caller has.
+	// Resumable is set if a stream may continue at another upstream host after the last
+	// event that the caller received.
 	Resumable bool
-	// Open tells that callers need no key.
+	// Open is set if callers need no key.
 	Open bool
 }
 
-// Repeats tells whether a request may run more than once.
+// Repeats reports whether a request may run more than once.
 func (r *Route) Repeats() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
 
-// Service picks the service of one request. The number is drawn evenly from 0
-// up to 1.
+// Service picks the service of one request by weight. The number is drawn uniformly from
+// [0, 1).
 func (r *Route) Service(number float64) core.ServiceName {
 	sum := 0.0
 	for _, s := range r.Shares {
@@ -84,60 +84,60 @@
 // Model is a model that a service's upstream hosts can hold.
 type Model struct {
 	Name core.ModelName
-	// Weights is the memory that the model takes, Adapter that of each of its
+	// Weights is the memory used by the model, and Adapter that used by each of its
 	// adapters.
 	Weights, Adapter core.Bytes
 	Adapters         int
-	// Load, FromDisk and FromMemory are the times of a load by where the
-	// nearest copy of the weights is.
+	// Load, FromDisk and FromMemory are the durations of a load if the nearest copy of the
+	// weights is in the weight store, on the host's disk or in its memory.
 	Load, FromDisk, FromMemory time.Duration
 }
 
 // Service is a set of upstream hosts of one kind.
 type Service struct {
 	Name core.ServiceName
-	// Models are what the service's hosts can hold; empty for a plain service.
+	// Models are the models that the service's hosts can hold. It is empty for a plain
+	// service.
 	Models map[core.ModelName]Model
-	// Memory is what a host has for weights and adapters together, and
-	// AdapterPlaces how many adapters it holds at the most.
+	// Memory is a host's memory for weights and adapters together, and AdapterPlaces is the
+	// maximum number of adapters that it holds.
 	Memory        core.Bytes
 	AdapterPlaces int
 	// Batch is the number of requests that a host runs at once.
 	Batch int
-	// PromptMemory is a host's memory for prompts, in tokens.
+	// PromptMemory is the capacity of a host's prompt cache, in tokens.
 	PromptMemory int
-	// LoadsPerSecond bounds the loads from the weight store, over all hosts.
+	// LoadsPerSecond limits the loads from the weight store over all hosts.
 	LoadsPerSecond float64
-	// Connections bounds those that a host takes from all callers together.
+	// Connections limits the connections that a host accepts from all callers together.
 	Connections int
 }
 
-// HasModels tells a service of model engines from a plain one.
+// HasModels reports whether the service runs model engines, as opposed to a plain service.
 func (s *Service) HasModels() bool { return len(s.Models) > 0 }
 
-// Limits bound what callers may send and how long they may take.
+// Limits are the limits on the size and duration of callers' requests.
 type Limits struct {
 	Header, Body     core.Bytes
 	HeaderTime, Idle time.Duration
 }
 
-// Table is one version of the routing table. It is not changed once built.
+// Table is one version of the routing table. It is immutable once built.
 type Table struct {
-	// Version grows from one table to the next.
+	// Version increases from one table to the next.
 	Version  int64
 	Limits   Limits
 	Services map[core.ServiceName]*Service
 	hosts    map[string][]*Route
 	count    int
-	// customers are found by their keys and by their names; keys is nil where callers
-	// need none.
+	// keys and byName index the customers. keys is nil if callers need no keys.
 	keys   map[core.KeyDigest]*Customer
 	byName map[core.OwnerName]*Customer
-	// ranks are the urgencies of customers and routes together.
+	// ranks are the combined urgencies of customers and routes.
 	ranks ranks
 }
 
-// ServiceError reports a route to a service that the table does not have.
+// ServiceError reports a route to a service that is not in the table.
 type ServiceError struct {
 	Route   string
 	Service core.ServiceName
@@ -148,7 +148,7 @@
 	return "route " + e.Route + " goes to the service " + string(e.Service) + ", which is not in the table"
 }
 
-// RouteError reports a route that can't be used.
+// RouteError reports an invalid route.
 type RouteError struct {
 	Route  string
 	Reason string
@@ -157,8 +157,8 @@
 // Error implements error.
 func (e *RouteError) Error() string { return "route " + e.Route + ": " + e.Reason }
 
-// Build checks the routes and customers and returns the table. Callers need no keys
-// where customers is nil. Its error is a RouteError, ServiceError or CustomerError.
+// Build validates the routes and customers and returns the table. If customers is nil,
+// callers need no keys. Its error is a RouteError, ServiceError or CustomerError.
 func Build(version int64, limits Limits, services []*Service, routes []*Route, customers []*Customer) (*Table, error) {
 	t := &Table{
 		Version: version, Limits: limits,
@@ -200,9 +200,8 @@
 	return nil
 }
 
-// Match returns the route with the longest prefix that begins the path, among
-// those of the host name; nil where there is none. A port in host is passed
-// over.
+// Match returns the route of the host name with the longest prefix of the path, nil if
+// there is none. A port in host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -218,33 +217,32 @@
 // Len returns the number of routes.
 func (t *Table) Len() int { return t.count }
 
-// Keeper holds the table in force. The zero Keeper has none. It is not safe for
-// use by several goroutines.
+// Keeper holds the current table. The zero Keeper has none. It is not safe for concurrent
+// use.
 type Keeper struct {
 	table *Table
-	// removed are keys that a table had and a later one has not.
+	// removed holds the keys that an earlier table had and a later one lacks.
 	removed map[core.KeyDigest]bool
 }
 
-// mostRemoved bounds the removed keys that are remembered.
-const mostRemoved = 4096
+// maxRemoved bounds the removed keys that are remembered.
+const maxRemoved = 4096
 
-// Offer takes a table in if it is newer than the one in force, and tells
-// whether it did. A copy from a peer or from a read that lags may be older than
-// what was in force before; taking it would send requests to services that a
-// later version has moved them away from.
+// Offer replaces the current table if the new one is newer, and reports whether it did. A
+// copy from a peer or from a lagging read may be older than the current table; using it
+// would send requests to services that a later version has moved them away from.
 func (k *Keeper) Offer(t *Table) bool {
 	if k.table != nil && t.Version <= k.table.Version {
 		return false
 	}
-	k.noteRemoved(t)
+	k.recordRemoved(t)
 	k.table = t
 	return true
 }
 
-// noteRemoved remembers the keys that a new table lacks, so that their callers can be told
-// apart from those whose keys never were.
-func (k *Keeper) noteRemoved(t *Table) {
+// recordRemoved remembers the keys that a new table lacks, so that their callers can be
+// distinguished from those whose keys never existed.
+func (k *Keeper) recordRemoved(t *Table) {
 	if k.table == nil {
 		return
 	}
@@ -252,14 +250,14 @@
 		k.removed = map[core.KeyDigest]bool{}
 	}
 	for key := range k.table.keys {
-		if t.Holder(key) == nil && len(k.removed) < mostRemoved {
+		if t.Holder(key) == nil && len(k.removed) < maxRemoved {
 			k.removed[key] = true
 		}
 	}
 }
 
-// Removed tells whether a key was in a table before the one in force.
+// Removed reports whether an earlier table had a key that the current one lacks.
 func (k *Keeper) Removed(key core.KeyDigest) bool { return k.removed[key] }
 
-// Table returns the table in force, nil before there is one.
+// Table returns the current table, nil if there is none yet.
 func (k *Keeper) Table() *Table { return k.table }
--- a/core/rtable/table_test.go
+++ b/core/rtable/table_test.go
@@ -64,9 +64,9 @@
 	assert.Assert(t, errors.As(err, &missing) && missing.Service == "s")
 }
 
-// A caller's request is served by a new route and the next one is refused as
-// unknown: a peer's copy of the table, read before the change, was taken in
-// after it.
+// Guards against a table that is replaced by an older one. A peer's copy that was read
+// before a change arrived after it, so that a request was served by a new route and the
+// next one was refused as unknown.
 func TestKeeperNeverGoesBack(t *testing.T) {
 	var k rtable.Keeper
 	assert.Assert(t, k.Table() == nil)
