--- a/core/digest/doc.go
+++ b/core/digest/doc.go
@@ -1,8 +1,8 @@
-// Package digest is what an entry of a large fleet holds of the upstream hosts, as far
-// as it heard it from their agents or from relays, with what has changed since an
-// asker's last answer.
+// Package digest holds the reports on the upstream hosts that an entry of a large fleet has
+// received from their agents or from relays. It numbers changes, so that another entry that
+// polls it gets only what has changed since its last response.
 //
-// A host's figures (queue, batch, prompt tokens being read) change with each request,
-// the rest of its report with each order. So changes of the two are numbered apart, and
-// an asker that has the report gets the figures only.
+// A host's figures (queue, batch, prompt tokens in prefill) change with each request, and
+// the rest of its report with each order. The changes of both are numbered separately, and
+// an entry that already has the report gets only the figures.
 package digest
--- a/core/digest/table.go
+++ b/core/digest/table.go
@@ -9,23 +9,24 @@
 	"radishwell/core/fleet"
 )
 
-// staleAge is how old a host's report is when it is told apart from the others: agents
-// answer every half second.
+// staleAge is the age at which a host's report is listed separately as stale. Agents answer
+// every half second.
 const staleAge = 800 * time.Millisecond
 
-// loadSlack is by how much the foreseen end of a load may move without being a change.
-const loadSlack = 100 * time.Millisecond
+// loadTolerance is how much the expected end of a load may shift without counting as a
+// change.
+const loadTolerance = 100 * time.Millisecond
 
-// Host is what an agent said of its upstream host.
+// Host is the state of an upstream host as reported by its agent.
 type Host struct {
 	Address netip.AddrPort
 	Report  fleet.Report
-	// Lost tells that the agent knows the host to be out of reach, Born when the host
-	// started, as it says itself, and Ended which lives of it are over.
+	// Lost is set if the agent cannot reach the host. Born is the host's start time as the
+	// host reports it, and Ended lists its incarnations that have ended.
 	Lost  bool
 	Born  int64
 	Ended []core.HostName
-	// Planner is the entry that the agent follows.
+	// Planner is the entry whose orders the agent follows.
 	Planner core.HostName
 }
 
@@ -33,49 +34,50 @@
 type Figures struct {
 	Taken                     time.Time
 	Waiting, Running, Reading int
-	// Active counts requests in progress by model.
+	// Active counts the requests in progress by model.
 	Active map[core.ModelName]int
 }
 
-// Update is a host that has changed since an asker's last answer.
+// Update is a host that has changed since the last response to an entry.
 type Update struct {
 	Host
-	// Whole tells that more than the figures has changed.
+	// Whole is set if more than the figures has changed.
 	Whole bool
 }
 
-// Stale is a host that has not been heard of lately.
+// Stale is a host without a recent report.
 type Stale struct {
 	Address netip.AddrPort
 	Taken   time.Time
 }
 
-// row is a host with where it was heard of and when it changed.
+// row is a host with the source of its report and the numbers of its last changes.
 type row struct {
 	Host
-	// source is the relay that told of the host, empty for this entry's own link.
+	// source is the relay that sent the report, empty if it came from the agent itself.
 	source core.HostName
-	// whole and figures are the change numbers of the last changes.
+	// whole and figures are the change numbers of the last change of more than the figures
+	// and of the last change of any kind.
 	whole, figures uint64
 }
 
-// Table holds the hosts. The zero Table is ready for use; it is not safe for use by
-// several goroutines.
+// Table holds the hosts. The zero Table is ready for use. It is not safe for concurrent
+// use.
 type Table struct {
 	rows map[netip.AddrPort]*row
-	// change counts the changes; urgent is the number of the last one that cannot wait.
+	// change counts the changes. urgent is the number of the last urgent one.
 	change, urgent uint64
 }
 
-// Change is the number of the last change.
+// Change returns the number of the last change.
 func (t *Table) Change() uint64 { return t.change }
 
-// Urgent is the number of the last change that cannot wait: one of more than figures
-// and adapters, which change tens of times a second in a large fleet.
+// Urgent returns the number of the last urgent change: one of more than figures and
+// adapters, which change tens of times a second in a large fleet.
 func (t *Table) Urgent() uint64 { return t.urgent }
 
-// Put takes in what an agent said, heard from a relay or, where source is empty, from
-// the agent itself.
+// Put records an agent's report. The source is the relay that sent it, or empty if it came
+// from the agent itself.
 func (t *Table) Put(source core.HostName, h Host) {
 	if t.rows == nil {
 		t.rows = map[netip.AddrPort]*row{}
@@ -102,8 +104,9 @@
 	t.rows[h.Address] = now
 }
 
-// PutFigures takes in a host's figures from a relay. It is false where the rest of the
-// host's report is not that relay's word, so that it has to be asked for all.
+// PutFigures records a host's figures from a relay. It returns false if the rest of the
+// host's report is not from the same relay, in which case the relay has to be asked for the
+// whole report.
 func (t *Table) PutFigures(source core.HostName, address netip.AddrPort, f Figures) bool {
 	r := t.rows[address]
 	if r == nil || r.source != source {
@@ -116,8 +119,8 @@
 	return true
 }
 
-// Renew notes that a relay's word on all of its hosts still held at a time, but for
-// those that it called stale.
+// Renew records that all reports from a relay, except for those that it listed as stale,
+// were still valid at the given time.
 func (t *Table) Renew(source core.HostName, at time.Time, stale []Stale) {
 	for address, r := range t.rows {
 		if r.source != source || !at.After(r.Report.Taken) {
@@ -129,7 +132,7 @@
 	}
 }
 
-// Keep forgets the hosts that are not listed any more.
+// Keep removes the hosts that are no longer listed.
 func (t *Table) Keep(listed func(netip.AddrPort) bool) {
 	for address := range t.rows {
 		if !listed(address) {
@@ -138,11 +141,11 @@
 	}
 }
 
-// own tells whether a host is followed by this entry itself.
+// own reports whether this entry follows the host's agent itself.
 func (r *row) own() bool { return r.source == "" }
 
-// Since returns the hosts that have changed after a change number; with own, only those
-// that this entry follows itself.
+// Since returns the hosts that have changed after a change number. If own is set, it
+// returns only those whose agents this entry follows itself.
 func (t *Table) Since(seen uint64, own bool) []Update {
 	var out []Update
 	for _, r := range t.rows {
@@ -154,8 +157,8 @@
 	return out
 }
 
-// Ages returns until when the word on the hosts holds, but for those that have not been
-// heard of lately.
+// Ages returns the time as of which the reports are valid, and the stale ones that it does
+// not apply to.
 func (t *Table) Ages(now time.Time, own bool) (at time.Time, stale []Stale) {
 	at = now
 	for address, r := range t.rows {
@@ -170,10 +173,9 @@
 	return at, stale
 }
 
-// Len returns the number of hosts.
 func (t *Table) Len() int { return len(t.rows) }
 
-// Host returns what is known of the host at an address.
+// Host returns the state of the host at an address, false if it is unknown.
 func (t *Table) Host(address netip.AddrPort) (Host, bool) {
 	r := t.rows[address]
 	if r == nil {
@@ -182,8 +184,8 @@
 	return r.Host, true
 }
 
-// Source returns the relay that told of a host, empty for this entry's own link; false
-// where the host is not known.
+// Source returns the relay that sent a host's report, empty if it came from the agent
+// itself, and false if the host is unknown.
 func (t *Table) Source(address netip.AddrPort) (core.HostName, bool) {
 	r := t.rows[address]
 	if r == nil {
@@ -192,7 +194,7 @@
 	return r.source, true
 }
 
-// Of returns the addresses of the hosts that a relay told of.
+// Of returns the addresses of the hosts whose reports came from a relay.
 func (t *Table) Of(source core.HostName) []netip.AddrPort {
 	var out []netip.AddrPort
 	for address, r := range t.rows {
@@ -224,17 +226,17 @@
 	return true
 }
 
-// sameHost tells whether two differ in nothing but figures.
+// sameHost reports whether two hosts differ at most in their figures.
 func sameHost(a, b *Host) bool {
 	return sameButAdapters(a, b) && core.SameModels(a.Report.Models, b.Report.Models)
 }
 
-// sameButAdapters tells whether two differ in nothing but figures and adapters.
+// sameButAdapters reports whether two hosts differ at most in their figures and adapters.
 func sameButAdapters(a, b *Host) bool {
 	r, s := a.Report, b.Report
 	return a.Lost == b.Lost && a.Born == b.Born && a.Planner == b.Planner && slices.Equal(a.Ended, b.Ended) &&
 		r.ID == s.ID && r.Reachable == s.Reachable && r.Leaving == s.Leaving && r.Limit == s.Limit && r.Busy == s.Busy &&
-		r.Loading == s.Loading && r.LoadedBy.Sub(s.LoadedBy).Abs() < loadSlack && slices.EqualFunc(r.Models, s.Models, sameModel) &&
+		r.Loading == s.Loading && r.LoadedBy.Sub(s.LoadedBy).Abs() < loadTolerance && slices.EqualFunc(r.Models, s.Models, sameModel) &&
 		slices.Equal(r.InMemory, s.InMemory) && slices.Equal(r.OnDisk, s.OnDisk)
 }
 
--- a/core/digest/table_test.go
+++ b/core/digest/table_test.go
@@ -42,37 +42,36 @@
 	table.Put("", host(first, 0, 0, m))
 	table.Put("", host(second, 0, 0, m))
 	seen, urgent := table.Change(), table.Urgent()
-	t.Run("all is news to who has seen nothing", func(t *testing.T) {
+	t.Run("everything is new to a first poll", func(t *testing.T) {
 		wantSince(t, &table, 0, map[netip.AddrPort]bool{first: true, second: true})
 	})
-	t.Run("the same again is none", func(t *testing.T) {
+	t.Run("an equal report is no change", func(t *testing.T) {
 		table.Put("", host(first, time.Millisecond, 0, m))
 		assert.Equal(t, table.Change(), seen)
 	})
-	t.Run("figures change alone", func(t *testing.T) {
+	t.Run("a change of figures alone", func(t *testing.T) {
 		table.Put("", host(first, 2*time.Millisecond, 3, m))
 		wantSince(t, &table, seen, map[netip.AddrPort]bool{first: false})
 		assert.Equal(t, table.Urgent(), urgent)
 	})
-	t.Run("an adapter is told whole and can wait", func(t *testing.T) {
+	t.Run("a change of adapters is whole and not urgent", func(t *testing.T) {
 		table.Put("", host(first, 3*time.Millisecond, 3, adapted))
 		wantSince(t, &table, seen, map[netip.AddrPort]bool{first: true})
 		assert.Equal(t, table.Urgent(), urgent)
 	})
-	t.Run("a model cannot wait", func(t *testing.T) {
+	t.Run("a change of models is urgent", func(t *testing.T) {
 		table.Put("", host(first, 4*time.Millisecond, 3, m, core.HeldModel{Model: "n"}))
 		assert.Assert(t, table.Urgent() > urgent)
 	})
-	t.Run("an older word changes nothing", func(t *testing.T) {
+	t.Run("an older report is ignored", func(t *testing.T) {
 		before := table.Change()
 		table.Put("relay", host(first, 0, 9))
 		assert.Equal(t, table.Change(), before)
 	})
 }
 
-// A relay is replaced, and the new one has told nothing but a host's figures. Joined
-// with the report that the old one gave, they would tell of a model that the host may
-// have unloaded since.
+// Guards against figures of a new relay that are merged with the report of the old one. The
+// result could list a model that the host has unloaded since.
 func TestFiguresOfAnotherRelay(t *testing.T) {
 	var table digest.Table
 	table.Put("old", host(first, 0, 0, core.HeldModel{Model: "m"}))
@@ -84,9 +83,9 @@
 	assert.Equal(t, len(got.Report.Models), 1)
 }
 
-// An agent freezes. Its host's report gets old at all entries, also at those that hear
-// of it through a relay which answers all the while; taken for fresh, requests would go
-// on to be sent by a queue of seconds ago.
+// Guards against an outdated report that a relay keeps fresh. If an agent stalls, its
+// host's report must become stale at all entries, also at those that poll a relay which
+// itself responds. Otherwise they would route by a queue length that is seconds old.
 func TestSilentAgentShowsThroughRelay(t *testing.T) {
 	var relay, entry digest.Table
 	relay.Put("", host(first, 0, 0))
