--- a/core/demand/fleet.go
+++ b/core/demand/fleet.go
@@ -7,24 +7,24 @@
 	"radishwell/core/copies"
 )
 
-// waitingAge is how old an entry's word on the requests that wait there may be. Entries
-// tell several times a second.
-const waitingAge = 1500 * time.Millisecond
+// waitingTTL is the maximum age of an entry's report on its waiting requests. Entries
+// report several times a second.
+const waitingTTL = 1500 * time.Millisecond
 
-// Fleet is the demand of all entries as a relay hears it. The zero Fleet is ready for
-// use; it is not safe for use by several goroutines.
+// Fleet holds the demand at all entries, as reported to a relay. The zero Fleet is ready
+// for use. It is not safe for concurrent use.
 type Fleet struct {
 	models map[core.ModelName]*rates
-	waits  map[core.HostName]waits
+	waits  map[core.HostName]waitCounts
 }
 
-// waits are the requests that wait at one entry, by model.
-type waits struct {
+// waitCounts holds the numbers of waiting requests at one entry, by model.
+type waitCounts struct {
 	at     time.Time
 	models map[core.ModelName]int
 }
 
-// Add takes in arrivals.
+// Add records arrivals.
 func (f *Fleet) Add(now time.Time, arrivals map[core.ModelName]Arrivals) {
 	if f.models == nil {
 		f.models = map[core.ModelName]*rates{}
@@ -39,24 +39,25 @@
 	}
 }
 
-// Wait takes in the requests that wait at an entry, or at all that tell it, and tells
-// whether there are models among them for which none waited there before.
+// Wait records the numbers of waiting requests at an entry, or at all entries that report
+// to it. It reports whether any of the models had no waiting requests there before.
 func (f *Fleet) Wait(now time.Time, entry core.HostName, models map[core.ModelName]int) (news bool) {
 	if f.waits == nil {
-		f.waits = map[core.HostName]waits{}
+		f.waits = map[core.HostName]waitCounts{}
 	}
 	for name := range models {
 		news = news || f.waits[entry].models[name] == 0
 	}
-	f.waits[entry] = waits{at: now, models: models}
+	f.waits[entry] = waitCounts{at: now, models: models}
 	return news
 }
 
-// Waiting returns how many requests wait for each model, by the word of some entries.
+// Waiting returns the number of waiting requests by model, summed over the entries that
+// counts accepts.
 func (f *Fleet) Waiting(now time.Time, counts func(entry core.HostName) bool) map[core.ModelName]int {
 	out := map[core.ModelName]int{}
 	for entry, w := range f.waits {
-		if now.Sub(w.at) > waitingAge {
+		if now.Sub(w.at) > waitingTTL {
 			delete(f.waits, entry)
 			continue
 		}
@@ -70,7 +71,7 @@
 	return out
 }
 
-// All returns the demand for all models that are asked for.
+// All returns the demand by model, and forgets models without demand.
 func (f *Fleet) All(now time.Time) map[core.ModelName]copies.Demand {
 	waiting := f.Waiting(now, func(core.HostName) bool { return true })
 	out := make(map[core.ModelName]copies.Demand, len(f.models))
--- a/core/demand/fleet_test.go
+++ b/core/demand/fleet_test.go
@@ -13,9 +13,9 @@
 	"radishwell/core/rtable"
 )
 
-// A hundred entries share the requests for a model that is suddenly asked for. No entry
-// sees more than one or two of them, and by its own averages of seconds each calls it
-// one asked for now and then; only the sum shows that demand has moved.
+// Guards against a rise in demand that no single entry can see. A hundred entries share the
+// requests for a model, with one or two each, so by its own moving averages each entry sees
+// only occasional requests. Only the sum of the arrivals shows the rise.
 func TestMovedDemandShowsInTheSum(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	ask := &core.Ask{Prompt: 9000, Answer: 60}
@@ -44,7 +44,7 @@
 		assert.Equal(t, b.Take()["m"].Count, 1)
 		assert.Equal(t, len(b.Take()), 0)
 	})
-	t.Run("waits are summed, and news once", func(t *testing.T) {
+	t.Run("waiting requests are summed, and new only once", func(t *testing.T) {
 		var f Fleet
 		assert.Assert(t, f.Wait(t0, "a", map[core.ModelName]int{"m": 2}))
 		assert.Assert(t, !f.Wait(t0, "a", map[core.ModelName]int{"m": 3}))
@@ -53,12 +53,12 @@
 		assert.Equal(t, f.All(t0)["m"].Waiting, 4)
 		assert.Equal(t, f.Waiting(t0, func(n core.HostName) bool { return n == "b" })["m"], 1)
 	})
-	t.Run("what an entry that is lost waited for is forgotten", func(t *testing.T) {
+	t.Run("waiting requests of a lost entry are forgotten", func(t *testing.T) {
 		var f Fleet
 		f.Wait(t0, "a", map[core.ModelName]int{"m": 2})
 		assert.Equal(t, len(f.Waiting(t0.Add(2*time.Second), everybody)), 0)
 	})
-	t.Run("what is asked for no longer is forgotten", func(t *testing.T) {
+	t.Run("a model without demand is forgotten", func(t *testing.T) {
 		var f Fleet
 		f.Add(t0, map[core.ModelName]Arrivals{"m": {Count: 1}})
 		assert.Equal(t, len(f.All(t0.Add(10*time.Minute))), 0)
@@ -66,8 +66,8 @@
 	})
 }
 
-// BenchmarkFleet measures the demand of a fleet as the planner reads it, four times a
-// second, at 430 and 3,470 models.
+// BenchmarkFleet measures the computation of a fleet's demand, which the planner does four
+// times a second, for 430 and 3,470 models.
 func BenchmarkFleet(b *testing.B) {
 	for _, models := range []int{430, 3470} {
 		b.Run(fmt.Sprint(models), func(b *testing.B) {
--- a/core/demand/rates.go
+++ b/core/demand/rates.go
@@ -8,78 +8,79 @@
 )
 
 const (
-	// longSpan and shortSpan are the times over which the rate of requests for a
-	// model is averaged. The long one keeps a model in sight that is asked for once
-	// in ten seconds, the short one sees demand that moves within a few seconds.
-	longSpan  = 20 * time.Second
-	shortSpan = 4 * time.Second
-	// leastShort is the short average from which it counts: three requests within
-	// it.
-	leastShort = 0.6
-	// leastRate is below what counts as demand: one request some minutes ago.
-	leastRate = 1e-4
+	// longWindow and shortWindow are the time constants of the moving averages of the
+	// request rate. The long one retains a model with one request in ten seconds, and the
+	// short one detects demand that changes within a few seconds.
+	longWindow  = 20 * time.Second
+	shortWindow = 4 * time.Second
+	// minShortRate is the least short average that is used, which takes three requests
+	// within its window.
+	minShortRate = 0.6
+	// minRate is the rate below which there is no demand: one request some minutes ago.
+	minRate = 1e-4
 )
 
-// Arrivals are requests for a model that have come.
+// Arrivals counts requests for a model that have arrived. Hasty counts those of them with a
+// target below hastyTarget.
 type Arrivals struct {
 	Count, Hasty int
-	// Work is the part of one engine's time that they take, in seconds.
+	// Work is the engine time that they take, in seconds.
 	Work float64
 }
 
-// Add returns the sum of two.
+// Add returns the sum of both.
 func (a Arrivals) Add(b Arrivals) Arrivals {
 	return Arrivals{Count: a.Count + b.Count, Hasty: a.Hasty + b.Hasty, Work: a.Work + b.Work}
 }
 
-// average is a moving average of a rate, by the second.
+// average is an exponentially decaying average of a rate, per second.
 type average struct {
-	value float64
-	at    time.Time
+	value     float64
+	updatedAt time.Time
 }
 
-func (a *average) over(now time.Time, span time.Duration) float64 {
+func (a *average) at(now time.Time, window time.Duration) float64 {
 	if a.value == 0 {
 		return 0
 	}
-	return a.value * math.Exp(-now.Sub(a.at).Seconds()/span.Seconds())
+	return a.value * math.Exp(-now.Sub(a.updatedAt).Seconds()/window.Seconds())
 }
 
-func (a *average) add(now time.Time, amount float64, span time.Duration) {
-	a.value = a.over(now, span) + amount/span.Seconds()
-	a.at = now
+func (a *average) add(now time.Time, amount float64, window time.Duration) {
+	a.value = a.at(now, window) + amount/window.Seconds()
+	a.updatedAt = now
 }
 
-// rates are the averages of one model.
+// rates holds the moving averages of one model.
 type rates struct{ long, short, hasty, work average }
 
 func (r *rates) add(now time.Time, a Arrivals) {
-	r.long.add(now, float64(a.Count), longSpan)
-	r.short.add(now, float64(a.Count), shortSpan)
-	r.work.add(now, a.Work, shortSpan)
+	r.long.add(now, float64(a.Count), longWindow)
+	r.short.add(now, float64(a.Count), shortWindow)
+	r.work.add(now, a.Work, shortWindow)
 	if a.Hasty > 0 {
-		r.hasty.add(now, float64(a.Hasty), longSpan)
+		r.hasty.add(now, float64(a.Hasty), longWindow)
 	}
 }
 
-// rate returns the requests a second. The short average counts only once several
-// have come: by one request it rises to five times the long one, and models asked
-// for alike would displace each other by turns.
+// rate returns the rate of requests per second. The short average is used only after
+// several requests: a single one raises it to five times the long one, so that models with
+// similar demand would displace each other in turn.
 func (r *rates) rate(now time.Time) float64 {
-	long, short := r.long.over(now, longSpan), r.short.over(now, shortSpan)
-	if short < leastShort {
+	long, short := r.long.at(now, longWindow), r.short.at(now, shortWindow)
+	if short < minShortRate {
 		return long
 	}
 	return max(long, short)
 }
 
-// demand returns what the planner is told; false where there is none any more.
+// demand returns the demand for the planner, false if there is none.
 func (r *rates) demand(now time.Time, waiting int) (copies.Demand, bool) {
 	rate := r.rate(now)
-	if rate < leastRate && waiting == 0 {
+	if rate < minRate && waiting == 0 {
 		return copies.Demand{}, false
 	}
 	return copies.Demand{
-		Rate: rate, Hasty: min(rate, r.hasty.over(now, longSpan)), Work: r.work.over(now, shortSpan), Waiting: waiting,
+		Rate: rate, Hasty: min(rate, r.hasty.at(now, longWindow)), Work: r.work.at(now, shortWindow), Waiting: waiting,
 	}, true
 }
