--- a/core/replic/bench_test.go
+++ b/core/replic/bench_test.go
@@ -7,10 +7,10 @@
 	"radishwell/core"
 )
 
-// catalogueSize is the number of models and adapters two years from now.
+// catalogueSize is the expected number of models and adapters in two years.
 const catalogueSize = 3470
 
-// specSize is about that of an adapter's entry.
+// specSize is the approximate size of an adapter's spec.
 const specSize = 220
 
 func catalogue() *Replica {
@@ -74,7 +74,8 @@
 	})
 }
 
-// deltaBytes counts names, versions and specs, as any encoding has to.
+// deltaBytes returns the size of a delta's names, versions and specs, which any encoding
+// includes.
 func deltaBytes(d Delta) int {
 	n := 2 * versionBytes
 	for _, o := range d.Objects {
@@ -85,11 +86,11 @@
 
 const versionBytes = 8
 
-// tagSet is the alternative weighed in docs/design/replicas.md: a commutative
-// replicated set of entries with unique tags and no tombstones. An update
-// deletes the tags it saw and inserts a new one. Deletions are kept nowhere,
-// so that operations must arrive in causal order and exactly once, and two
-// that have lost an operation must compare all their tags.
+// tagSet is the alternative that docs/design/replicas.md compares: a commutative replicated
+// set of entries with unique tags and without tombstones. An update deletes the tags that
+// it has seen and inserts a new one. Since deletions are not stored, operations must arrive
+// in causal order and exactly once, and two replicas that have lost an operation must
+// compare all their tags.
 type tagSet struct{ byTag map[uint64]core.Object }
 
 func (s *tagSet) update(old []uint64, tag uint64, o core.Object) {
@@ -99,8 +100,8 @@
 	s.byTag[tag] = o
 }
 
-// repair brings to what from has, and returns the bytes exchanged: all tags one
-// way, the missing entries the other way.
+// repair makes the set equal to from and returns the bytes exchanged: all tags in one
+// direction and the missing entries in the other.
 func (s *tagSet) repair(from *tagSet) int {
 	n := versionBytes * len(s.byTag)
 	for tag, o := range from.byTag {
@@ -119,8 +120,8 @@
 	return n
 }
 
-// BenchmarkRepair compares what it takes to find out that a peer lacks one
-// update and to bring it there: entries by version against tagged ones.
+// BenchmarkRepair compares the cost of detecting and sending one update that a peer lacks,
+// with versions and with tags.
 func BenchmarkRepair(b *testing.B) {
 	b.Run("versions", func(b *testing.B) {
 		r := catalogue()
--- a/core/replic/history_test.go
+++ b/core/replic/history_test.go
@@ -11,7 +11,7 @@
 	"radishwell/core"
 )
 
-// history is the naive version: it keeps the whole state at every version.
+// history is the reference implementation, which keeps the complete state at every version.
 type history struct {
 	states []map[string]core.Object
 	events []core.Object
@@ -39,7 +39,7 @@
 	h.events = append(h.events, o)
 }
 
-// random commits a change that the state allows.
+// random commits a random change that is valid in the current state.
 func (h *history) random(r *rand.Rand) {
 	name := string(rune('a' + r.IntN(6)))
 	_, live := h.states[h.version()][name]
@@ -54,20 +54,21 @@
 	return ListDelta(l)
 }
 
-// event is the watch event that made version v.
+// event returns the watch event that created version v.
 func (h *history) event(v core.Version) Delta {
 	return WatchDelta(v-1, core.Change{Object: h.events[v-1]})
 }
 
-// witness is a replica with what has been seen of it.
-type witness struct {
+// checkedReplica is a replica with the state that a subscriber has derived from its
+// changes.
+type checkedReplica struct {
 	Replica
 	seen map[string]core.Version
 	live map[string]core.Object
 }
 
-// join joins a delta and checks all that must hold after any delta.
-func (w *witness) join(t *testing.T, h *history, d Delta) {
+// join merges a delta and checks the invariants that must hold after any delta.
+func (w *checkedReplica) join(t *testing.T, h *history, d Delta) {
 	t.Helper()
 	through := w.Through()
 	for _, o := range w.Join(d) {
@@ -79,13 +80,14 @@
 		}
 	}
 	assert.Assert(t, w.Through() >= through)
-	assert.Assert(t, w.dead <= w.Tombstones || w.newest > w.Through())
-	w.checkNotes(t)
-	w.checkTruth(t, h)
+	assert.Assert(t, w.tombstoneCount <= w.Tombstones || w.newest > w.Through())
+	w.checkChanges(t)
+	w.checkState(t, h)
 }
 
-// checkNotes: a subscriber that follows the notes has what the replica has.
-func (w *witness) checkNotes(t *testing.T) {
+// checkChanges checks that a subscriber that applies the returned changes has the same
+// state as the replica.
+func (w *checkedReplica) checkChanges(t *testing.T) {
 	t.Helper()
 	all := w.All()
 	assert.Equal(t, len(all), len(w.live))
@@ -95,9 +97,9 @@
 	}
 }
 
-// checkTruth: what is held was once committed, and nothing is missing at the
-// through mark.
-func (w *witness) checkTruth(t *testing.T, h *history) {
+// checkState checks that every object of the replica was once committed and that none is
+// missing at the through mark.
+func (w *checkedReplica) checkState(t *testing.T, h *history) {
 	t.Helper()
 	for _, o := range w.All() {
 		want := h.events[o.Version-1]
@@ -111,8 +113,8 @@
 	}
 }
 
-// checkEqual: the replica holds exactly the state at its through mark.
-func (w *witness) checkEqual(t *testing.T, h *history) {
+// checkEqual checks that the replica has exactly the state at its through mark.
+func (w *checkedReplica) checkEqual(t *testing.T, h *history) {
 	t.Helper()
 	state := h.states[w.Through()]
 	assert.Equal(t, w.Len(), len(state))
--- a/core/replic/replic.go
+++ b/core/replic/replic.go
@@ -8,47 +8,47 @@
 	"radishwell/core"
 )
 
-// DefaultTombstones is the bound on tombstones where none is set: a wave of
-// deletions as large as the largest catalogue (3,470 models and adapters)
-// still reaches peers as changes. A tombstone takes about 200 bytes.
+// DefaultTombstones is the default bound on tombstones. It allows the deletion of the
+// largest catalogue (3,470 models and adapters) to reach peers as changes. A tombstone
+// takes about 200 bytes.
 const DefaultTombstones = 4096
 
-// Replica is the replica of one kind. The zero value is empty and ready. It is
-// not safe for concurrent use.
+// Replica is the replica of one kind. The zero value is empty and ready for use. It is not
+// safe for concurrent use.
 type Replica struct {
-	// Tombstones bounds how many are kept; zero stands for DefaultTombstones.
+	// Tombstones is the maximum number of tombstones, DefaultTombstones if it is zero.
 	Tombstones int
 
 	byName  map[string]core.Object
 	through core.Version
-	// horizon is the lowest version from which Since can tell all deletions.
+	// horizon is the lowest version from which Since can return all deletions.
 	horizon core.Version
-	// newest is the largest version of any object or tombstone.
-	newest core.Version
-	dead   int
+	// newest is the highest version of any object or tombstone.
+	newest         core.Version
+	tombstoneCount int
 }
 
-// Through returns the version up to which the replica misses nothing; zero
-// before the first complete delta.
+// Through returns the version up to which the replica is complete, zero before the first
+// complete delta.
 func (r *Replica) Through() core.Version { return r.through }
 
 // Horizon returns the version below which Since returns full deltas.
 func (r *Replica) Horizon() core.Version { return r.horizon }
 
-// Newest returns the largest version of any object or tombstone ever held. It
-// grows with changes only, where Through grows with bookmarks too.
+// Newest returns the highest version that any object or tombstone has had. Unlike Through,
+// it does not increase with bookmarks.
 func (r *Replica) Newest() core.Version { return r.newest }
 
-// Len returns the number of objects, tombstones not counted.
-func (r *Replica) Len() int { return len(r.byName) - r.dead }
+// Len returns the number of objects, not counting tombstones.
+func (r *Replica) Len() int { return len(r.byName) - r.tombstoneCount }
 
-// Get returns the object of a name; false where there is none.
+// Get returns the object with a name, false if there is none.
 func (r *Replica) Get(name string) (core.Object, bool) {
 	o, ok := r.byName[name]
 	return o, ok && !o.Deleted
 }
 
-// All returns all objects in the order of their names.
+// All returns all objects, sorted by name.
 func (r *Replica) All() []core.Object {
 	objects := make([]core.Object, 0, r.Len())
 	for _, o := range r.byName {
@@ -60,8 +60,8 @@
 	return objects
 }
 
-// Join takes in a delta from any source and returns the new state of each
-// object that changed by it, deletions included, in the order of their names.
+// Join merges a delta from any source and returns the new state of each object that it
+// changed, including deletions, sorted by name.
 func (r *Replica) Join(d Delta) []core.Object {
 	if r.byName == nil {
 		r.byName = map[string]core.Object{}
@@ -77,19 +77,18 @@
 		r.deleteUnnamed(d, changed)
 	}
 	r.advance(d)
-	notes := r.notes(changed)
+	changes := r.changes(changed)
 	r.dropTombstones()
-	return notes
+	return changes
 }
 
-// put joins one object and tells whether it changed what is held.
+// put merges one object and reports whether it changed the visible state.
 //
-// An object at or below the through mark that is newer than what is held comes
-// from a source that has not seen its deletion, while the tombstone here is
-// dropped or was never needed. Taking it in would bring a deleted object back
-// to life. The guard holds because a replica has the last state of everything
-// through its mark. A full delta newer than the mark is itself such a complete
-// state, and is taken at its word.
+// An object at or below the through mark that is newer than the held one comes from a
+// source that has not seen its deletion, while the tombstone here has been dropped or was
+// never needed. Merging it would restore a deleted object. The check is correct because a
+// replica has the latest state of everything through its mark. A full delta beyond the mark
+// is itself such a complete state and is accepted as it is.
 func (r *Replica) put(o core.Object, newer bool) bool {
 	held, ok := r.byName[o.Name]
 	if ok && held.Version >= o.Version {
@@ -103,13 +102,13 @@
 	}
 	r.byName[o.Name] = o
 	r.newest = max(r.newest, o.Version)
-	r.dead += toInt(o.Deleted) - toInt(ok && held.Deleted)
+	r.tombstoneCount += toInt(o.Deleted) - toInt(ok && held.Deleted)
 	return ok && !held.Deleted || !o.Deleted
 }
 
-// deleteUnnamed deletes what a full delta no longer has. The true version of
-// each deletion is not known; it is at most d.Through, and a creation of the
-// same name after it would be later than d.Through or named in the delta.
+// deleteUnnamed deletes the objects that a full delta no longer contains. The actual
+// version of each deletion is unknown, but it is at most d.Through. If the name has been
+// created again since, that object is later than d.Through or listed in the delta.
 func (r *Replica) deleteUnnamed(d Delta, changed map[string]bool) {
 	named := make(map[string]bool, len(d.Objects))
 	for _, o := range d.Objects {
@@ -127,14 +126,14 @@
 			Deleted: true,
 		}
 		r.newest = max(r.newest, d.Through)
-		r.dead++
+		r.tombstoneCount++
 		changed[name] = true
 	}
 }
 
-// advance moves the through mark if the delta joins on to it. After a full
-// delta nothing is known of objects that were both created and deleted since
-// the old mark, so that a requester from between needs a full delta as well.
+// advance moves the through mark if the delta connects to it. After a full delta, objects
+// that were both created and deleted since the old mark are unknown, so a requester in
+// between needs a full delta as well.
 func (r *Replica) advance(d Delta) {
 	if d.Through <= r.through {
 		return
@@ -149,27 +148,27 @@
 	}
 }
 
-func (r *Replica) notes(changed map[string]bool) []core.Object {
+func (r *Replica) changes(changed map[string]bool) []core.Object {
 	if len(changed) == 0 {
 		return nil
 	}
-	notes := make([]core.Object, 0, len(changed))
+	changes := make([]core.Object, 0, len(changed))
 	for name := range changed {
-		notes = append(notes, r.byName[name])
+		changes = append(changes, r.byName[name])
 	}
-	slices.SortFunc(notes, byName)
-	return notes
+	slices.SortFunc(changes, byName)
+	return changes
 }
 
-// dropTombstones drops the oldest tombstones beyond the bound, a quarter of the
-// bound at a time so that the sorting is paid for rarely. A tombstone above
-// the through mark stays: only it keeps the object's older states out.
+// dropTombstones drops the oldest tombstones beyond the bound, a quarter of the bound at a
+// time to amortize the cost of sorting. A tombstone above the through mark is kept, since
+// nothing else rejects older states of the object.
 func (r *Replica) dropTombstones() {
 	bound := r.Tombstones
 	if bound <= 0 {
 		bound = DefaultTombstones
 	}
-	if r.dead <= bound {
+	if r.tombstoneCount <= bound {
 		return
 	}
 	var old []core.Object
@@ -179,16 +178,16 @@
 		}
 	}
 	slices.SortFunc(old, byVersion)
-	n := min(len(old), r.dead-bound+bound/4)
+	n := min(len(old), r.tombstoneCount-bound+bound/4)
 	for _, o := range old[:n] {
 		delete(r.byName, o.Name)
-		r.dead--
+		r.tombstoneCount--
 		r.horizon = max(r.horizon, o.Version)
 	}
 }
 
-// Since returns what a requester lacks that has everything through v. Its cost
-// is that of one pass over the replica, but nothing where v is up to date.
+// Since returns the changes for a requester that is complete through v. It takes one pass
+// over the replica, or constant time if v is up to date.
 func (r *Replica) Since(v core.Version) Delta {
 	d := Delta{From: v, Through: max(v, r.through)}
 	d.Full = v < r.horizon || v == 0 && r.through > 0
--- a/core/replic/replic_test.go
+++ b/core/replic/replic_test.go
@@ -10,29 +10,28 @@
 	"radishwell/core"
 )
 
-// schedules is how many random schedules the property test plays. The seeds
-// are 0 and up, so that every run of a number of them is the same.
-var schedules = flag.Uint64("schedules", 80, "random schedules to play")
+// schedules is the number of random schedules in the property test. The seeds are 0 and up,
+// so runs with the same number are identical.
+var schedules = flag.Uint64("schedules", 80, "random schedules to run")
 
-// TestAnyOrderConverges plays random schedules of commits, lists, watch events
-// and peers' deltas. Deltas are duplicated, delivered late and reordered. No
-// version may go back at any step, and in the end all replicas must hold what
-// the naive history holds.
+// TestAnyOrderConverges runs random schedules of commits, lists, watch events and peers'
+// deltas. Deltas are duplicated, delayed and reordered. No version may decrease at any
+// step, and at the end all replicas must have the state of the reference history.
 func TestAnyOrderConverges(t *testing.T) {
 	for seed := range *schedules {
 		r := rand.New(rand.NewPCG(seed, 1))
-		play(t, r, 120, seed%2 == 0)
+		runSchedule(t, r, 120, seed%2 == 0)
 	}
 }
 
-// play plays one schedule. Without lists, replicas keep a low horizon, so that
-// it comes to depend on the tombstones they drop.
-func play(t *testing.T, r *rand.Rand, steps int, lists bool) {
+// runSchedule runs one schedule. Without lists the replicas' horizons stay low, so that the
+// result depends on the dropped tombstones.
+func runSchedule(t *testing.T, r *rand.Rand, steps int, lists bool) {
 	t.Helper()
 	h := makeHistory()
-	replicas := make([]*witness, 3)
+	replicas := make([]*checkedReplica, 3)
 	for i := range replicas {
-		replicas[i] = &witness{seen: map[string]core.Version{}, live: map[string]core.Object{}}
+		replicas[i] = &checkedReplica{seen: map[string]core.Version{}, live: map[string]core.Object{}}
 		replicas[i].Tombstones = 2
 	}
 	var late []Delta
@@ -64,9 +63,9 @@
 	finish(t, h, replicas, late)
 }
 
-// finish delivers everything once more, then lets one replica read the
-// platform and the others read from it.
-func finish(t *testing.T, h *history, replicas []*witness, late []Delta) {
+// finish delivers all deltas once more. Then one replica reads the platform and the others
+// read from it.
+func finish(t *testing.T, h *history, replicas []*checkedReplica, late []Delta) {
 	t.Helper()
 	for _, w := range replicas {
 		for _, d := range late {
@@ -82,10 +81,10 @@
 	}
 }
 
-// TestLatePeerRevivesNothing: an operator deletes an adapter. An entry sees
-// the deletion, then so many others that its tombstone is dropped. A peer that
-// was cut off all the while comes back and offers the adapter. Callers must go
-// on being refused: the entry must not take the adapter in again.
+// Guards against a deleted object that a peer restores. An entry sees the deletion of an
+// adapter, then so many others that its tombstone is dropped. A peer that was disconnected
+// in the meantime returns and sends the adapter. The entry must not add it again, and
+// callers must still be refused.
 func TestLatePeerRevivesNothing(t *testing.T) {
 	h := makeHistory()
 	h.commit("adapter", false)
@@ -107,9 +106,8 @@
 	assert.Assert(t, !ok)
 }
 
-// TestPeerBehindHorizon: a peer comes back from a long pause and still has an
-// object whose tombstone its neighbour has dropped. It must learn of the
-// deletion though no tombstone tells it.
+// Guards against a deletion that a peer never learns of. A peer returns after a long pause
+// and still has an object whose tombstone its neighbour has dropped.
 func TestPeerBehindHorizon(t *testing.T) {
 	h := makeHistory()
 	h.commit("adapter", false)
@@ -122,14 +120,14 @@
 
 	d := other.Since(paused.Through())
 	assert.Assert(t, d.Full)
-	notes := paused.Join(d)
-	assert.Equal(t, len(notes), 2)
-	assert.Assert(t, notes[0].Name == "adapter" && notes[0].Deleted)
+	changes := paused.Join(d)
+	assert.Equal(t, len(changes), 2)
+	assert.Assert(t, changes[0].Name == "adapter" && changes[0].Deleted)
 	assert.Equal(t, paused.Through(), core.Version(3))
 }
 
-// TestPeerBehindTombstones is as TestPeerBehindHorizon, but the neighbour has
-// seen every deletion and dropped the tombstones since.
+// Guards against the same as TestPeerBehindHorizon, with a neighbour that has seen every
+// deletion and has dropped the tombstones since.
 func TestPeerBehindTombstones(t *testing.T) {
 	h := makeHistory()
 	h.commit("adapter", false)
@@ -150,10 +148,10 @@
 	assert.Assert(t, !other.Since(h.version()-1).Full, "the latest tombstone is kept")
 }
 
-// TestLateEventBelowMark: an adapter is deleted, created anew and deleted again
-// while an entry's watch is stalled; the entry relists. Then the stalled
-// connection delivers the second creation. Callers must go on being refused,
-// though the entry's tombstone is of the first deletion.
+// Guards against a late watch event that restores a deleted object. While an entry's watch
+// is stalled, an adapter is deleted, created again and deleted again, and the entry
+// relists. Then the stalled connection delivers the second creation. Callers must still be
+// refused, though the entry's tombstone is of the first deletion.
 func TestLateEventBelowMark(t *testing.T) {
 	h := makeHistory()
 	for range 2 {
@@ -182,14 +180,14 @@
 		assert.Equal(t, len(r.Join(h.event(1))), 0)
 		assert.Equal(t, r.Through(), core.Version(1))
 	})
-	t.Run("created anew after a deletion", func(t *testing.T) {
+	t.Run("created again after a deletion", func(t *testing.T) {
 		var r Replica
 		r.Join(h.event(4))
 		assert.Equal(t, len(r.Join(h.event(3))), 0)
 		_, ok := r.Get("a")
 		assert.Assert(t, ok)
 	})
-	t.Run("a bookmark moves only a mark it joins on to", func(t *testing.T) {
+	t.Run("a bookmark moves the mark only if it connects to it", func(t *testing.T) {
 		var r Replica
 		r.Join(WatchDelta(5, core.Change{Object: core.Object{Version: 9}, Bookmark: true}))
 		assert.Equal(t, r.Through(), core.Version(0))
