--- a/core/warm/doc.go
+++ b/core/warm/doc.go
@@ -1,17 +1,16 @@
-// Package warm decides how long an idle model stays loaded, and which models
-// are loaded before anybody asks.
+// Package warm decides how long an idle model stays loaded, and which models are loaded
+// before they are requested.
 //
-// The base is ski rental: a model is kept for as long as the idle time costs
-// less than the cold start it may save, both in accelerator seconds, by what the
-// deployment says a caller's second of waiting is worth. That alone is never
-// worse than twice the best choice. It is bettered by what arrivals show: the
-// times between uses, and the times of day at which uses begin.
+// The basis is the ski rental problem: a model is kept as long as the idle time costs less
+// than the cold start that it may save. Both are in accelerator seconds, by the worth of a
+// caller's second of waiting as configured for the deployment. That rule alone costs at
+// most twice the optimum. It is improved with statistics of arrivals: the times between
+// uses and the times of day at which uses begin.
 //
-// It answers evening sessions and working-day bursts, in which many models are
-// wanted at once after hours of nothing. Without it a fixed time is either too
-// short for a session's pauses or burns accelerators through the night. It must
-// forget: what has been seen loses a fifth of its weight with each day, so that
-// a habit that ends costs a few idle stretches and no more.
+// It is designed for evening sessions and bursts on working days, in which many models are
+// requested at once after hours without use. A fixed time would be either too short for the
+// pauses in a session or would waste accelerators during the night. The statistics decay by
+// a fifth each day, so that a habit that ends costs only a few idle periods.
 //
-// docs/design/keep-warm.md has the ways weighed and the figures.
+// docs/design/keep-warm.md compares the alternatives and has the measurements.
 package warm
--- a/core/warm/warm.go
+++ b/core/warm/warm.go
@@ -9,17 +9,17 @@
 	"radishwell/core"
 )
 
-// Worth is how many accelerator seconds a caller's second of waiting for a cold
-// start is worth, by class. A deployment scales it.
+// Worth is the worth of a second that a caller waits for a cold start, in accelerator
+// seconds, by class. A deployment scales it.
 type Worth [core.ClassCount]float64
 
-// DefaultWorth weighs a person in front of a client above one in a session,
-// and work that nobody waits for hardly at all. With a load of ten seconds an
-// interactive model is kept for ten minutes on no knowledge, an overnight one
-// for twenty seconds.
+// DefaultWorth gives the most worth to interactive and evening requests, where a person
+// waits, and very little to work that nobody waits for. With a load time of ten seconds and
+// no statistics, an interactive model is kept for ten minutes and an overnight one for
+// twenty seconds.
 var DefaultWorth = Worth{core.Interactive: 60, core.Evening: 60, core.Overnight: 2}
 
-// Times returns the worth of a deployment that values waits by so much more.
+// Times returns the worth multiplied by a factor.
 func (w Worth) Times(scale float64) Worth {
 	for i := range w {
 		w[i] *= scale
@@ -28,96 +28,96 @@
 }
 
 const (
-	// unknownLoad stands in for the time of a load that was never measured.
-	unknownLoad = 5 * time.Second
-	// loadWeight is how much of a measured load time one load replaces.
+	// defaultLoad is the assumed load time if none has been measured.
+	defaultLoad = 5 * time.Second
+	// loadWeight is the weight of a new sample in the moving average of the load time.
 	loadWeight = 0.25
-	// worthWeight is how much of an item's worth one more use replaces.
+	// worthWeight is the weight of one more use in the moving average of an item's worth.
 	worthWeight = 0.1
-	// sessionPause is the pause after which a use begins a new session.
+	// sessionPause is the shortest pause after which a use begins a new session.
 	sessionPause = 20 * time.Minute
-	// ahead is how far the times of day are looked ahead.
-	ahead = 8
-	// mostPrewarm bounds the loads ahead of need in one look. They wait behind
-	// loads that callers wait for.
-	mostPrewarm = 4
+	// lookahead is the number of slots that are examined for expected uses.
+	lookahead = 8
+	// maxPrewarm is the maximum number of loads ahead of need per call. They are queued
+	// behind loads that callers wait for.
+	maxPrewarm = 4
 )
 
-// Item is what the policy needs to know of a model or adapter.
+// Item describes a model or adapter to the policy.
 type Item struct {
 	Name  core.ModelName
 	Class core.Class
-	// Accelerators is how much of accelerators the item holds while it is
-	// loaded: a model that takes half of one counts half.
+	// Accelerators is the share of accelerators that the item holds while it is loaded: 0.5
+	// for a model that takes half of one.
 	Accelerators float64
 }
 
-// state is one item's.
-type state struct {
+// itemState is the state of one item.
+type itemState struct {
 	item  Item
 	habit habit
-	// load is the measured time of a load in seconds; zero while unknown.
+	// load is the measured load time in seconds, zero if unknown.
 	load float64
 	busy int
-	// worth is what a second of waiting for the item is worth, by its uses.
+	// worth is the average worth of a second of waiting over the item's uses.
 	worth float64
-	// idle is when the last use ended; used tells that there was one.
-	idle time.Time
-	used bool
+	// idleSince is when the last use ended, and used is set if there has been a use.
+	idleSince time.Time
+	used      bool
 }
 
-// Policy holds what was seen of all items of one host. Its exported fields are
-// set before use. It needs no lock of its own.
+// Policy holds the statistics of all items of one host and decides when to load and unload
+// them. Set the exported fields before use. It is not safe for concurrent use.
 type Policy struct {
-	// Worth is the deployment's; DefaultWorth where zero.
+	// Worth is the worth for this deployment, DefaultWorth if it is zero.
 	Worth Worth
 
-	items map[core.ModelName]*state
+	items map[core.ModelName]*itemState
 }
 
-// Set makes an item known, or changes it.
+// Set adds or updates an item.
 func (p *Policy) Set(i Item) {
 	if p.items == nil {
-		p.items = map[core.ModelName]*state{}
+		p.items = map[core.ModelName]*itemState{}
 	}
 	s := p.items[i.Name]
 	if s == nil {
-		s = &state{}
+		s = &itemState{}
 		p.items[i.Name] = s
 	}
 	s.item = i
 }
 
-// Drop forgets an item that has left the catalogue.
+// Drop removes an item that is no longer in the catalogue.
 func (p *Policy) Drop(name core.ModelName) { delete(p.items, name) }
 
-// Begin notes that a request of a class for the item has arrived. An adapter's
-// request is one for its base, too, and of the same class there.
+// Begin records the arrival of a request of a class for the item. A request for an adapter
+// also counts as one of the same class for its base model.
 func (p *Policy) Begin(now time.Time, name core.ModelName, class core.Class) {
 	s := p.items[name]
 	if s == nil {
 		return
 	}
-	gap := now.Sub(s.idle)
+	gap := now.Sub(s.idleSince)
 	if s.busy == 0 && s.used {
-		s.habit.sawGap(gap)
+		s.habit.recordGap(gap)
 	}
-	// Only beginnings count for the times of day. Uses within a session come or
-	// stay away together, and would be taken for as many chances.
+	// Only the beginnings of sessions count for the times of day. The uses of a session are
+	// correlated and would otherwise count as independent events.
 	if s.busy == 0 && (!s.used || gap > sessionPause) {
-		s.habit.sawUse(now)
+		s.habit.recordUse(now)
 	}
 	if s.busy == 0 {
-		s.blend(p.worthOf(class))
+		s.updateWorth(p.worthOf(class))
 	}
 	s.busy++
 	s.used = true
 }
 
-// blend takes the worth of one more use's waiting in. What a cold start costs is
-// a matter of who waits for it: a model of reviews at night is also the base of
-// an adapter that somebody uses in front of a client.
-func (s *state) blend(worth float64) {
+// updateWorth adds the worth of one more use to the average. The cost of a cold start
+// depends on who waits: the model for overnight reviews may also be the base of an adapter
+// that is used interactively.
+func (s *itemState) updateWorth(worth float64) {
 	if !s.used {
 		s.worth = worth
 		return
@@ -125,17 +125,17 @@
 	s.worth += (worth - s.worth) * worthWeight
 }
 
-// End notes that a request for the item has ended.
+// End records the end of a request for the item.
 func (p *Policy) End(now time.Time, name core.ModelName) {
 	s := p.items[name]
 	if s == nil || s.busy == 0 {
 		return
 	}
 	s.busy--
-	s.idle = now
+	s.idleSince = now
 }
 
-// Loaded notes how long a load of the item took.
+// Loaded records the duration of a load of the item.
 func (p *Policy) Loaded(name core.ModelName, took time.Duration) {
 	s := p.items[name]
 	if s == nil {
@@ -148,18 +148,18 @@
 	s.load += (took.Seconds() - s.load) * loadWeight
 }
 
-// LoadTime returns how long a load of the item should take; false where none was
-// measured. A guess would have requests refused for a wait that nobody knows.
+// LoadTime returns the expected load time of the item, false if none has been measured. A
+// guess would cause requests to be refused because of a wait that nobody knows.
 func (p *Policy) LoadTime(name core.ModelName) (time.Duration, bool) {
 	s := p.items[name]
 	if s == nil || s.load == 0 {
 		return 0, false
 	}
-	return seconds(s.load), true
+	return toDuration(s.load), true
 }
 
-// cold is what a cold start costs, in accelerator seconds.
-func (p *Policy) cold(s *state) float64 {
+// coldCost returns the cost of a cold start, in accelerator seconds.
+func (p *Policy) coldCost(s *itemState) float64 {
 	worth := s.worth
 	if !s.used {
 		worth = p.worthOf(s.item.Class)
@@ -175,15 +175,16 @@
 	return worth[min(class, core.ClassCount-1)]
 }
 
-func (s *state) loadSeconds() float64 {
+func (s *itemState) loadSeconds() float64 {
 	if s.load == 0 {
-		return unknownLoad.Seconds()
+		return defaultLoad.Seconds()
 	}
 	return s.load
 }
 
-// KeepUntil returns until when an idle loaded item is worth its accelerator's
-// time: now or earlier where it should be unloaded. An item in use is kept.
+// KeepUntil returns the time until which an idle loaded item is worth the accelerator time
+// that it takes. If that is not after now, the item should be unloaded. An item in use is
+// kept.
 func (p *Policy) KeepUntil(now time.Time, name core.ModelName) time.Time {
 	s := p.items[name]
 	switch {
@@ -192,54 +193,53 @@
 	case s.busy > 0:
 		return now.Add(slotTime)
 	}
-	until := s.idle.Add(p.hold(s))
+	until := s.idleSince.Add(p.holdTime(s))
 	if !until.After(now) {
-		if by, _ := p.dayUntil(now, s); by.After(now) {
+		if by, _ := p.keepByTimeOfDay(now, s); by.After(now) {
 			return by
 		}
 	}
 	return until
 }
 
-// hold returns how long the item is kept after a use, by the times between uses
-// seen: the time that costs least on average if the next gap is drawn from them.
-// Not knowing has the weight of priorGaps gaps; without gaps seen the answer is
-// the break-even time.
-func (p *Policy) hold(s *state) time.Duration {
+// holdTime returns how long the item is kept after a use: the time with the lowest average
+// cost if the next gap is drawn from those seen. The prior has the weight of priorGaps
+// gaps. If no gaps have been seen, the result is the break-even time.
+func (p *Policy) holdTime(s *itemState) time.Duration {
 	rate := max(s.item.Accelerators, math.SmallestNonzeroFloat32)
-	even := p.cold(s) / rate
-	total := float64(s.habit.longer)
+	breakEven := p.coldCost(s) / rate
+	total := float64(s.habit.beyondLast)
 	for _, n := range s.habit.gaps {
 		total += float64(n)
 	}
 	best, least := time.Duration(0), math.Inf(1)
-	for _, keep := range candidates(even) {
-		c := s.habit.costOf(keep, even, total) + priorGaps*priorCost(keep, even)
+	for _, keep := range keepTimes(breakEven) {
+		c := s.habit.holdCost(keep, breakEven, total) + priorGaps*priorCost(keep, breakEven)
 		if c < least {
-			best, least = seconds(keep), c
+			best, least = toDuration(keep), c
 		}
 	}
 	return best
 }
 
-// candidates are the times to keep that are weighed: none, the ends of the bins
-// below the most that can pay, and the break-even time.
-func candidates(even float64) []float64 {
+// keepTimes returns the keep times to compare: zero, the bounds of the bins below the
+// longest time that can pay off, and the break-even time.
+func keepTimes(breakEven float64) []float64 {
 	list := []float64{0}
 	for b := range gapBins {
-		if end := binEnds[b]; end < 4*even {
+		if end := binEnds[b]; end < 4*breakEven {
 			list = append(list, end)
 		}
 	}
-	list = append(list, even)
+	list = append(list, breakEven)
 	slices.Sort(list)
 	return list
 }
 
-// costOf is the cost, in seconds of holding, of keeping the item for a time over
-// the gaps seen: a gap within it costs its own length, a longer one the time
-// kept and a cold start.
-func (h *habit) costOf(keep, even, total float64) float64 {
+// holdCost returns the cost, in seconds of holding, of a keep time over the gaps seen: a
+// gap within the keep time costs its own length, and a longer one costs the keep time and a
+// cold start.
+func (h *habit) holdCost(keep, breakEven, total float64) float64 {
 	cost, within := 0.0, 0.0
 	for b, n := range h.gaps {
 		end := binEnds[b]
@@ -249,56 +249,55 @@
 		within += float64(n)
 		cost += float64(n) * end
 	}
-	return cost + (total-within)*(keep+even)
+	return cost + (total-within)*(keep+breakEven)
 }
 
-// priorHazard is the chance of a use, in a break-even time, that is assumed
-// where nothing is known. At one, keeping and unloading cost the same at every
-// moment; a little more makes the break-even time itself the best, which is ski
-// rental's answer.
+// priorHazard is the assumed number of uses in a break-even time without statistics. At 1,
+// keeping and unloading would cost the same at every moment. A slightly higher value makes
+// the break-even time the optimum, which is the solution of the ski rental problem.
 const priorHazard = 1.2
 
-// priorCost is the cost of keeping an item for a time where nothing is known:
-// uses come at a steady rate until the break-even time, and none after it.
-func priorCost(keep, even float64) float64 {
-	if even == 0 {
+// priorCost returns the cost of a keep time without statistics: uses come at a steady rate
+// until the break-even time and not after it.
+func priorCost(keep, breakEven float64) float64 {
+	if breakEven == 0 {
 		return keep
 	}
-	rate := priorHazard / even
-	within := min(keep, even)
-	alone := math.Exp(-rate * within)
-	return (1-alone)/rate + alone*(even+keep-within)
+	rate := priorHazard / breakEven
+	within := min(keep, breakEven)
+	noUse := math.Exp(-rate * within)
+	return (1-noUse)/rate + noUse*(breakEven+keep-within)
 }
 
-func seconds(s float64) time.Duration {
+func toDuration(s float64) time.Duration {
 	return time.Duration(min(s, (7*24*time.Hour).Seconds()) * float64(time.Second))
 }
 
-// dayUntil returns until when the times of day speak for keeping the item
-// loaded, and what that should save: the end of the stretch of slots in which
-// what a use saves, by its chance, is more than holding until then costs. It is
-// now where there is none.
-func (p *Policy) dayUntil(now time.Time, s *state) (time.Time, float64) {
-	s.habit.turnDay(now)
+// keepByTimeOfDay returns the time until which the times of day justify keeping the item
+// loaded, and the expected net saving. It chooses the slot at whose end the saving by
+// probable uses exceeds the cost of holding by most. If the cost is always higher, it
+// returns now.
+func (p *Policy) keepByTimeOfDay(now time.Time, s *itemState) (time.Time, float64) {
+	s.habit.advanceDays(now)
 	rate := s.item.Accelerators
-	cold := p.cold(s)
-	slot, kind, place := slotOf(now)
+	coldCost := p.coldCost(s)
+	slot, kind, index := slotOf(now)
 	end := time.Unix((slot+1)*int64(slotTime/time.Second), 0)
 	part := end.Sub(now).Seconds()
-	// none is the chance that no use has begun yet, gain the expected saving
+	// none is the probability that no use has begun so far, and gain is the expected saving
 	// less the expected cost of holding so far.
 	none, gain := 1.0, 0.0
 	best, most := -1, 0.0
-	for n := range ahead {
-		chance := s.habit.chance(kind, place) * part / slotTime.Seconds()
-		gain += none * (chance*cold - rate*part*(1-chance/2))
-		none *= 1 - chance
+	for n := range lookahead {
+		probability := s.habit.probability(kind, index) * part / slotTime.Seconds()
+		gain += none * (probability*coldCost - rate*part*(1-probability/2))
+		none *= 1 - probability
 		if gain > most {
 			best, most = n, gain
 		}
 		part = slotTime.Seconds()
-		if place++; place == daySlots {
-			_, kind, place = slotOf(end.Add(time.Duration(n) * slotTime))
+		if index++; index == daySlots {
+			_, kind, index = slotOf(end.Add(time.Duration(n) * slotTime))
 		}
 	}
 	if best < 0 {
@@ -307,16 +306,15 @@
 	return end.Add(time.Duration(best) * slotTime), most
 }
 
-// Advice is a load ahead of need.
+// Advice recommends loading an item ahead of need.
 type Advice struct {
 	Name core.ModelName
-	// Gain is what it should save, in accelerator seconds.
+	// Gain is the expected saving in accelerator seconds.
 	Gain float64
 }
 
-// Prewarm lists the items, of those not loaded, that are worth loading now: a
-// use is likely enough within the time that a load takes and the slot after it.
-// The most useful come first.
+// Prewarm returns the items that are not loaded but worth loading now, because a use soon
+// after the load is probable enough. They are in descending order of gain.
 func (p *Policy) Prewarm(now time.Time, loaded func(core.ModelName) bool) []Advice {
 	var list []Advice
 	for name, s := range p.items {
@@ -330,29 +328,29 @@
 	slices.SortFunc(list, func(a, b Advice) int {
 		return cmp.Or(cmp.Compare(b.Gain, a.Gain), cmp.Compare(a.Name, b.Name))
 	})
-	return list[:min(len(list), mostPrewarm)]
+	return list[:min(len(list), maxPrewarm)]
 }
 
-// prewarmGain is what loading an item now should save: what keeping it from the
-// end of the load on should, less the load itself. A load ahead of need whose
-// item would not be kept afterwards gains nothing, so none is undone at once.
-func (p *Policy) prewarmGain(now time.Time, s *state) float64 {
+// prewarmGain returns the expected saving of loading an item now: that of keeping it from
+// the end of the load on, less the cost of the load. If the item would not be kept after
+// the load, there is no gain, so that no such load is undone at once.
+func (p *Policy) prewarmGain(now time.Time, s *itemState) float64 {
 	took := s.loadSeconds()
-	_, gain := p.dayUntil(now.Add(seconds(took)), s)
+	_, gain := p.keepByTimeOfDay(now.Add(toDuration(took)), s)
 	return gain - s.item.Accelerators*took
 }
 
-// Score tells how much an idle item should be kept against others when memory
-// is short: what its loss costs, by the chance that it is wanted within the
-// time it would be kept, for each accelerator second it takes.
+// Score returns how much an idle item should be kept compared to others when memory is
+// short: the cost of a cold start multiplied by the time for which the item would be kept,
+// per accelerator.
 func (p *Policy) Score(now time.Time, name core.ModelName) float64 {
 	s := p.items[name]
 	if s == nil {
 		return 0
 	}
 	left := p.KeepUntil(now, name).Sub(now).Seconds()
-	return max(0, left) * p.cold(s) / max(s.item.Accelerators, 0.01)
+	return max(0, left) * p.coldCost(s) / max(s.item.Accelerators, 0.01)
 }
 
-// Len returns the number of items known.
+// Len returns the number of items.
 func (p *Policy) Len() int { return len(p.items) }
--- a/core/warm/warm_test.go
+++ b/core/warm/warm_test.go
@@ -22,7 +22,7 @@
 	return p
 }
 
-// use plays one short use.
+// use simulates one short use.
 func use(p *Policy, at time.Time) time.Time {
 	p.Begin(at, item, p.items[item].item.Class)
 	end := at.Add(time.Second)
@@ -71,8 +71,8 @@
 	assertKept(t, p, use(p, at), 0, time.Minute)
 }
 
-// playDays has a session of uses begin every day at about the same time.
-func playDays(p *Policy, from time.Time, days int, at time.Duration, rng *rand.Rand) time.Time {
+// simulateDays simulates a session of uses each day at about the same time.
+func simulateDays(p *Policy, from time.Time, days int, at time.Duration, rng *rand.Rand) time.Time {
 	for day := range days {
 		when := from.AddDate(0, 0, day).Add(at + time.Duration(rng.Int64N(int64(4*time.Minute))))
 		for range 5 {
@@ -86,30 +86,31 @@
 	return len(p.Prewarm(now, func(core.ModelName) bool { return false })) > 0
 }
 
-// A treasurer's session begins at eight every evening. After a week of that the
-// model should be loaded shortly before, and not in the middle of the day.
+// Guards against a regular session whose first request waits for a load. After a week with
+// a session at eight every evening, the model must be loaded shortly before, and not in the
+// middle of the day.
 func TestEveningIsPrewarmed(t *testing.T) {
 	p := policyFor(core.Evening)
 	p.Worth = Worth{core.Evening: 240}
-	next := playDays(p, start, 5, 20*time.Hour, rand.New(rand.NewPCG(1, 1)))
+	next := simulateDays(p, start, 5, 20*time.Hour, rand.New(rand.NewPCG(1, 1)))
 	next = next.AddDate(0, 0, 2) // Monday again
 	assert.Assert(t, prewarmed(p, next.Add(20*time.Hour-20*time.Second)), "not loaded before the session")
 	assert.Assert(t, !prewarmed(p, next.Add(14*time.Hour)), "loaded in the afternoon")
 }
 
-// The association closes its accounts and nobody comes any more. What was a
-// habit must not load the model for ever: after a few idle evenings it stops.
+// Guards against a model that is loaded for a habit that has ended. After a few evenings
+// without a session, the loads ahead of need must stop.
 func TestEndedHabitIsForgotten(t *testing.T) {
 	p := policyFor(core.Evening)
 	p.Worth = Worth{core.Evening: 240}
-	next := playDays(p, start, 19, 20*time.Hour, rand.New(rand.NewPCG(1, 2)))
-	vain := 0
+	next := simulateDays(p, start, 19, 20*time.Hour, rand.New(rand.NewPCG(1, 2)))
+	wasted := 0
 	for day := range 60 {
 		if prewarmed(p, next.AddDate(0, 0, day).Add(20*time.Hour-20*time.Second)) {
-			vain++
+			wasted++
 		}
 	}
-	assert.Assert(t, vain >= 1 && vain <= 8, "loaded in vain on %d days", vain)
+	assert.Assert(t, wasted >= 1 && wasted <= 8, "loaded in vain on %d days", wasted)
 }
 
 func TestPrewarmIsBounded(t *testing.T) {
@@ -126,7 +127,7 @@
 		}
 	}
 	got := p.Prewarm(start.AddDate(0, 0, 7).Add(20*time.Hour-20*time.Second), func(core.ModelName) bool { return false })
-	assert.Equal(t, len(got), mostPrewarm)
+	assert.Equal(t, len(got), maxPrewarm)
 	for i := 1; i < len(got); i++ {
 		assert.Assert(t, got[i-1].Gain >= got[i].Gain)
 	}
@@ -141,9 +142,9 @@
 	assert.Assert(t, p.Score(end, item) > p.Score(end, "other"))
 }
 
-// A model of reviews at night is also the base of an adapter that fitters use in
-// front of clients. Judged by its own class it was unloaded at once after each
-// use, and every check waited for it.
+// Guards against a base model that is kept by its own class alone. A model for overnight
+// reviews is also the base of an adapter that is used interactively. It was unloaded after
+// each use, and every check waited for it.
 func TestBaseCountsForItsUsers(t *testing.T) {
 	p := policyFor(core.Overnight)
 	p.Begin(start, item, core.Interactive)
