--- a/core/tend/book.go
+++ b/core/tend/book.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// seenTime is how long an engine has to be listed without word of an agent before
-	// anybody looks whether it has one: agents start with their engines.
-	seenTime = 3 * time.Second
-	// listEvery is how often the agents' records are read while there are engines that
-	// may have none, and listAge how old the last reading may be for an engine to count
-	// as one without. An agent that has started meanwhile shows within the two.
-	listEvery = 2 * time.Second
-	listAge   = 4 * time.Second
-	// lookEvery is how often they are read by an entry that is not the holder.
-	lookEvery = 8 * time.Second
+	// agentStartGrace is how long an engine has to be listed without a response of an agent
+	// before its record is looked up, since agents start together with their engines.
+	agentStartGrace = 3 * time.Second
+	// listInterval is the interval at which the holder reads the agents' records while
+	// there are engines that may have no agent. listTTL is the maximum age of the last read
+	// at which an engine still counts as one without an agent. An agent that has started in
+	// the meantime is noticed within the two.
+	listInterval = 2 * time.Second
+	listTTL      = 4 * time.Second
+	// otherListInterval is the interval for an entry that is not the holder.
+	otherListInterval = 8 * time.Second
 )
 
-// AgentWait is how long an agent waits before its first order where an entry has been the
-// holder: until the entry has read the agent's record, or may believe in its lease no
-// more, and then for as long as orders of two holders have to be apart.
-const AgentWait = listAge + LeaseBelief + holderGap
+// AgentWait is how long an agent waits before its first order if an entry has been the
+// holder. It covers the time until the entry has read the agent's record or can no longer
+// rely on its lease, and the required gap between the orders of two holders.
+const AgentWait = listTTL + LeaseBelief + holderGap
 
-// Times of the lease that an entry holds on the engines without agents of its data
-// centre. The margin keeps the orders of two holders apart by more than holderGap, also
-// when the first one acted at the last moment.
+// The following are the times of the lease that an entry holds on the engines without
+// agents in its data centre. The margin keeps the orders of two holders apart by more than
+// holderGap, even if the previous one sends an order at the last moment.
 const (
 	LeaseTerm   = 8 * time.Second
 	LeaseMargin = 3500 * time.Millisecond
@@ -34,20 +35,20 @@
 	holderGap   = 3 * time.Second
 )
 
-// Book is what one entry knows of the engines of its data centre and their agents. The
-// zero Book is ready for use; it is not safe for use by several goroutines.
+// Book tracks the engines of an entry's data centre and their agents. The zero Book is
+// ready for use. It is not safe for concurrent use.
 type Book struct {
-	// since is when an engine was first seen without word of an agent.
+	// since is when each engine was first seen without a response of an agent.
 	since map[netip.AddrPort]time.Time
-	// agents are the engines that have a record of an agent, as read at listed.
+	// agents are the engines that have an agent's record, as read at listed.
 	agents map[netip.AddrPort]bool
 	listed time.Time
-	// lacks tells that some engine had no agent then.
+	// lacks is set if some engine had no agent at that time.
 	lacks bool
 }
 
-// See takes in the engines that are listed; heard tells of those whose agent has ever
-// answered this entry.
+// See records the engines that are listed. The function heard reports whether the agent of
+// an engine has ever responded to this entry.
 func (b *Book) See(now time.Time, engines []netip.AddrPort, heard func(netip.AddrPort) bool) {
 	old := b.since
 	b.since = make(map[netip.AddrPort]time.Time, len(engines))
@@ -63,8 +64,8 @@
 	}
 }
 
-// Listed takes in the engines that have a record of an agent, as the store listed them
-// at a time.
+// Listed records the engines that have an agent's record, as the store listed them at the
+// given time.
 func (b *Book) Listed(at time.Time, agents []netip.AddrPort) {
 	b.listed = at
 	b.agents = make(map[netip.AddrPort]bool, len(agents))
@@ -74,35 +75,35 @@
 	b.lacks = len(b.Alone(at)) > 0
 }
 
-// Lacks tells whether some engine had no agent when the records were read last.
+// Lacks reports whether some engine had no agent when the records were last read.
 func (b *Book) Lacks() bool { return b.lacks }
 
-// MustList tells whether the agents' records are to be read now, by the holder or by
-// another.
+// MustList reports whether the agents' records have to be read now. If holds is set, this
+// entry is the holder.
 func (b *Book) MustList(now time.Time, holds bool) bool {
-	pause := lookEvery
+	interval := otherListInterval
 	if holds {
-		pause = listEvery
+		interval = listInterval
 	}
-	if now.Sub(b.listed) < pause {
+	if now.Sub(b.listed) < interval {
 		return false
 	}
 	for e, at := range b.since {
-		if now.Sub(at) >= seenTime && !b.agents[e] {
+		if now.Sub(at) >= agentStartGrace && !b.agents[e] {
 			return true
 		}
 	}
 	return false
 }
 
-// Alone returns the engines that have no agent, in order.
+// Alone returns the engines that have no agent, sorted by address.
 func (b *Book) Alone(now time.Time) []netip.AddrPort {
-	if now.Sub(b.listed) > listAge {
+	if now.Sub(b.listed) > listTTL {
 		return nil
 	}
 	var out []netip.AddrPort
 	for e, at := range b.since {
-		if b.listed.Sub(at) >= seenTime && !b.agents[e] {
+		if b.listed.Sub(at) >= agentStartGrace && !b.agents[e] {
 			out = append(out, e)
 		}
 	}
--- a/core/tend/book_test.go
+++ b/core/tend/book_test.go
@@ -32,23 +32,23 @@
 func TestEngineWithoutAgent(t *testing.T) {
 	var b tend.Book
 	see(&b, 0, first, second)
-	t.Run("it may have one that starts", func(t *testing.T) {
+	t.Run("its agent may still be starting", func(t *testing.T) {
 		assert.Assert(t, !b.MustList(at(2*time.Second), false))
 		wantAlone(t, &b, 2*time.Second)
 	})
-	t.Run("then its record is looked for", func(t *testing.T) {
+	t.Run("after that its record is read", func(t *testing.T) {
 		assert.Assert(t, b.MustList(at(3*time.Second), false))
 		b.Listed(at(3*time.Second), []netip.AddrPort{second})
 		wantAlone(t, &b, 3*time.Second, first)
 	})
-	t.Run("and again while it counts as one without", func(t *testing.T) {
+	t.Run("and again while it has no agent", func(t *testing.T) {
 		assert.Assert(t, b.Lacks())
-		assert.Assert(t, !b.MustList(at(5*time.Second), false), "by others seldom")
+		assert.Assert(t, !b.MustList(at(5*time.Second), false), "other entries read less often")
 		assert.Assert(t, !b.MustList(at(4*time.Second), true))
 		assert.Assert(t, b.MustList(at(5*time.Second), true))
 	})
-	t.Run("an old reading tells nothing", func(t *testing.T) { wantAlone(t, &b, 8*time.Second) })
-	t.Run("a reading from before it was listed long enough tells nothing", func(t *testing.T) {
+	t.Run("an old read is not used", func(t *testing.T) { wantAlone(t, &b, 8*time.Second) })
+	t.Run("a read is not used if the engine was not listed long enough before it", func(t *testing.T) {
 		var b tend.Book
 		b.Listed(at(0), nil)
 		see(&b, time.Second, first)
@@ -56,9 +56,9 @@
 	})
 }
 
-// All agents are killed and stay away for long, and their engines live. The entries have
-// restarted too and never heard of them. Ordered by an entry, each engine would have two
-// holders when its agent is back.
+// Guards against an engine with two holders after an agent's return. All agents are killed
+// and stay down for long while their engines live. The entries have restarted too and have
+// never had a response of the agents, but must not order their engines.
 func TestEngineOfDeadAgentIsLeftAlone(t *testing.T) {
 	var b tend.Book
 	see(&b, 0, first)
@@ -69,8 +69,9 @@
 	assert.Assert(t, !b.MustList(at(time.Minute), true), "its record is known")
 }
 
-// An agent appears beside an engine that an entry orders. It writes its record and waits;
-// by the end of that the entry has stopped, whatever fails on its way to the store.
+// Guards against an engine with two holders when an agent appears beside an engine that an
+// entry orders. The agent writes its record and waits. By the end of the wait the entry
+// must have stopped, whatever fails on its way to the store.
 func TestAgentThatAppearsWaitsLongEnough(t *testing.T) {
 	var b tend.Book
 	see(&b, 0, first)
@@ -78,7 +79,7 @@
 	wantAlone(t, &b, 10*time.Second, first)
 	b.Listed(at(12*time.Second), []netip.AddrPort{first})
 	wantAlone(t, &b, 12*time.Second)
-	// Without a further reading the last order falls into the four seconds after the last.
+	// Without another read, the last order is sent within four seconds of the last read.
 	assert.Assert(t, tend.AgentWait-4*time.Second > 3*time.Second)
 	assert.Assert(t, tend.LeaseMargin > 3*time.Second)
 }
