--- a/core/agenda/agenda.go
+++ b/core/agenda/agenda.go
@@ -1,6 +1,6 @@
-// Package agenda orders what happens at given times, for replays and for plays
-// in tests: the earliest first, and what has the same time in the order in which
-// it was put in, so that a run is the same every time.
+// Package agenda is an event queue for replays and simulations. It returns the earliest
+// event first, and events with the same time in the order in which they were added, so that
+// every run is the same.
 package agenda
 
 import (
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// Agenda is a list of things to come. The zero value is empty and ready.
+// Agenda is a queue of events ordered by time. The zero value is empty and ready for use.
+// It is not safe for concurrent use.
 type Agenda[T any] struct {
-	items items[T]
-	count int
+	items    items[T]
+	sequence int
 }
 
 type item[T any] struct {
-	at    time.Time
-	count int
-	what  T
+	at       time.Time
+	sequence int
+	event    T
 }
 
-// Put adds what happens at a time.
-func (a *Agenda[T]) Put(at time.Time, what T) {
-	a.count++
-	heap.Push(&a.items, item[T]{at, a.count, what})
+// Put adds an event at a time.
+func (a *Agenda[T]) Put(at time.Time, event T) {
+	a.sequence++
+	heap.Push(&a.items, item[T]{at, a.sequence, event})
 }
 
-// Len returns how much is to come.
+// Len returns the number of events.
 func (a *Agenda[T]) Len() int { return len(a.items) }
 
-// Next returns when the next thing happens; false where nothing is to come.
+// Next returns the time of the next event, false if there is none.
 func (a *Agenda[T]) Next() (time.Time, bool) {
 	if len(a.items) == 0 {
 		return time.Time{}, false
@@ -37,10 +38,10 @@
 	return a.items[0].at, true
 }
 
-// Take removes and returns the next thing. Len must not be zero.
+// Take removes and returns the next event. It panics if there is none.
 func (a *Agenda[T]) Take() (time.Time, T) {
 	i := heap.Pop(&a.items).(item[T])
-	return i.at, i.what
+	return i.at, i.event
 }
 
 type items[T any] []item[T]
@@ -50,7 +51,7 @@
 	if c := h[i].at.Compare(h[j].at); c != 0 {
 		return c < 0
 	}
-	return h[i].count < h[j].count
+	return h[i].sequence < h[j].sequence
 }
 func (h items[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *items[T]) Push(x any)   { *h = append(*h, x.(item[T])) }
