--- a/core/demand/book.go
+++ b/core/demand/book.go
@@ -14,7 +14,7 @@
 	// disk, which takes about a second with the order for it.
 	hastyTarget = 1500 * time.Millisecond
 	// prefillRate is the assumed prefill rate of an engine in prompt tokens per second.
-	prefillRate = 1000 * fleet.ReadRate
+	prefillRate = 1000 * fleet.PrefillRate
 	// initialTokenTime is the assumed time in which an engine generates a token until a
 	// stream has been measured, in seconds. tokenTimeWeight is the weight of each new
 	// sample in the moving average.
--- a/core/fleet/host.go
+++ b/core/fleet/host.go
@@ -94,7 +94,7 @@
 	*signals
 }
 
-func (h *Host) incarnation() Life { return Life{ID: h.ID, Born: h.Born} }
+func (h *Host) incarnation() Incarnation { return Incarnation{ID: h.ID, Born: h.Born} }
 
 // sentPrompt is a prompt that was sent to a host.
 type sentPrompt struct {
@@ -150,10 +150,10 @@
 	return max(h.active[model], h.Report.Active[model])
 }
 
-// Lost reports whether the host's agent reports that it cannot reach the host. Such a
+// IsUnreachable reports whether the host's agent reports that it cannot reach the host. Such a
 // report expires like any other: if the agent itself falls silent, the state of its host is
 // unknown.
-func (h *Host) Lost(now time.Time) bool {
+func (h *Host) IsUnreachable(now time.Time) bool {
 	return !h.unreachableAt.IsZero() && now.Sub(h.unreachableAt) < reportTTL
 }
 
@@ -167,13 +167,15 @@
 	return !h.Report.Taken.IsZero() && now.Sub(h.Report.Taken) >= silenceTimeout
 }
 
-// Outlived reports whether this incarnation has ended, either by the report of the host's
+// HasEnded reports whether this incarnation has ended, either by the report of the host's
 // agent or because the registry lists a newer one at its address.
-func (h *Host) Outlived() bool { return h.ended || h.superseded }
+func (h *Host) HasEnded() bool { return h.ended || h.superseded }
 
-// Runs reports whether this incarnation may be used: its entry could be read, and neither
+// IsAvailable reports whether this incarnation may be used: its entry could be read, and neither
 // the registry nor its agent says that it has ended or cannot be reached.
-func (h *Host) Runs(now time.Time) bool { return h.Usable && !h.Outlived() && !h.Lost(now) }
+func (h *Host) IsAvailable(now time.Time) bool {
+	return h.Usable && !h.HasEnded() && !h.IsUnreachable(now)
+}
 
 // IsLeaving reports whether the registry, the host's agent or the host's own answers say
 // that the host is leaving.
--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -73,7 +73,9 @@
 
 // Limit returns the rate limit of an incarnation of a host, which is shared by all entries,
 // whether or not the registry lists that incarnation.
-func (v *View) Limit(inc Life, now time.Time) core.RateLimit { return v.signalsOf(inc).Limit(now) }
+func (v *View) Limit(inc Incarnation, now time.Time) core.RateLimit {
+	return v.signalsOf(inc).Limit(now)
+}
 
 // Limited returns the number of hosts that have a rate limit.
 func (v *View) Limited(now time.Time) (n int) {
@@ -88,6 +90,6 @@
 // NoteLimit records the limit in a host's answer to a request that was sent at the given
 // time, and reports whether the limit has changed. Answers may arrive out of order: an
 // answer without a limit does not lift one that was reported after its request was sent.
-func (v *View) NoteLimit(inc Life, sent, now time.Time, limit core.RateLimit) bool {
+func (v *View) NoteLimit(inc Incarnation, sent, now time.Time, limit core.RateLimit) bool {
 	return v.signalsOf(inc).noteLimit(sent, now, limit)
 }
--- a/core/fleet/limit_test.go
+++ b/core/fleet/limit_test.go
@@ -15,7 +15,7 @@
 	t0 := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 	one := core.RateLimit{Named: true, Rate: 1}
-	inc := fleet.Life{ID: "i-1"}
+	inc := fleet.Incarnation{ID: "i-1"}
 	var v fleet.View
 	v.Apply(fleet.Entry{ID: "i-1"})
 	h := v.Host("i-1")
@@ -41,16 +41,16 @@
 	one := core.RateLimit{Named: true, Rate: 1}
 	var v fleet.View
 	v.Apply(fleet.Entry{ID: "i-1", Born: 5, Usable: true})
-	v.NoteLimit(fleet.Life{ID: "i-2"}, t0, t0, one)
+	v.NoteLimit(fleet.Incarnation{ID: "i-2"}, t0, t0, one)
 	// Guards against a limit of an earlier incarnation that is applied to a restarted host.
-	v.NoteLimit(fleet.Life{ID: "i-1", Born: 4}, t0, t0, one)
+	v.NoteLimit(fleet.Incarnation{ID: "i-1", Born: 4}, t0, t0, one)
 	assert.Equal(t, v.Limited(t0), 0)
-	v.NoteLimit(fleet.Life{ID: "i-1", Born: 5}, t0, t0, one)
+	v.NoteLimit(fleet.Incarnation{ID: "i-1", Born: 5}, t0, t0, one)
 	assert.Equal(t, v.Host("i-1").Limit(t0), one)
 	v.Apply(fleet.Entry{ID: "i-1", Born: 6, Usable: true})
 	assert.Equal(t, v.Limited(t0), 0)
 	t.Run("of an incarnation that is listed later", func(t *testing.T) {
-		v.NoteLimit(fleet.Life{ID: "i-3", Born: 1}, t0, t0, one)
+		v.NoteLimit(fleet.Incarnation{ID: "i-3", Born: 1}, t0, t0, one)
 		v.Apply(fleet.Entry{ID: "i-3", Born: 1})
 		assert.Equal(t, v.Host("i-3").Limit(t0), one)
 	})
@@ -63,9 +63,9 @@
 	var v fleet.View
 	v.Apply(fleet.Entry{ID: "i-1", Service: "s", Usable: true})
 	h := v.Host("i-1")
-	v.NoteLimit(fleet.Life{ID: "i-1"}, t0, t0, core.RateLimit{Named: true, Rate: 2})
+	v.NoteLimit(fleet.Incarnation{ID: "i-1"}, t0, t0, core.RateLimit{Named: true, Rate: 2})
 	wait := func(after time.Duration) time.Duration {
-		return v.Pick(t0.Add(after), &fleet.Query{Service: "s"}).Paced
+		return v.Pick(t0.Add(after), &fleet.Query{Service: "s"}).RateLimitDelay
 	}
 	assert.Equal(t, wait(0), time.Duration(0))
 	h.NoteReservation(t0, t0.Add(10*time.Second), false)
@@ -79,7 +79,7 @@
 // outage of the store and comes back.
 func TestLimitOutlastsEntry(t *testing.T) {
 	one := core.RateLimit{Named: true, Rate: 1}
-	inc := fleet.Life{ID: "i-1"}
+	inc := fleet.Incarnation{ID: "i-1"}
 	v := view(entry("i-1", "m"))
 	v.Remove(t0, "i-1")
 	v.NoteLimit(inc, t0, t0, one) // the answer to a request that was in progress
@@ -99,7 +99,7 @@
 	})
 	t.Run("and not for good", func(t *testing.T) {
 		for i := range 5000 {
-			v.NoteLimit(fleet.Life{ID: "i-9", Born: int64(i)}, t0, t0, one)
+			v.NoteLimit(fleet.Incarnation{ID: "i-9", Born: int64(i)}, t0, t0, one)
 		}
 		assert.Assert(t, fleet.RetainedSignals(v) < 2000, fleet.RetainedSignals(v))
 		assert.Equal(t, v.Host("i-1").Limit(after(time.Second)), one, "the host is listed")
--- a/core/fleet/lives.go
+++ b/core/fleet/lives.go
@@ -17,44 +17,44 @@
 	maxEnded = 8
 )
 
-// Life identifies one incarnation of a host by its ID and, if the host reports it, its
+// Incarnation identifies one incarnation of a host by its ID and, if the host reports it, its
 // start time in milliseconds since the Unix epoch, since an ID can be reused after a
 // restart.
-type Life struct {
+type Incarnation struct {
 	ID   core.HostName
 	Born int64
 }
 
-// Lives tracks the running incarnation of a host, from the entries that the registry lists,
+// IncarnationTracker tracks the running incarnation of a host, from the entries that the registry lists,
 // for the agent beside a host whose own reports do not name it.
 //
 // A restarted host is listed under a new name at once, while its old entry lapses only
 // seconds later. If the agent kept the old name, the host would refuse all of its orders,
 // and entries would go on sending requests and planning loads for the old name.
 //
-// The zero Lives is ready for use. It is not safe for concurrent use.
-type Lives struct {
-	current Life
+// The zero IncarnationTracker is ready for use. It is not safe for concurrent use.
+type IncarnationTracker struct {
+	current Incarnation
 	ended   []endedIncarnation
 }
 
 type endedIncarnation struct {
-	Life
+	Incarnation
 	until time.Time
 }
 
 // Current returns the running incarnation's ID, empty if none is known.
-func (l *Lives) Current() core.HostName { return l.current.ID }
+func (l *IncarnationTracker) Current() core.HostName { return l.current.ID }
 
-// Said records the incarnation that the host itself reports. It takes precedence over what
+// NoteReported records the incarnation that the host itself reports. It takes precedence over what
 // the registry lists.
-func (l *Lives) Said(inc Life) { l.current = inc }
+func (l *IncarnationTracker) NoteReported(inc Incarnation) { l.current = inc }
 
-// Named records the incarnation that the registry lists, and reports whether it is a new
+// NoteListed records the incarnation that the registry lists, and reports whether it is a new
 // one. An incarnation that has ended is ignored until endedTTL has passed.
-func (l *Lives) Named(now time.Time, inc Life) bool {
+func (l *IncarnationTracker) NoteListed(now time.Time, inc Incarnation) bool {
 	l.forget(now)
-	over := func(e endedIncarnation) bool { return e.Life == inc }
+	over := func(e endedIncarnation) bool { return e.Incarnation == inc }
 	if inc.ID == "" || inc == l.current || slices.ContainsFunc(l.ended, over) {
 		return false
 	}
@@ -64,19 +64,19 @@
 
 // End records that the current incarnation has ended: the host was restarted, or it refused
 // a message that was addressed to that incarnation.
-func (l *Lives) End(now time.Time) {
+func (l *IncarnationTracker) End(now time.Time) {
 	if l.current.ID == "" {
 		return
 	}
-	l.ended = append(l.ended, endedIncarnation{Life: l.current, until: now.Add(endedTTL)})
+	l.ended = append(l.ended, endedIncarnation{Incarnation: l.current, until: now.Add(endedTTL)})
 	l.ended = l.ended[max(0, len(l.ended)-maxEnded):]
-	l.current = Life{}
+	l.current = Incarnation{}
 }
 
 // Ended returns the IDs of the recently ended incarnations that have no start time, oldest
 // first. An ID with start times may be running again, and its incarnations are told apart
 // by them.
-func (l *Lives) Ended(now time.Time) []core.HostName {
+func (l *IncarnationTracker) Ended(now time.Time) []core.HostName {
 	l.forget(now)
 	var out []core.HostName
 	for _, e := range l.ended {
@@ -87,6 +87,6 @@
 	return out
 }
 
-func (l *Lives) forget(now time.Time) {
+func (l *IncarnationTracker) forget(now time.Time) {
 	l.ended = slices.DeleteFunc(l.ended, func(e endedIncarnation) bool { return !now.Before(e.until) })
 }
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -14,10 +14,10 @@
 // The weights below add up to the time, in milliseconds, until a host should give its first
 // answer. Only their ratios affect the choice.
 const (
-	// ReadRate is the assumed prefill rate of an engine in prompt tokens per millisecond.
+	// PrefillRate is the assumed prefill rate of an engine in prompt tokens per millisecond.
 	// The prefill of a long prompt delays the next request by so much that it outweighs the
 	// other weights.
-	ReadRate = 38.0
+	PrefillRate = 38.0
 	// runningCost is added for each request in progress, which lengthens a decode step of
 	// the batch by less than one percent.
 	runningCost = 2.0
@@ -93,8 +93,8 @@
 	// RetryAt is when the first of the hosts takes requests again, zero if some host takes
 	// them now or none holds the model.
 	RetryAt time.Time
-	// Paced is the part of Wait that is due to the host's rate limit.
-	Paced time.Duration
+	// RateLimitDelay is the part of Wait that is due to the host's rate limit.
+	RateLimitDelay time.Duration
 }
 
 // minWait is the wait that is allowed for any target.
@@ -111,9 +111,9 @@
 // target because a later answer is of little use and delays others.
 func (c Choice) Overloaded(target time.Duration) bool { return exceeds(c.Wait, target) }
 
-// BacksOff reports whether all hosts want no requests for longer than a request with the
+// AllBackingOff reports whether all hosts want no requests for longer than a request with the
 // given target waits. Such a request is told at once when to retry.
-func (c Choice) BacksOff(now time.Time, target time.Duration) bool {
+func (c Choice) AllBackingOff(now time.Time, target time.Duration) bool {
 	return exceeds(c.RetryAt.Sub(now), target)
 }
 
@@ -129,7 +129,7 @@
 	var retryAt time.Time
 	takes := false
 	for _, h := range v.hosts {
-		if q.Service != "" && q.Service != h.Service || !h.Runs(now) {
+		if q.Service != "" && q.Service != h.Service || !h.IsAvailable(now) {
 			continue
 		}
 		if h.IsLeaving(now) {
@@ -159,7 +159,7 @@
 		cost := wait + h.cost(now, q)
 		if best.Host == nil || cost < best.Cost || cost == best.Cost && h.ID < best.Host.ID {
 			best.Host, best.Fetch, best.Cost = h, fetch, cost
-			best.Wait, best.Paced = time.Duration(wait*float64(time.Millisecond)), h.reservationDelay(now)
+			best.Wait, best.RateLimitDelay = time.Duration(wait*float64(time.Millisecond)), h.reservationDelay(now)
 		}
 	}
 	if !takes {
@@ -173,7 +173,7 @@
 // outstanding requests are among those that the host reports as waiting, so the larger of
 // the two counts is used.
 func (h *Host) wait(now time.Time, q *Query, fetch bool, prefillTime float64) float64 {
-	before := float64(h.pendingPrefill) / ReadRate
+	before := float64(h.pendingPrefill) / PrefillRate
 	if h.Fresh(now) {
 		before = max(before, h.backlog(prefillTime))
 	}
@@ -184,7 +184,7 @@
 	if q.Model == "" {
 		return before
 	}
-	return before + float64(h.unread(now, q))/ReadRate
+	return before + float64(h.unread(now, q))/PrefillRate
 }
 
 // backlog returns the time, in milliseconds, for the prefill of what the host reported and
@@ -197,12 +197,12 @@
 			tokens += s.tokens
 		}
 	}
-	return float64(h.Report.Waiting)*prefillTime + float64(tokens)/ReadRate
+	return float64(h.Report.Waiting)*prefillTime + float64(tokens)/PrefillRate
 }
 
 // cost returns the cost of a host besides its wait, in milliseconds.
 func (h *Host) cost(now time.Time, q *Query) float64 {
-	cost := float64(h.inFlight)*runningCost + h.Failing(now)*failureCost
+	cost := float64(h.inFlight)*runningCost + h.FailureCount(now)*failureCost
 	if h.Fresh(now) {
 		cost += float64(h.Report.Running) * runningCost / 2
 	}
@@ -267,8 +267,8 @@
 	return float64(xxhash.Sum64(key)>>11) / (1 << 53)
 }
 
-// Failing returns the exponentially decayed count of the host's failures.
-func (h *Host) Failing(now time.Time) float64 {
+// FailureCount returns the exponentially decayed count of the host's failures.
+func (h *Host) FailureCount(now time.Time) float64 {
 	if h.failures == 0 {
 		return 0
 	}
@@ -283,13 +283,13 @@
 	return v.meanPrefill
 }
 
-// Read adds the prompt tokens that an engine has to prefill for a request to the average.
-func (v *View) Read(tokens int) {
-	v.meanPrefill = v.prefillTime() + prefillWeight*(float64(tokens)/ReadRate-v.prefillTime())
+// NotePrompt adds the prompt tokens that an engine has to prefill for a request to the average.
+func (v *View) NotePrompt(tokens int) {
+	v.meanPrefill = v.prefillTime() + prefillWeight*(float64(tokens)/PrefillRate-v.prefillTime())
 }
 
-// Sent records that a request is sent to the host.
-func (h *Host) Sent(now time.Time, q *Query) {
+// NoteSent records that a request is sent to the host.
+func (h *Host) NoteSent(now time.Time, q *Query) {
 	h.inFlight++
 	if q.Model == "" {
 		return
@@ -310,19 +310,19 @@
 	}
 }
 
-// Begun records the start of an answer. The cost is the value of Unread before Sent.
-func (h *Host) Begun(cost int) { h.pendingPrefill = max(0, h.pendingPrefill-cost) }
+// NoteAnswerStart records the start of an answer. The cost is the value of Unread before Sent.
+func (h *Host) NoteAnswerStart(cost int) { h.pendingPrefill = max(0, h.pendingPrefill-cost) }
 
-// Unread returns the number of prompt tokens that Sent will count for a request.
-func (h *Host) Unread(now time.Time, q *Query) int {
+// PrefillTokens returns the number of prompt tokens that Sent will count for a request.
+func (h *Host) PrefillTokens(now time.Time, q *Query) int {
 	if q.Model == "" {
 		return 0
 	}
 	return h.unread(now, q)
 }
 
-// Ended records that a request to the host is over. The model is empty for a plain service.
-func (h *Host) Ended(model core.ModelName) {
+// NoteEnd records that a request to the host is over. The model is empty for a plain service.
+func (h *Host) NoteEnd(model core.ModelName) {
 	h.inFlight = max(0, h.inFlight-1)
 	switch n := h.active[model]; {
 	case n > 1:
@@ -332,20 +332,20 @@
 	}
 }
 
-// Failed records a failure that may be the host's fault.
-func (h *Host) Failed(now time.Time) {
-	h.failures = h.Failing(now) + 1
+// NoteFailure records a failure that may be the host's fault.
+func (h *Host) NoteFailure(now time.Time) {
+	h.failures = h.FailureCount(now) + 1
 	h.failedAt = now
 }
 
-// Unreached records that the host accepted no connection.
-func (h *Host) Unreached(now time.Time) {
-	h.Failed(now)
+// NoteConnectFailure records that the host accepted no connection.
+func (h *Host) NoteConnectFailure(now time.Time) {
+	h.NoteFailure(now)
 	h.avoidUntil = now.Add(connectBackoff)
 }
 
-// Lacks records that the host denied holding a model.
-func (h *Host) Lacks(now time.Time, model core.ModelName) {
+// NoteMissing records that the host denied holding a model.
+func (h *Host) NoteMissing(now time.Time, model core.ModelName) {
 	if h.missing == nil {
 		h.missing = map[core.ModelName]time.Time{}
 	}
--- a/core/fleet/pick_test.go
+++ b/core/fleet/pick_test.go
@@ -40,7 +40,7 @@
 	})
 	t.Run("a host that accepted no connection is the last choice", func(t *testing.T) {
 		v := view(entry("i-1", "m"), entry("i-2", "m"))
-		v.Host("i-1").Unreached(t0)
+		v.Host("i-1").NoteConnectFailure(t0)
 		wantPick(t, v, t0, "i-2")
 		v.Remove(t0, "i-2")
 		wantPick(t, v, t0, "i-1")
@@ -78,10 +78,10 @@
 		now := after(time.Duration(i) * 300 * time.Millisecond)
 		q := prompt(fmt.Sprint("doc-", i%12), fmt.Sprint("own-", i))
 		h := v.Pick(now, q).Host
-		unread := h.Unread(now, q)
-		h.Sent(now, q)
-		h.Begun(unread)
-		h.Ended("m")
+		unread := h.PrefillTokens(now, q)
+		h.NoteSent(now, q)
+		h.NoteAnswerStart(unread)
+		h.NoteEnd("m")
 		if where[q.Parts[0].ID] == nil {
 			where[q.Parts[0].ID] = map[core.HostName]bool{}
 		}
@@ -119,14 +119,14 @@
 	for i := range 400 {
 		now := after(time.Duration(i) * 25 * time.Millisecond)
 		for len(runs) > 0 && !runs[0].begins.After(now) {
-			runs[0].h.Begun(runs[0].unread)
-			runs[0].h.Ended("m")
+			runs[0].h.NoteAnswerStart(runs[0].unread)
+			runs[0].h.NoteEnd("m")
 			runs = runs[1:]
 		}
 		q := prompt("doc", fmt.Sprint("own-", i))
 		h := v.Pick(now, q).Host
-		unread := h.Unread(now, q)
-		h.Sent(now, q)
+		unread := h.PrefillTokens(now, q)
+		h.NoteSent(now, q)
 		begins := now
 		if free[h.ID].After(now) {
 			begins = free[h.ID]
@@ -154,17 +154,17 @@
 		now := after(time.Duration(i) * 50 * time.Millisecond)
 		q := prompt(fmt.Sprint("doc-", i%30), "own")
 		h := v.Pick(now, q).Host
-		unread := h.Unread(now, q)
-		h.Sent(now, q)
-		h.Begun(unread)
-		h.Ended("m")
+		unread := h.PrefillTokens(now, q)
+		h.NoteSent(now, q)
+		h.NoteAnswerStart(unread)
+		h.NoteEnd("m")
 		if h.ID == "i-00" && rng.Float64() < 0.5 {
 			bad++
-			h.Failed(now)
+			h.NoteFailure(now)
 		}
 	}
 	assert.Assert(t, bad < 15, "%d of 300", bad)
-	assert.Assert(t, v.Host("i-00").Failing(after(time.Minute)) < 0.01)
+	assert.Assert(t, v.Host("i-00").FailureCount(after(time.Minute)) < 0.01)
 }
 
 func TestPlainServiceSpreads(t *testing.T) {
@@ -178,7 +178,7 @@
 	count := map[core.HostName]int{}
 	for range 18 {
 		h := v.Pick(t0, q).Host
-		h.Sent(t0, q)
+		h.NoteSent(t0, q)
 		count[h.ID]++
 	}
 	for id, n := range count {
@@ -206,8 +206,8 @@
 			for len(queue) > 0 && !free.After(now) {
 				r := queue[0]
 				queue = queue[1:]
-				h.Begun(r.unread)
-				h.Ended("m")
+				h.NoteAnswerStart(r.unread)
+				h.NoteEnd("m")
 				if free.Sub(r.came) > patience {
 					continue // the caller has left, and the engine skips the request
 				}
@@ -227,9 +227,9 @@
 			if !admit(c) {
 				continue
 			}
-			unread := h.Unread(now, q)
-			h.Sent(now, q)
-			v.Read(unread)
+			unread := h.PrefillTokens(now, q)
+			h.NoteSent(now, q)
+			v.NotePrompt(unread)
 			queue = append(queue, run{unread: unread, came: now})
 		}
 		return float64(inTime) / requests
@@ -281,8 +281,8 @@
 			q := prompt(fmt.Sprint("doc-", i), "own")
 			c := v.Pick(now, q)
 			h := c.Host
-			unread := h.Unread(now, q)
-			h.Sent(now, q)
+			unread := h.PrefillTokens(now, q)
+			h.NoteSent(now, q)
 			if free[ids[0]].Before(now) {
 				free[ids[0]] = now
 			}
@@ -298,8 +298,8 @@
 			}
 			free[h.ID] = free[h.ID].Add(read)
 			sum += (free[h.ID].Sub(now) - c.Wait).Abs()
-			h.Begun(unread)
-			h.Ended("m")
+			h.NoteAnswerStart(unread)
+			h.NoteEnd("m")
 		}
 		return sum / requests, float64(behind) / requests
 	}
@@ -319,7 +319,7 @@
 	}
 	const own = 237 * time.Millisecond // 9,000 tokens
 	assert.Equal(t, ask(t0), 100*time.Millisecond+own)
-	h.Sent(after(10*time.Millisecond), prompt("other", "own"))
+	h.NoteSent(after(10*time.Millisecond), prompt("other", "own"))
 	assert.Equal(t, ask(after(20*time.Millisecond)), 100*time.Millisecond+2*own, "prompts sent since the report are added")
 	v.Report(fleet.Report{Taken: after(30 * time.Millisecond), ID: "i-00", Reading: 9000, Models: []core.HeldModel{{Model: "m"}}})
 	assert.Equal(t, ask(after(40*time.Millisecond)), 2*own, "not counted twice once the report includes them")
--- a/core/fleet/signal.go
+++ b/core/fleet/signal.go
@@ -28,7 +28,7 @@
 
 // NoteBackoff records the time until which an incarnation of a host wants no requests of
 // this process, and reports whether this begins a new backoff.
-func (v *View) NoteBackoff(inc Life, now, until time.Time) bool {
+func (v *View) NoteBackoff(inc Incarnation, now, until time.Time) bool {
 	if !now.Before(until) {
 		return false
 	}
@@ -52,7 +52,7 @@
 
 // NoteLeaving records that an incarnation of a host reports that it is leaving, and reports
 // whether that is new.
-func (v *View) NoteLeaving(inc Life, now time.Time) bool {
+func (v *View) NoteLeaving(inc Incarnation, now time.Time) bool {
 	s := v.signalsOf(inc)
 	if _, ok := s.LeavingFor(now); ok {
 		return false
@@ -63,7 +63,7 @@
 }
 
 // signalsOf returns the signals of an incarnation, whether or not the registry lists it.
-func (v *View) signalsOf(inc Life) *signals {
+func (v *View) signalsOf(inc Incarnation) *signals {
 	v.init()
 	s := v.signals[inc]
 	if s == nil {
@@ -76,7 +76,7 @@
 
 // unlist drops the signals of an incarnation that the registry no longer lists, unless some
 // are set, since its entry may come back.
-func (v *View) unlist(inc Life) {
+func (v *View) unlist(inc Incarnation) {
 	if *v.signals[inc] == (signals{}) {
 		delete(v.signals, inc)
 		return
@@ -86,7 +86,7 @@
 
 // retain keeps the signals of an incarnation as long as it is among the last maxUnlisted
 // that were not listed.
-func (v *View) retain(inc Life) {
+func (v *View) retain(inc Incarnation) {
 	v.unlisted = append(v.unlisted, inc)
 	if len(v.unlisted) <= maxUnlisted {
 		return
--- a/core/fleet/view.go
+++ b/core/fleet/view.go
@@ -35,8 +35,8 @@
 	lapsed map[core.HostName]time.Time
 	// signals holds the signals of each incarnation. unlisted holds the incarnations that
 	// were not listed in the registry at some time, oldest first.
-	signals  map[Life]*signals
-	unlisted []Life
+	signals  map[Incarnation]*signals
+	unlisted []Incarnation
 	// lastStoreFailure is when the store last failed.
 	lastStoreFailure time.Time
 	changes          uint64
@@ -53,24 +53,24 @@
 		v.hosts = map[core.HostName]*Host{}
 		v.byAddress = map[netip.AddrPort][]*Host{}
 		v.lapsed = map[core.HostName]time.Time{}
-		v.signals = map[Life]*signals{}
+		v.signals = map[Incarnation]*signals{}
 	}
 }
 
 // Changes counts the changes after which waiting requests should look for a host again.
 func (v *View) Changes() uint64 { return v.changes }
 
-// Troubled records that the store failed or could not be reached.
-func (v *View) Troubled(now time.Time) { v.lastStoreFailure = now }
+// NoteStoreFailure records that the store failed or could not be reached.
+func (v *View) NoteStoreFailure(now time.Time) { v.lastStoreFailure = now }
 
-// Heard records when the relay that forwards the agents' reports last sent one. The zero
+// NoteRelayReport records when the relay that forwards the agents' reports last sent one. The zero
 // time means that the agents report to this process directly.
-func (v *View) Heard(at time.Time) { v.lastRelayReport = at }
+func (v *View) NoteRelayReport(at time.Time) { v.lastRelayReport = at }
 
-// Known returns the time against which the age of agents' reports is measured. While a
+// ReferenceTime returns the time against which the age of agents' reports is measured. While a
 // relay is silent, the state of the agents behind it is unknown; if they counted as silent
 // too, all paused streams of their hosts would be cut.
-func (v *View) Known(now time.Time) time.Time {
+func (v *View) ReferenceTime(now time.Time) time.Time {
 	if v.lastRelayReport.IsZero() {
 		return now
 	}
@@ -193,23 +193,23 @@
 	h.Report = r
 }
 
-// Lost records that the agent at an address cannot reach its host. The registry lists a
+// NoteUnreachable records that the agent at an address cannot reach its host. The registry lists a
 // crashed host for some seconds more. In that time its models have to be loaded elsewhere,
 // and requests sent to it fail.
-func (v *View) Lost(now time.Time, address netip.AddrPort) {
+func (v *View) NoteUnreachable(now time.Time, address netip.AddrPort) {
 	for _, h := range v.byAddress[address] {
-		if !h.Lost(now) {
+		if !h.IsUnreachable(now) {
 			v.changes++
 		}
 		h.unreachableAt = now
 	}
 }
 
-// Outlived records what the agent at an address reports of its host's incarnations: the
+// NoteIncarnations records what the agent at an address reports of its host's incarnations: the
 // start time of the current one, zero if the host does not report it, and the ones that
 // have ended. The registry lists those for some seconds more, but requests and orders for
 // them are refused.
-func (v *View) Outlived(address netip.AddrPort, born int64, ended []core.HostName) {
+func (v *View) NoteIncarnations(address netip.AddrPort, born int64, ended []core.HostName) {
 	for _, h := range v.byAddress[address] {
 		over := born != 0 && h.Born != 0 && h.Born < born || slices.Contains(ended, h.ID)
 		if over != h.ended {
@@ -232,11 +232,11 @@
 // Newest returns the newest incarnation that the registry lists at an address and that is
 // not known to have ended, the zero value if there is none. All processes that have read
 // the same registry return the same one.
-func (v *View) Newest(address netip.AddrPort) Life {
+func (v *View) Newest(address netip.AddrPort) Incarnation {
 	if best := v.newest(address); best != nil {
-		return Life{ID: best.ID, Born: best.Born}
+		return Incarnation{ID: best.ID, Born: best.Born}
 	}
-	return Life{}
+	return Incarnation{}
 }
 
 func (v *View) newest(address netip.AddrPort) (best *Host) {
--- a/core/fleet/view_test.go
+++ b/core/fleet/view_test.go
@@ -78,8 +78,8 @@
 	})
 	t.Run("by its own report, which outlasts the lapse of its entry", func(t *testing.T) {
 		v := view(entry("i-1", "m"))
-		assert.Assert(t, v.NoteLeaving(fleet.Life{ID: "i-1"}, t0))
-		assert.Assert(t, !v.NoteLeaving(fleet.Life{ID: "i-1"}, t0), "already known")
+		assert.Assert(t, v.NoteLeaving(fleet.Incarnation{ID: "i-1"}, t0))
+		assert.Assert(t, !v.NoteLeaving(fleet.Incarnation{ID: "i-1"}, t0), "already known")
 		c := wantPick(t, v, t0, "")
 		assert.Assert(t, c.Leaving && !c.Listed)
 		v.Remove(t0, "i-1")
@@ -88,7 +88,7 @@
 	})
 	t.Run("by its own report, which is for one incarnation", func(t *testing.T) {
 		v := view(entry("i-1", "m"))
-		v.NoteLeaving(fleet.Life{ID: "i-1"}, t0)
+		v.NoteLeaving(fleet.Incarnation{ID: "i-1"}, t0)
 		again := entry("i-1", "m")
 		again.Born = 7
 		v.Apply(again)
@@ -96,7 +96,7 @@
 	})
 	t.Run("by a report that arrives before its entry", func(t *testing.T) {
 		v := view()
-		v.NoteLeaving(fleet.Life{ID: "i-1"}, t0)
+		v.NoteLeaving(fleet.Incarnation{ID: "i-1"}, t0)
 		v.Apply(entry("i-1", "m"))
 		wantPick(t, v, t0, "")
 	})
@@ -113,7 +113,7 @@
 func TestLapsedEntries(t *testing.T) {
 	lapse := func() *fleet.View {
 		v := view(entry("i-1", "m"))
-		v.Troubled(t0)
+		v.NoteStoreFailure(t0)
 		v.Replace(after(time.Second), nil)
 		return v
 	}
@@ -144,7 +144,7 @@
 		// this host stops without notice. Taken for a lapse, it would get requests for two
 		// seconds more, eight milliseconds longer than is allowed for a leaving host.
 		v := view(entry("i-1", "m"))
-		v.Troubled(t0)
+		v.NoteStoreFailure(t0)
 		v.Remove(after(3*time.Second), "i-1")
 		wantPick(t, v, after(3*time.Second), "")
 	})
@@ -153,7 +153,7 @@
 		e := entry("i-1", "m")
 		e.Leaving = true
 		v.Apply(e)
-		v.Troubled(t0)
+		v.NoteStoreFailure(t0)
 		v.Remove(t0, "i-1")
 		assert.Assert(t, v.Host("i-1") == nil)
 	})
@@ -166,12 +166,12 @@
 	old.Born = 1
 	v := view(old)
 	v.Report(fleet.Report{Taken: t0, ID: "i-1", Models: []core.HeldModel{{Model: "m"}}})
-	v.Host("i-1").Failed(t0)
+	v.Host("i-1").NoteFailure(t0)
 	again := entry("i-1")
 	again.Born = 2
 	v.Apply(again)
 	wantPick(t, v, t0, "")
-	assert.Equal(t, v.Host("i-1").Failing(t0), 0.0)
+	assert.Equal(t, v.Host("i-1").FailureCount(t0), 0.0)
 }
 
 // Guards against requests to an incarnation that has ended. A host restarts under another
@@ -180,11 +180,11 @@
 	old, young := entry("i-1", "m"), entry("i-2", "m")
 	old.Born, young.Born, young.Address = 1, 2, old.Address
 	v := view(old, young)
-	v.Outlived(old.Address, 2, nil)
-	v.Outlived(netip.MustParseAddrPort("10.9.9.9:80"), 9, nil)
+	v.NoteIncarnations(old.Address, 2, nil)
+	v.NoteIncarnations(netip.MustParseAddrPort("10.9.9.9:80"), 9, nil)
 	for range 3 {
 		wantPick(t, v, t0, "i-2")
-		v.Host("i-2").Sent(t0, prompt("doc", "own"))
+		v.Host("i-2").NoteSent(t0, prompt("doc", "own"))
 	}
 }
 
@@ -196,25 +196,25 @@
 	old, young := entry("i-1", "m"), entry("i-2", "m")
 	t.Run("is not used", func(t *testing.T) {
 		v := view(old, young)
-		v.Outlived(old.Address, 0, []core.HostName{"i-1"})
+		v.NoteIncarnations(old.Address, 0, []core.HostName{"i-1"})
 		wantPick(t, v, t0, "i-2")
-		assert.Assert(t, v.Host("i-1").Outlived())
+		assert.Assert(t, v.Host("i-1").HasEnded())
 	})
 	t.Run("is not used after the registry was read again", func(t *testing.T) {
 		v := view(old)
-		v.Outlived(old.Address, 0, []core.HostName{"i-1"})
+		v.NoteIncarnations(old.Address, 0, []core.HostName{"i-1"})
 		v.Replace(t0, []fleet.Entry{old})
 		wantPick(t, v, t0, "")
 	})
 	t.Run("is used again once its agent no longer reports that", func(t *testing.T) {
 		v := view(old)
-		v.Outlived(old.Address, 0, []core.HostName{"i-1"})
-		v.Outlived(old.Address, 0, nil)
+		v.NoteIncarnations(old.Address, 0, []core.HostName{"i-1"})
+		v.NoteIncarnations(old.Address, 0, nil)
 		wantPick(t, v, t0, "i-1")
 	})
 	t.Run("at another address is unaffected", func(t *testing.T) {
 		v := view(old)
-		v.Outlived(netip.MustParseAddrPort("10.9.9.9:80"), 0, []core.HostName{"i-1"})
+		v.NoteIncarnations(netip.MustParseAddrPort("10.9.9.9:80"), 0, []core.HostName{"i-1"})
 		wantPick(t, v, t0, "i-1")
 	})
 }
@@ -232,25 +232,25 @@
 		v := view(e)
 		v.Report(report(t0))
 		before := v.Changes()
-		v.Lost(after(time.Second), e.Address)
+		v.NoteUnreachable(after(time.Second), e.Address)
 		assert.Assert(t, v.Changes() > before, "waiting requests have to look again")
 		wantPick(t, v, after(time.Second), "")
-		assert.Assert(t, v.Host("i-1").Lost(after(2*time.Second)))
+		assert.Assert(t, v.Host("i-1").IsUnreachable(after(2*time.Second)))
 	})
 	t.Run("is used again once its agent reaches it", func(t *testing.T) {
 		v := view(e)
-		v.Lost(t0, e.Address)
+		v.NoteUnreachable(t0, e.Address)
 		v.Report(report(after(time.Second)))
 		wantPick(t, v, after(time.Second), "i-1")
 	})
 	t.Run("is used again when the agent itself is silent", func(t *testing.T) {
 		v := view(e)
-		v.Lost(t0, e.Address)
+		v.NoteUnreachable(t0, e.Address)
 		wantPick(t, v, after(3*time.Second), "i-1")
 	})
 	t.Run("hosts at other addresses are unaffected", func(t *testing.T) {
 		v := view(e)
-		v.Lost(t0, netip.MustParseAddrPort("10.9.9.9:80"))
+		v.NoteUnreachable(t0, netip.MustParseAddrPort("10.9.9.9:80"))
 		wantPick(t, v, t0, "i-1")
 	})
 }
@@ -290,7 +290,7 @@
 	})
 	t.Run("the other one, once the agent reports that this one has ended", func(t *testing.T) {
 		v := view(at("i-1", 7), at("i-2", 9))
-		v.Outlived(netip.MustParseAddrPort("10.9.9.9:80"), 0, []core.HostName{"i-2"})
+		v.NoteIncarnations(netip.MustParseAddrPort("10.9.9.9:80"), 0, []core.HostName{"i-2"})
 		newest(t, v, "i-1")
 	})
 	t.Run("the other one, once this one is removed", func(t *testing.T) {
@@ -329,7 +329,7 @@
 	})
 	t.Run("a host's refusal overrides its report for a while", func(t *testing.T) {
 		v := view(entry("i-1", "m"))
-		v.Host("i-1").Lacks(t0, "m")
+		v.Host("i-1").NoteMissing(t0, "m")
 		wantPick(t, v, t0, "")
 		wantPick(t, v, after(2*time.Second), "i-1")
 	})
@@ -365,13 +365,13 @@
 func TestActiveRequests(t *testing.T) {
 	v := view(entry("i-1", "m", "n"))
 	h := v.Host("i-1")
-	h.Sent(t0, prompt("doc", "own"))
-	h.Sent(t0, prompt("doc", "other"))
+	h.NoteSent(t0, prompt("doc", "own"))
+	h.NoteSent(t0, prompt("doc", "other"))
 	v.Report(fleet.Report{Taken: t0, ID: "i-1", Reachable: true, Active: map[core.ModelName]int{"m": 1, "n": 3}})
 	assert.Equal(t, h.Active("m"), 2)
 	assert.Equal(t, h.Active("n"), 3)
-	h.Ended("m")
-	h.Ended("m")
+	h.NoteEnd("m")
+	h.NoteEnd("m")
 	assert.Equal(t, h.Active("m"), 1)
 	assert.Equal(t, len(h.OwnActive()), 0)
 }
@@ -380,19 +380,19 @@
 // wait for such a host while another is available.
 func TestBackoff(t *testing.T) {
 	v := view(entry("i-1", "m"), entry("i-2", "m"))
-	assert.Assert(t, v.NoteBackoff(fleet.Life{ID: "i-1"}, t0, after(time.Second)))
-	assert.Assert(t, !v.NoteBackoff(fleet.Life{ID: "i-1"}, t0, after(500*time.Millisecond)), "already backing off")
+	assert.Assert(t, v.NoteBackoff(fleet.Incarnation{ID: "i-1"}, t0, after(time.Second)))
+	assert.Assert(t, !v.NoteBackoff(fleet.Incarnation{ID: "i-1"}, t0, after(500*time.Millisecond)), "already backing off")
 	c := wantPick(t, v, t0, "i-2")
 	assert.Assert(t, c.RetryAt.IsZero())
-	v.NoteBackoff(fleet.Life{ID: "i-2"}, t0, after(3*time.Second))
+	v.NoteBackoff(fleet.Incarnation{ID: "i-2"}, t0, after(3*time.Second))
 	c = wantPick(t, v, t0, "")
 	assert.Equal(t, c.RetryAt, after(time.Second), "the end of the first backoff")
-	assert.Assert(t, c.BacksOff(t0, 800*time.Millisecond) && !c.BacksOff(t0, time.Second))
+	assert.Assert(t, c.AllBackingOff(t0, 800*time.Millisecond) && !c.AllBackingOff(t0, time.Second))
 	wantPick(t, v, after(time.Second), "i-1")
-	assert.Assert(t, v.NoteBackoff(fleet.Life{ID: "i-1"}, after(time.Second), after(2*time.Second)))
+	assert.Assert(t, v.NoteBackoff(fleet.Incarnation{ID: "i-1"}, after(time.Second), after(2*time.Second)))
 	t.Run("a host that was tried is not backing off", func(t *testing.T) {
 		v := view(entry("i-1", "m"), entry("i-2", "m"))
-		v.NoteBackoff(fleet.Life{ID: "i-1"}, t0, after(time.Hour))
+		v.NoteBackoff(fleet.Incarnation{ID: "i-1"}, t0, after(time.Hour))
 		c := v.Pick(t0, &fleet.Query{Service: "llm", Model: "m", Tried: []core.HostName{"i-2"}})
 		assert.Assert(t, c.Host == nil && c.RetryAt.IsZero())
 	})
--- a/io/deploy/link.go
+++ b/io/deploy/link.go
@@ -29,7 +29,7 @@
 	seenEntries             uint64
 	renewEntries            time.Time
 	// life is the one that the agent was told of last.
-	life   fleet.Life
+	life   fleet.Incarnation
 	centre core.DataCentre
 	// heardAgent tells that an agent has answered, tryAgent that it is asked next though an
 	// entry orders the engines without one.
@@ -39,7 +39,7 @@
 // isNews tells whether the agent should hear of a life before its answer to the
 // question in progress, which may be held back for half a second: until it knows
 // the life it orders nothing.
-func (k *link) isNews(life fleet.Life) bool {
+func (k *link) isNews(life fleet.Incarnation) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return life.ID != "" && life != k.life
@@ -98,7 +98,7 @@
 		l.askAsRelay(k, in)
 	}
 	// The zero life, where the registry names none there, tells nothing.
-	var life fleet.Life
+	var life fleet.Incarnation
 	l.entry.proxy.Update(func(v *fleet.View, _ time.Time) {
 		life = v.Newest(k.address)
 		if h := v.Host(life.ID); h != nil && direct {
--- a/io/deploy/links.go
+++ b/io/deploy/links.go
@@ -88,7 +88,7 @@
 // engine is a model engine that the registry lists, with an agent beside it.
 type engine struct {
 	centre core.DataCentre
-	life   fleet.Life
+	life   fleet.Incarnation
 }
 
 // engines returns the model engines by their addresses.
--- a/io/deploy/planner.go
+++ b/io/deploy/planner.go
@@ -239,7 +239,7 @@
 	entries := map[core.HostName]fleet.Entry{}
 	p.entry.proxy.Update(func(v *fleet.View, now time.Time) {
 		for _, h := range v.Hosts(s.Name) {
-			if !h.Runs(now) {
+			if !h.IsAvailable(now) {
 				continue
 			}
 			entries[h.ID] = h.Entry
--- a/io/deploy/signal.go
+++ b/io/deploy/signal.go
@@ -18,7 +18,7 @@
 }
 
 // spreadLimit tells other entries of the rate limit that an upstream names.
-func (e *entry) spreadLimit(life fleet.Life, limit core.RateLimit) {
+func (e *entry) spreadLimit(life fleet.Incarnation, limit core.RateLimit) {
 	e.state.Mark(peer.Mark{
 		Host: life.ID, Incarnation: core.Incarnation(life.Born), Kind: peer.MarkLimited, Rate: limit.Rate,
 		Expires: e.clock.Now().Add(fleet.LimitAge),
@@ -26,7 +26,7 @@
 }
 
 // spreadLeaving tells other entries of an upstream that leaves.
-func (e *entry) spreadLeaving(life fleet.Life) {
+func (e *entry) spreadLeaving(life fleet.Incarnation) {
 	e.state.Mark(peer.Mark{
 		Host: life.ID, Incarnation: core.Incarnation(life.Born), Kind: peer.MarkLeaving,
 		Expires: e.clock.Now().Add(fleet.LeaveAge),
@@ -37,7 +37,7 @@
 func (e *entry) takeMarks(marks []peer.Mark) {
 	e.proxy.Update(func(v *fleet.View, now time.Time) {
 		for _, m := range marks {
-			life := fleet.Life{ID: m.Host, Born: int64(m.Incarnation)}
+			life := fleet.Incarnation{ID: m.Host, Born: int64(m.Incarnation)}
 			switch m.Kind {
 			case peer.MarkLimited:
 				v.NoteLimit(life, now, now, core.RateLimit{Named: m.Rate > 0, Rate: m.Rate})
--- a/io/deploy/watch.go
+++ b/io/deploy/watch.go
@@ -123,7 +123,7 @@
 			events.Fail(events.PlatformUnreachable, err)
 		}
 		if e.storeOut() {
-			e.proxy.Update(func(v *fleet.View, now time.Time) { v.Troubled(now) })
+			e.proxy.Update(func(v *fleet.View, now time.Time) { v.NoteStoreFailure(now) })
 		}
 	}
 }
--- a/io/driver/driver.go
+++ b/io/driver/driver.go
@@ -69,7 +69,7 @@
 	lost     bool
 	// resting is when a report has to be asked for to know of the last order.
 	resting time.Time
-	lives   fleet.Lives
+	lives   fleet.IncarnationTracker
 	change  uint64
 	changed chan struct{}
 	// kick has Run look at once.
@@ -219,7 +219,7 @@
 	}
 	d.state, d.taken = s, at
 	if s.ID != "" {
-		d.lives.Said(fleet.Life{ID: s.ID, Born: s.Born})
+		d.lives.NoteReported(fleet.Incarnation{ID: s.ID, Born: s.Born})
 	}
 	d.checkLoad(s, at)
 	if q := queue(s); q != d.toldQueue {
--- a/io/driver/serve.go
+++ b/io/driver/serve.go
@@ -53,8 +53,8 @@
 		e.planner, e.plannerControl = c.GetEntry(), c.GetControl()
 	}
 	d.entries[c.GetEntry()] = e
-	life := fleet.Life{ID: core.HostName(c.GetInstance()), Born: c.GetBorn()}
-	if d.state.ID == "" && life.Born == d.state.Born && d.lives.Named(now, life) {
+	life := fleet.Incarnation{ID: core.HostName(c.GetInstance()), Born: c.GetBorn()}
+	if d.state.ID == "" && life.Born == d.state.Born && d.lives.NoteListed(now, life) {
 		// The registry still lists lives that have ended; only the one that was
 		// born when the upstream says it was is its own.
 		d.tell()
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -179,7 +179,7 @@
 	}
 	f.Proxy.Update(func(v *fleet.View, _ time.Time) {
 		if f.choice.Scope == follow.None {
-			v.Heard(now)
+			v.NoteRelayReport(now)
 		}
 		for i := range fresh {
 			Apply(v, &fresh[i])
--- a/io/feed/encode.go
+++ b/io/feed/encode.go
@@ -14,12 +14,12 @@
 // Apply tells the view what is known of a host.
 func Apply(v *fleet.View, h *digest.Host) {
 	if h.Lost {
-		v.Lost(h.Report.Taken, h.Address)
+		v.NoteUnreachable(h.Report.Taken, h.Address)
 	}
 	if !h.Report.Reachable {
 		return
 	}
-	v.Outlived(h.Address, h.Born, h.Ended)
+	v.NoteIncarnations(h.Address, h.Born, h.Ended)
 	v.Report(h.Report)
 }
 
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -124,7 +124,7 @@
 	}
 	f.forget(engines)
 	if f.choice.Scope != follow.None {
-		f.Proxy.Update(func(v *fleet.View, _ time.Time) { v.Heard(time.Time{}) })
+		f.Proxy.Update(func(v *fleet.View, _ time.Time) { v.NoteRelayReport(time.Time{}) })
 	}
 	if f.choice.Scope == follow.All {
 		// What came while nobody is told is of no use later.
--- a/io/proxy/answer.go
+++ b/io/proxy/answer.go
@@ -68,11 +68,11 @@
 	}
 	c.ran++
 	if err := c.check(resp, head); err != nil {
-		c.ended(t, (*fleet.Host).Failed)
+		c.ended(t, (*fleet.Host).NoteFailure)
 		return outcome{sent: true, cause: err}
 	}
 	if c.failedLookup(resp) {
-		c.ended(t, (*fleet.Host).Failed)
+		c.ended(t, (*fleet.Host).NoteFailure)
 		return outcome{sent: true, cause: &FailedError{Status: resp.StatusCode}}
 	}
 	resumed := c.begun
@@ -91,7 +91,7 @@
 	}
 	c.ended(t, func(h *fleet.Host, now time.Time) {
 		if resp.StatusCode >= http.StatusInternalServerError {
-			h.Failed(now)
+			h.NoteFailure(now)
 		}
 		if isStream && c.query.Model != "" && !resumed {
 			c.proxy.demand.Made(c.query.Model, c.ask.Answer, c.latest.Sub(c.first))
@@ -184,28 +184,28 @@
 	switch {
 	case ctx.Err() != nil && c.request.Context().Err() != nil:
 	case !sent:
-		h.Unreached(now)
+		h.NoteConnectFailure(now)
 	default:
-		h.Failed(now)
+		h.NoteFailure(now)
 	}
 }
 
 // turnedAway notes that a host did not take the request.
 func (c *call) turnedAway(h *fleet.Host, now time.Time, status int) {
 	if status == http.StatusMisdirectedRequest && c.query.Model != "" {
-		h.Lacks(now, c.query.Model)
+		h.NoteMissing(now, c.query.Model)
 		return
 	}
-	h.Failed(now)
+	h.NoteFailure(now)
 }
 
 // ended notes that an attempt is over.
 func (c *call) ended(t *target, note func(*fleet.Host, time.Time)) {
 	c.proxy.Update(func(_ *fleet.View, now time.Time) {
 		if !t.begun {
-			t.host.Begun(t.unread)
+			t.host.NoteAnswerStart(t.unread)
 		}
-		t.host.Ended(c.query.Model)
+		t.host.NoteEnd(c.query.Model)
 		note(t.host, now)
 	})
 }
--- a/io/proxy/proxy.go
+++ b/io/proxy/proxy.go
@@ -32,9 +32,9 @@
 	Pacer core.Pacer
 	// HeardLimit, if set, is told of the rate limit that an upstream names in an answer,
 	// and once it names none any more.
-	HeardLimit func(life fleet.Life, limit core.RateLimit)
+	HeardLimit func(life fleet.Incarnation, limit core.RateLimit)
 	// HeardLeaving, if set, is told once an upstream says in an answer that it leaves.
-	HeardLeaving func(life fleet.Life)
+	HeardLeaving func(life fleet.Incarnation)
 	// Behind, if set, tells that the routing table in force may not be the newest.
 	Behind func() bool
 	// RetryRatio, RetrySpare and RetrySpan are this process's part of the
--- a/io/proxy/reserve.go
+++ b/io/proxy/reserve.go
@@ -14,7 +14,7 @@
 // caller bears the wait, or the model will be at another host before.
 func (c *call) awaits(choice fleet.Choice) bool {
 	switch {
-	case choice.Paced <= admit.MostAhead:
+	case choice.RateLimitDelay <= admit.MostAhead:
 		return false
 	case c.begun || c.ran > 0 || !choice.Overloaded(c.route.Target):
 		return true
--- a/io/proxy/signal.go
+++ b/io/proxy/signal.go
@@ -67,7 +67,7 @@
 	if head.ID != c.ask.ID {
 		return // it belongs to no request of this connection
 	}
-	p, life := c.proxy, fleet.Life{ID: t.id, Born: t.born}
+	p, life := c.proxy, fleet.Incarnation{ID: t.id, Born: t.born}
 	for _, name := range p.firstSeen(head.Unknown) {
 		events.Log(events.UpstreamFieldUnknown, "field", name, "host", t.id, "address", t.address, "request", c.ask.ID)
 	}
--- a/io/proxy/signal_test.go
+++ b/io/proxy/signal_test.go
@@ -28,7 +28,7 @@
 func TestLimitOfUnlistedHostIsTold(t *testing.T) {
 	clock := &stepClock{now: time.Unix(1000, 0)}
 	var told []core.RateLimit
-	p := &Proxy{Clock: clock, HeardLimit: func(_ fleet.Life, l core.RateLimit) { told = append(told, l) }}
+	p := &Proxy{Clock: clock, HeardLimit: func(_ fleet.Incarnation, l core.RateLimit) { told = append(told, l) }}
 	p.Start()
 	p.view.Apply(fleet.Entry{ID: "i-1", Usable: true})
 	c := &call{proxy: p, ask: core.Ask{ID: "q"}}
--- a/io/proxy/silent.go
+++ b/io/proxy/silent.go
@@ -114,7 +114,7 @@
 	now := p.Clock.Now()
 	for w := range p.streams {
 		silent := now.Sub(time.Unix(0, w.heard.Load())) >= w.allowed
-		if !silent || !w.host.Silent(p.view.Known(now)) {
+		if !silent || !w.host.Silent(p.view.ReferenceTime(now)) {
 			continue
 		}
 		if !w.takes(now, p.view.Pick(now, &w.query)) {
--- a/io/proxy/stream.go
+++ b/io/proxy/stream.go
@@ -129,7 +129,7 @@
 func (c *call) openStream(t *target, resp *http.Response) {
 	if !t.begun {
 		t.begun = true
-		c.proxy.Update(func(_ *fleet.View, _ time.Time) { t.host.Begun(t.unread) })
+		c.proxy.Update(func(_ *fleet.View, _ time.Time) { t.host.NoteAnswerStart(t.unread) })
 	}
 	if c.begun {
 		return
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -85,7 +85,7 @@
 	p.mu.Lock()
 	now := p.Clock.Now()
 	_, backoff := t.host.BackingOff(now)
-	ok := t.host.Runs(now) && !t.host.IsLeaving(now) && !backoff
+	ok := t.host.IsAvailable(now) && !t.host.IsLeaving(now) && !backoff
 	p.mu.Unlock()
 	if !ok {
 		c.abandon(t)
@@ -100,7 +100,7 @@
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
 	choice := p.view.Pick(now, &c.query)
-	if c.failure != nil && (choice.Host == nil || choice.Paced > admit.MostAhead) {
+	if c.failure != nil && (choice.Host == nil || choice.RateLimitDelay > admit.MostAhead) {
 		return nil, false, nil, c.lost() // the failure is the answer
 	}
 	if choice.Host == nil {
@@ -118,10 +118,10 @@
 		return nil, false, nil, c.giveUp()
 	}
 	h := choice.Host
-	t = &target{id: h.ID, born: h.Born, address: h.Address, host: h, unread: h.Unread(now, &c.query), limit: h.Limit(now)}
-	h.Sent(now, &c.query)
+	t = &target{id: h.ID, born: h.Born, address: h.Address, host: h, unread: h.PrefillTokens(now, &c.query), limit: h.Limit(now)}
+	h.NoteSent(now, &c.query)
 	if c.query.Model != "" {
-		p.view.Read(t.unread)
+		p.view.NotePrompt(t.unread)
 	}
 	return t, choice.Fetch, nil, nil
 }
@@ -138,10 +138,10 @@
 // overloaded refuses a request that comes upon more work than its hosts can do in
 // time. One of which a host may have run a part already is not turned away.
 func (c *call) overloaded(choice fleet.Choice) *core.Refusal {
-	if c.query.Model == "" && choice.Paced == 0 || c.begun || c.ran > 0 || !choice.Overloaded(c.route.Target) {
+	if c.query.Model == "" && choice.RateLimitDelay == 0 || c.begun || c.ran > 0 || !choice.Overloaded(c.route.Target) {
 		return nil
 	}
-	if choice.Paced > 0 {
+	if choice.RateLimitDelay > 0 {
 		return core.RefuseUntil(core.CodeOverload, "the hosts take no more requests a second", c.back(choice.Wait))
 	}
 	return core.RefuseUntil(core.CodeOverload, "the model's hosts have more work than they can do in time", c.back(choice.Wait))
@@ -158,7 +158,7 @@
 	at, ok := c.proxy.ready[c.query.Model]
 	if retry := choice.RetryAt; !retry.IsZero() && (!ok || retry.Before(at)) {
 		at, ok = retry, true
-		if c.ran == 0 && choice.BacksOff(now, c.route.Target) {
+		if c.ran == 0 && choice.AllBackingOff(now, c.route.Target) {
 			return core.RefuseUntil(core.CodeOverload, "the hosts want no requests for now", c.back(at.Sub(now)))
 		}
 	}
@@ -247,7 +247,7 @@
 func (c *call) abandon(t *target) {
 	c.release(t)
 	c.proxy.Update(func(*fleet.View, time.Time) {
-		t.host.Begun(t.unread)
-		t.host.Ended(c.query.Model)
+		t.host.NoteAnswerStart(t.unread)
+		t.host.NoteEnd(c.query.Model)
 	})
 }
