--- a/core/copies/place.go
+++ b/core/copies/place.go
@@ -84,7 +84,7 @@
 	}
 	w.moves = append(w.moves, move)
 	w.Planner.moves[move.Host] = move
-	best.host.Open = false
+	best.host.TakesOrders = false
 	w.copies[name]++
 	for _, m := range best.evict {
 		w.copies[m] = max(0, w.copies[m]-1)
@@ -122,7 +122,7 @@
 // loaded from the weight store.
 func (w *plan) evaluate(h *Host, next rankedModel, canRead bool) (candidate, bool) {
 	name := next.name
-	if !h.Open || h.Leaving || slices.Contains(h.Held, name) || h.Loading == name {
+	if !h.TakesOrders || h.Leaving || slices.Contains(h.Held, name) || h.Loading == name {
 		return candidate{}, false
 	}
 	if _, moving := w.Planner.moves[h.ID]; moving {
--- a/core/copies/plan.go
+++ b/core/copies/plan.go
@@ -89,11 +89,11 @@
 // Host is the planner's view of an upstream host.
 type Host struct {
 	ID core.HostName
-	// Open is set if the host takes an order now: it is reachable, not leaving and not
+	// TakesOrders is set if the host takes an order now: it is reachable, not leaving and not
 	// busy.
-	Open bool
-	// Seen is when the host's agent took the report that all of this comes from.
-	Seen time.Time
+	TakesOrders bool
+	// ReportedAt is when the host's agent took the report that all of this comes from.
+	ReportedAt time.Time
 	// Leaving is set if the host is leaving. Its copies are not counted.
 	Leaving bool
 	// Limit is the host's rate limit.
@@ -225,8 +225,8 @@
 // speed.
 func (p *Planner) Width() float64 { return p.width.value }
 
-// Learn adopts the width that another process measured.
-func (p *Planner) Learn(width float64) { p.width.Learn(width) }
+// AdoptWidth adopts the width that another process measured.
+func (p *Planner) AdoptWidth(width float64) { p.width.Adopt(width) }
 
 // confirmed reports whether a host's report shows that the move is being carried out.
 func (m *Move) confirmed(h *Host) bool { return slices.Contains(h.Held, m.Load) || h.Loading == m.Load }
@@ -234,7 +234,9 @@
 // ignored reports whether the host takes orders although the move must have reached its
 // agent. Without this check, a move that an agent dropped kept its host from other moves
 // for a second and a half.
-func (m *Move) ignored(h *Host) bool { return h.Open && h.Seen.After(m.At.Add(deliveryTime)) }
+func (m *Move) ignored(h *Host) bool {
+	return h.TakesOrders && h.ReportedAt.After(m.At.Add(deliveryTime))
+}
 
 // expireMoves forgets moves that are confirmed by the hosts' reports, were ignored or have
 // expired.
--- a/core/copies/plan_test.go
+++ b/core/copies/plan_test.go
@@ -37,7 +37,7 @@
 // host returns an open host whose disk has the models that it holds and those in disk.
 func host(id string, held []core.ModelName, disk ...core.ModelName) *copies.Host {
 	return &copies.Host{
-		ID: core.HostName(id), Open: true, Held: held, Memory: 145 * gb, OnDisk: slices.Concat(held, disk),
+		ID: core.HostName(id), TakesOrders: true, Held: held, Memory: 145 * gb, OnDisk: slices.Concat(held, disk),
 	}
 }
 
@@ -125,7 +125,7 @@
 	demand := map[core.ModelName]copies.Demand{name(0): {Rate: 0.7, Waiting: 1}}
 	hosts := func(left time.Duration) []*copies.Host {
 		near := host("b", names(1), name(0))
-		near.Open, near.Loading, near.LoadedBy = false, name(2), t0.Add(left)
+		near.TakesOrders, near.Loading, near.LoadedBy = false, name(2), t0.Add(left)
 		return []*copies.Host{host("a", nil), near}
 	}
 	only0 := func(moves []copies.Move) []copies.Move {
@@ -232,7 +232,7 @@
 		p := &copies.Planner{Parallel: 4}
 		hosts := many(9)
 		for _, h := range hosts[:3] {
-			h.Loading, h.Open = name(20+int(h.ID[3]-'0')), false
+			h.Loading, h.TakesOrders = name(20+int(h.ID[3]-'0')), false
 		}
 		assert.Equal(t, len(p.Plan(t0, service(30), hosts, nil)), 1)
 	})
@@ -300,7 +300,7 @@
 	p := &copies.Planner{Parallel: 4}
 	others := []*copies.Host{host("b", names(2, 3)), host("c", names(4, 5))}
 	for _, h := range others {
-		h.Open = false
+		h.TakesOrders = false
 	}
 	demand := map[core.ModelName]copies.Demand{
 		name(0): {Rate: 9, Hasty: 9, Work: 0.9}, name(1): {Rate: 0.2}, name(2): {Rate: 9, Hasty: 9, Work: 2},
@@ -323,9 +323,9 @@
 		p := &copies.Planner{Parallel: 4}
 		p.Plan(t0, service(3), hosts(), nil)
 		later := hosts()
-		later[0].Seen = t0.Add(50 * time.Millisecond)
+		later[0].ReportedAt = t0.Add(50 * time.Millisecond)
 		wantMoves(t, p.Plan(t0.Add(200*time.Millisecond), service(3), later, nil))
-		later[0].Seen = t0.Add(150 * time.Millisecond)
+		later[0].ReportedAt = t0.Add(150 * time.Millisecond)
 		assert.Equal(t, len(p.Plan(t0.Add(200*time.Millisecond), service(3), later, nil)), 1)
 	})
 	t.Run("are returned again when no report shows them", func(t *testing.T) {
@@ -344,7 +344,7 @@
 
 func TestClosedHosts(t *testing.T) {
 	leaving, busy := host("a", names(0)), host("b", nil)
-	leaving.Leaving, busy.Open = true, false
+	leaving.Leaving, busy.TakesOrders = true, false
 	p := &copies.Planner{Parallel: 4}
 	wantMoves(t, p.Plan(t0, service(2), []*copies.Host{leaving, busy}, nil))
 	t.Run("copies on a leaving host are not counted", func(t *testing.T) {
@@ -380,7 +380,7 @@
 		waited := slices.ContainsFunc(hosts, func(h *copies.Host) bool { return slices.Contains(h.Held, name((step*7)%12)) })
 		assert.Assert(t, waited, "step %d: a model with waiting requests is loaded beside busy ones", step)
 		for _, h := range hosts {
-			h.Open = true
+			h.TakesOrders = true
 		}
 	}
 }
--- a/core/copies/play_test.go
+++ b/core/copies/play_test.go
@@ -222,7 +222,7 @@
 	var out []*copies.Host
 	for _, h := range w.hosts {
 		v := &copies.Host{
-			ID: h.id, Open: h.move == nil, Seen: now, Held: slices.Clone(h.held), Memory: w.service.Memory,
+			ID: h.id, TakesOrders: h.move == nil, ReportedAt: now, Held: slices.Clone(h.held), Memory: w.service.Memory,
 			Active: map[core.ModelName]int{}, OnDisk: slices.Sorted(maps.Keys(h.disk)),
 		}
 		for _, r := range h.runs {
@@ -301,7 +301,7 @@
 		var best *copies.Host
 		score := math.Inf(-1)
 		for _, h := range hosts {
-			if !h.Open {
+			if !h.TakesOrders {
 				continue
 			}
 			weight := 1e6 // free memory
@@ -323,7 +323,7 @@
 			v, _ := victim(best)
 			move.Evict = []core.ModelName{v}
 		}
-		best.Open = false
+		best.TakesOrders = false
 		moves = append(moves, move)
 	}
 	return moves
--- a/core/copies/width.go
+++ b/core/copies/width.go
@@ -55,8 +55,8 @@
 // Value returns how many loads may run at once.
 func (w *Width) Value() int { return max(1, int(w.value+0.5)) }
 
-// Learn adopts the width that another process measured.
-func (w *Width) Learn(value float64) {
+// Adopt adopts the width that another process measured.
+func (w *Width) Adopt(value float64) {
 	if value >= 1 {
 		w.value = min(value, maxWidth)
 	}
--- a/io/deploy/past.go
+++ b/io/deploy/past.go
@@ -96,7 +96,7 @@
 	}
 	p.past.read, p.past.width = p.entry.clock.Now(), record.Width
 	for _, s := range p.services {
-		s.Learn(record.Width)
+		s.AdoptWidth(record.Width)
 	}
 	p.entry.proxy.Kick()
 }
--- a/io/deploy/planner.go
+++ b/io/deploy/planner.go
@@ -215,7 +215,7 @@
 		c := p.services[s.Name]
 		if c == nil {
 			c = &copies.Planner{Parallel: p.parallel}
-			c.Learn(p.past.width)
+			c.AdoptWidth(p.past.width)
 			p.services[s.Name] = c
 		}
 		moves := c.Plan(now, s, hosts, demand)
@@ -251,8 +251,8 @@
 
 func viewHost(h *fleet.Host, s *rtable.Service, now time.Time, follows bool) *copies.Host {
 	out := &copies.Host{
-		ID: h.ID, Open: follows && h.Fresh(now) && !h.Report.Busy && !h.IsLeaving(now), Leaving: h.IsLeaving(now),
-		Seen: h.Report.Taken, Memory: s.Memory, Active: map[core.ModelName]int{},
+		ID: h.ID, TakesOrders: follows && h.Fresh(now) && !h.Report.Busy && !h.IsLeaving(now), Leaving: h.IsLeaving(now),
+		ReportedAt: h.Report.Taken, Memory: s.Memory, Active: map[core.ModelName]int{},
 		Loading: h.Report.Loading, LoadedBy: h.Report.LoadedBy, Limit: h.Limit(now),
 	}
 	out.InMemory, out.OnDisk = h.AtHand(now)
