--- a/core/rtable/customer.go
+++ b/core/rtable/customer.go
@@ -58,8 +58,8 @@
 // Keyed reports whether callers need keys, except on open routes.
 func (t *Table) Keyed() bool { return t.keys != nil }
 
-// Holder returns the customer that holds a key, nil if none does.
-func (t *Table) Holder(key core.KeyDigest) *Customer { return t.keys[key] }
+// KeyHolder returns the customer that holds a key, nil if none does.
+func (t *Table) KeyHolder(key core.KeyDigest) *Customer { return t.keys[key] }
 
 // Customer returns a customer by its name, nil if there is none. A nil table has none.
 func (t *Table) Customer(name core.OwnerName) *Customer {
--- a/core/rtable/customer_test.go
+++ b/core/rtable/customer_test.go
@@ -60,7 +60,7 @@
 	k.Offer(buildFor(t, 1, routes, customer("c", 0, "old", "kept")))
 	k.Offer(buildFor(t, 2, routes, customer("c", 0, "kept", "new")))
 	assert.Assert(t, !k.Offer(buildFor(t, 1, routes, customer("c", 0, "old", "kept"))))
-	assert.Assert(t, k.Table().Holder(core.DigestOf("old")) == nil)
+	assert.Assert(t, k.Table().KeyHolder(core.DigestOf("old")) == nil)
 	assert.Assert(t, k.Removed(core.DigestOf("old")))
 	assert.Assert(t, !k.Removed(core.DigestOf("kept")) && !k.Removed(core.DigestOf("never")))
 }
--- a/core/rtable/table.go
+++ b/core/rtable/table.go
@@ -39,8 +39,8 @@
 	Kind   Kind
 	// Shares lists the services that the requests are split among. There is at least one.
 	Shares []Share
-	// MostHosts is the maximum number of upstream hosts that run one request.
-	MostHosts int
+	// MaxHosts is the maximum number of upstream hosts that run one request.
+	MaxHosts int
 	// Timeout is the longest time that a request is kept without a final answer, zero if it
 	// is unlimited.
 	Timeout time.Duration
@@ -49,9 +49,9 @@
 	Target time.Duration
 	// Pause is the longest gap between the events of a stream that callers accept.
 	Pause time.Duration
-	// Silence is how long callers wait for the first event of a stream, and for each next
+	// SilenceTimeout is how long callers wait for the first event of a stream, and for each next
 	// one, before they disconnect. It is zero if unknown.
-	Silence time.Duration
+	SilenceTimeout time.Duration
 	// Rank is the urgency of the route's requests. Zero is the most urgent.
 	Rank int
 	// Resumable is set if a stream may continue at another upstream host after the last
@@ -101,8 +101,8 @@
 	Models map[core.ModelName]Model
 	// Memory is a host's memory for weights and adapters together, and AdapterPlaces is the
 	// maximum number of adapters that it holds.
-	Memory        core.Bytes
-	AdapterPlaces int
+	Memory       core.Bytes
+	AdapterSlots int
 	// Batch is the number of requests that a host runs at once.
 	Batch int
 	// PromptMemory is the capacity of a host's prompt cache, in tokens.
@@ -250,7 +250,7 @@
 		k.removed = map[core.KeyDigest]bool{}
 	}
 	for key := range k.table.keys {
-		if t.Holder(key) == nil && len(k.removed) < maxRemoved {
+		if t.KeyHolder(key) == nil && len(k.removed) < maxRemoved {
 			k.removed[key] = true
 		}
 	}
--- a/io/deploy/adapters.go
+++ b/io/deploy/adapters.go
@@ -89,7 +89,7 @@
 // them on a host: the sizes of these and of what the host holds. In a catalogue of
 // hundreds of models all sizes would be most of what entries send to agents.
 func limitsOf(s *rtable.Service, held []core.HeldModel, names ...core.ModelName) *wire.UpstreamLimits {
-	out := &wire.UpstreamLimits{Memory: int64(s.Memory), AdapterPlaces: uint32(s.AdapterPlaces)}
+	out := &wire.UpstreamLimits{Memory: int64(s.Memory), AdapterPlaces: uint32(s.AdapterSlots)}
 	for _, m := range held {
 		names = append(names, m.Model)
 	}
--- a/io/proxy/answer.go
+++ b/io/proxy/answer.go
@@ -117,7 +117,7 @@
 	switch {
 	case c.failure != nil:
 		return c.deadline.Add(-failureMargin)
-	case c.route.Kind == rtable.Repeatable && c.ran+1 < c.route.MostHosts:
+	case c.route.Kind == rtable.Repeatable && c.ran+1 < c.route.MaxHosts:
 		now := c.proxy.Clock.Now()
 		return now.Add(c.deadline.Sub(now) / 2)
 	}
@@ -143,7 +143,7 @@
 // failedLookup tells whether an answer is a failure that another host may not
 // have. The failure is kept.
 func (c *call) failedLookup(resp *http.Response) bool {
-	if c.route.Kind != rtable.Repeatable || resp.StatusCode < http.StatusInternalServerError || c.ran >= c.route.MostHosts {
+	if c.route.Kind != rtable.Repeatable || resp.StatusCode < http.StatusInternalServerError || c.ran >= c.route.MaxHosts {
 		return false
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, mostWhole+1))
--- a/io/proxy/call.go
+++ b/io/proxy/call.go
@@ -235,7 +235,7 @@
 
 // mayRepeat tells whether a request that may have run may be sent to one host
 // more.
-func (c *call) mayRepeat() bool { return c.route.Repeats() && c.ran < c.route.MostHosts }
+func (c *call) mayRepeat() bool { return c.route.Repeats() && c.ran < c.route.MaxHosts }
 
 // over returns the answer to a request whose time is over, or whose caller left.
 func (c *call) over(ctx context.Context) *core.Refusal {
--- a/io/proxy/customer.go
+++ b/io/proxy/customer.go
@@ -23,7 +23,7 @@
 		return nil
 	}
 	if c.ask.KeyFault == nil {
-		c.customer = t.Holder(c.ask.Key)
+		c.customer = t.KeyHolder(c.ask.Key)
 	}
 	switch {
 	case c.customer != nil || c.route.Open:
--- a/io/proxy/customer_test.go
+++ b/io/proxy/customer_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 	route := func(path string, open bool) *rtable.Route {
 		return &rtable.Route{
-			Name: path, Host: "a.example", Prefix: path, Kind: rtable.Once, MostHosts: 1, Timeout: longTime, Target: time.Second,
+			Name: path, Host: "a.example", Prefix: path, Kind: rtable.Once, MaxHosts: 1, Timeout: longTime, Target: time.Second,
 			Shares: []rtable.Share{{Service: "plain", Weight: 1}}, Rank: 2, Open: open,
 		}
 	}
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -63,7 +63,7 @@
 	share := func(s core.ServiceName) []rtable.Share { return []rtable.Share{{Service: s, Weight: 1}} }
 	route := func(path string, kind rtable.Kind, s core.ServiceName, hosts int) *rtable.Route {
 		return &rtable.Route{
-			Name: path, Host: "a.example", Prefix: path, Kind: kind, Shares: share(s), MostHosts: hosts, Timeout: timeout,
+			Name: path, Host: "a.example", Prefix: path, Kind: kind, Shares: share(s), MaxHosts: hosts, Timeout: timeout,
 			Target: time.Second,
 		}
 	}
@@ -552,7 +552,7 @@
 		r := newRig(t)
 		table := routes(longTime)
 		table.Version = 2
-		table.Match("a.example", "/stream/x").Silence = 4 * time.Second
+		table.Match("a.example", "/stream/x").SilenceTimeout = 4 * time.Second
 		r.Offer(table)
 		w := empty(t, r)
 		r.Foresee(map[core.ModelName]time.Time{"m": time.Now().Add(6 * time.Second)})
--- a/io/proxy/silent.go
+++ b/io/proxy/silent.go
@@ -84,7 +84,7 @@
 
 // mayGoOn tells whether the request may be sent to one host more after the attempt
 // that begins now.
-func (c *call) mayGoOn() bool { return c.route.Repeats() && c.ran+1 < c.route.MostHosts }
+func (c *call) mayGoOn() bool { return c.route.Repeats() && c.ran+1 < c.route.MaxHosts }
 
 // Run looks after the streams in progress until the context ends.
 func (p *Proxy) Run(ctx context.Context) error {
--- a/io/proxy/silent_test.go
+++ b/io/proxy/silent_test.go
@@ -53,7 +53,7 @@
 		var silent *SilentError
 		return errors.As(context.Cause(r.ctx), &silent)
 	}
-	resumable := rtable.Route{Kind: rtable.Stream, Resumable: true, MostHosts: 2, Target: 300 * time.Millisecond, Pause: 200 * time.Millisecond}
+	resumable := rtable.Route{Kind: rtable.Stream, Resumable: true, MaxHosts: 2, Target: 300 * time.Millisecond, Pause: 200 * time.Millisecond}
 	t.Run("go on elsewhere", func(t *testing.T) {
 		r := begin(t, resumable, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(900 * time.Millisecond)
@@ -70,7 +70,7 @@
 	}
 	t.Run("go on at a host that answers late but before the caller leaves", func(t *testing.T) {
 		patient := resumable
-		patient.Timeout, patient.Silence = time.Minute, 2*time.Second
+		patient.Timeout, patient.SilenceTimeout = time.Minute, 2*time.Second
 		r := begin(t, patient, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1100 * time.Millisecond)
 		overload(r)
@@ -78,7 +78,7 @@
 	})
 	t.Run("stay where the caller would have left by then, or has events", func(t *testing.T) {
 		patient := resumable
-		patient.Timeout, patient.Silence = time.Minute, 2*time.Second
+		patient.Timeout, patient.SilenceTimeout = time.Minute, 2*time.Second
 		r := begin(t, patient, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1600 * time.Millisecond)
 		overload(r)
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -186,8 +186,8 @@
 	if heard.IsZero() {
 		heard = c.arrived
 	}
-	by := heard.Add(c.route.Silence)
-	if c.route.Silence == 0 || c.deadline.Before(by) {
+	by := heard.Add(c.route.SilenceTimeout)
+	if c.route.SilenceTimeout == 0 || c.deadline.Before(by) {
 		return c.deadline
 	}
 	return by
