--- a/core/follow/choose.go
+++ b/core/follow/choose.go
@@ -74,9 +74,9 @@
 // safe for concurrent use.
 type Chooser struct {
 	Self Member
-	// MostDirect is the maximum number of agents that an entry follows itself. With more,
+	// MaxDirect is the maximum number of agents that an entry follows itself. With more,
 	// the reports take more of an entry's processor time than the requests do.
-	MostDirect int
+	MaxDirect int
 	// Started is when the entry started.
 	Started time.Time
 
@@ -106,35 +106,35 @@
 	return p
 }
 
-// Asked records that another entry polled this one.
-func (c *Chooser) Asked(now time.Time) { c.lastPolled = now }
+// NotePolled records that another entry polled this one.
+func (c *Chooser) NotePolled(now time.Time) { c.lastPolled = now }
 
-// Heard records a response of a relay, or a call from it.
-func (c *Chooser) Heard(now time.Time, name core.HostName) {
+// NoteResponse records a response of a relay, or a call from it.
+func (c *Chooser) NoteResponse(now time.Time, name core.HostName) {
 	p := c.peer(name)
 	p.lastResponse, p.failures, p.retryAt = now, 0, time.Time{}
 }
 
-// Failed records that a member did not respond.
-func (c *Chooser) Failed(now time.Time, name core.HostName) {
+// NoteFailure records that a member did not respond.
+func (c *Chooser) NoteFailure(now time.Time, name core.HostName) {
 	p := c.peer(name)
 	p.retryAt = now.Add(retry.Pause(minBackoff, maxBackoff, p.failures))
 	p.failures++
 }
 
-// Aside reports whether a member is avoided because it did not respond. It is chosen again
+// IsAvoided reports whether a member is avoided because it did not respond. It is chosen again
 // only after it has responded to a probe, so that a member that stays unresponsive causes
 // no further delay.
-func (c *Chooser) Aside(m Member) bool {
+func (c *Chooser) IsAvoided(m Member) bool {
 	p := c.peers[m.Name]
 	return p != nil && p.failures > 0
 }
 
-// Check returns the members to probe now, separately from the calls of the current choice:
+// Probes returns the members to probe now, separately from the calls of the current choice:
 // the avoided ones that would be chosen if they responded and, just after one did not
 // respond, some that come next. If many entries fail at once, they would otherwise be
 // called and waited for one after the other.
-func (c *Chooser) Check(now time.Time, others Ranked) []Member {
+func (c *Chooser) Probes(now time.Time, others Ranked) []Member {
 	var out []Member
 	for _, list := range others {
 		out = append(out, c.probesOf(now, list)...)
@@ -150,7 +150,7 @@
 		switch {
 		case m.DataCentre == c.Self.DataCentre && c.Self.Before(m):
 			return out
-		case c.Aside(m):
+		case c.IsAvoided(m):
 			if p.failures == 1 {
 				ahead = probeAhead
 			}
@@ -209,7 +209,7 @@
 	for _, n := range agents {
 		count += n
 	}
-	c.relayed = count > c.MostDirect || c.relayed && float64(count) >= directShare*float64(c.MostDirect)
+	c.relayed = count > c.MaxDirect || c.relayed && float64(count) >= directShare*float64(c.MaxDirect)
 	return c.relayed
 }
 
@@ -235,7 +235,7 @@
 
 // first returns the first member by rank that is not avoided, false if there is none.
 func (c *Chooser) first(list []Member) (Member, bool) {
-	i := slices.IndexFunc(list, func(m Member) bool { return !c.Aside(m) })
+	i := slices.IndexFunc(list, func(m Member) bool { return !c.IsAvoided(m) })
 	if i < 0 {
 		return Member{}, false
 	}
--- a/core/follow/choose_test.go
+++ b/core/follow/choose_test.go
@@ -55,7 +55,7 @@
 		}
 		m := follow.Member{Name: core.HostName(fmt.Sprintf("entry-%03d", i)), DataCentre: dc, Capacity: capacity}
 		w.entries = append(w.entries, &entry{
-			self: m, chooser: &follow.Chooser{Self: m, MostDirect: 64, Started: t0}, busy: map[core.HostName]time.Time{},
+			self: m, chooser: &follow.Chooser{Self: m, MaxDirect: 64, Started: t0}, busy: map[core.HostName]time.Time{},
 		})
 	}
 	all := make([]follow.Member, 0, entries)
@@ -103,7 +103,7 @@
 	for _, m := range e.choice.Relays {
 		w.call(e, m)
 	}
-	for _, m := range e.chooser.Check(w.now, others) {
+	for _, m := range e.chooser.Probes(w.now, others) {
 		w.probe(e, m)
 	}
 }
@@ -115,16 +115,16 @@
 	case waiting && w.now.Before(due):
 	case waiting:
 		delete(e.busy, m.Name)
-		e.chooser.Failed(w.now, m.Name)
+		e.chooser.NoteFailure(w.now, m.Name)
 	case !w.responds(m.Name):
 		e.busy[m.Name] = w.now.Add(callTime)
 	default:
-		e.chooser.Heard(w.now, m.Name)
+		e.chooser.NoteResponse(w.now, m.Name)
 		called := w.entry(m.Name).chooser
 		if e.choice.Relay() {
-			called.Heard(w.now, e.self.Name)
+			called.NoteResponse(w.now, e.self.Name)
 		} else {
-			called.Asked(w.now)
+			called.NotePolled(w.now)
 			e.updated = w.now
 		}
 	}
@@ -132,10 +132,10 @@
 
 func (w *cluster) probe(e *entry, m follow.Member) {
 	if w.responds(m.Name) {
-		e.chooser.Heard(w.now, m.Name)
+		e.chooser.NoteResponse(w.now, m.Name)
 		return
 	}
-	e.chooser.Failed(w.now, m.Name)
+	e.chooser.NoteFailure(w.now, m.Name)
 }
 
 func (w *cluster) relays() []core.HostName {
@@ -280,7 +280,7 @@
 }
 
 func TestSmallFleet(t *testing.T) {
-	c := &follow.Chooser{Self: follow.Member{Name: "a", DataCentre: "dc-1"}, MostDirect: 64}
+	c := &follow.Chooser{Self: follow.Member{Name: "a", DataCentre: "dc-1"}, MaxDirect: 64}
 	choose := func(agents int) follow.Scope {
 		return c.Choose(t0.Add(time.Minute), nil, map[core.DataCentre]int{"dc-1": agents}).Scope
 	}
@@ -296,12 +296,12 @@
 // Guards against entries that each follow all agents of their data centre for a moment
 // because all start at the same time and none knows the others yet.
 func TestStartWaitsForOthers(t *testing.T) {
-	c := &follow.Chooser{Self: follow.Member{Name: "b", DataCentre: "dc-1"}, MostDirect: 1, Started: t0}
+	c := &follow.Chooser{Self: follow.Member{Name: "b", DataCentre: "dc-1"}, MaxDirect: 1, Started: t0}
 	agents := map[core.DataCentre]int{"dc-1": 36}
 	assert.Equal(t, c.Choose(t0.Add(100*time.Millisecond), nil, agents).Scope, follow.None)
 	other := follow.Member{Name: "a", DataCentre: "dc-1"}
 	got := c.Choose(t0.Add(200*time.Millisecond), follow.Rank([]follow.Member{other}), agents)
 	assert.Assert(t, slices.Equal(got.Relays, []follow.Member{other}))
-	c = &follow.Chooser{Self: c.Self, MostDirect: 1, Started: t0}
+	c = &follow.Chooser{Self: c.Self, MaxDirect: 1, Started: t0}
 	assert.Equal(t, c.Choose(t0.Add(time.Second), nil, agents).Scope, follow.Centres)
 }
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -77,14 +77,14 @@
 	if err != nil {
 		if ctx.Err() == nil {
 			events.Fail(events.PeerUnreachable, err, "address", r.member.Control)
-			f.chooser.Failed(now, r.member.Name)
+			f.chooser.NoteFailure(now, r.member.Name)
 			r.add(told)
 			r.seen = 0
 			f.pokeChoose()
 		}
 		return false
 	}
-	f.chooser.Heard(now, r.member.Name)
+	f.chooser.NoteResponse(now, r.member.Name)
 	f.take(now, r, in, reply)
 	return true
 }
@@ -248,9 +248,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		f.chooser.Failed(f.Clock.Now(), m.Name)
+		f.chooser.NoteFailure(f.Clock.Now(), m.Name)
 		return
 	}
-	f.chooser.Heard(f.Clock.Now(), m.Name)
+	f.chooser.NoteResponse(f.Clock.Now(), m.Name)
 	f.pokeChoose()
 }
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -88,7 +88,7 @@
 func (f *Feed) Start() {
 	now := f.Clock.Now()
 	f.epoch = uint64(now.UnixNano())
-	f.chooser = follow.Chooser{Self: f.Self, MostDirect: f.MostDirect, Started: now}
+	f.chooser = follow.Chooser{Self: f.Self, MaxDirect: f.MostDirect, Started: now}
 	f.relays = map[core.HostName]*relay{}
 	f.askers = map[core.HostName]*asker{}
 	f.uses = map[core.HostName]use{}
@@ -131,7 +131,7 @@
 		f.Proxy.TakeArrivals()
 	}
 	f.startRelays(ctx)
-	for _, m := range f.chooser.Check(now, members) {
+	for _, m := range f.chooser.Probes(now, members) {
 		go f.check(ctx, m)
 	}
 	f.choosePlanner(now)
--- a/io/feed/serve.go
+++ b/io/feed/serve.go
@@ -50,9 +50,9 @@
 	}
 	a.relay = c.GetRelay()
 	if a.relay {
-		f.chooser.Heard(now, name)
+		f.chooser.NoteResponse(now, name)
 	} else {
-		f.chooser.Asked(now)
+		f.chooser.NotePolled(now)
 	}
 	if !a.relay && !f.choice.Relay() {
 		f.pokeChoose() // being asked makes this entry a relay
