--- a/core/digest/table.go
+++ b/core/digest/table.go
@@ -21,11 +21,11 @@
 type Host struct {
 	Address netip.AddrPort
 	Report  fleet.Report
-	// Lost is set if the agent cannot reach the host. Born is the host's start time as the
+	// Unreachable is set if the agent cannot reach the host. Born is the host's start time as the
 	// host reports it, and Ended lists its incarnations that have ended.
-	Lost  bool
-	Born  int64
-	Ended []core.HostName
+	Unreachable bool
+	Born        int64
+	Ended       []core.HostName
 	// Planner is the entry whose orders the agent follows.
 	Planner core.HostName
 }
@@ -69,12 +69,12 @@
 	change, urgent uint64
 }
 
-// Change returns the number of the last change.
-func (t *Table) Change() uint64 { return t.change }
+// LastChange returns the number of the last change.
+func (t *Table) LastChange() uint64 { return t.change }
 
-// Urgent returns the number of the last urgent change: one of more than figures and
+// LastUrgent returns the number of the last urgent change: one of more than figures and
 // adapters, which change tens of times a second in a large fleet.
-func (t *Table) Urgent() uint64 { return t.urgent }
+func (t *Table) LastUrgent() uint64 { return t.urgent }
 
 // Put records an agent's report. The source is the relay that sent it, or empty if it came
 // from the agent itself.
@@ -132,8 +132,8 @@
 	}
 }
 
-// Keep removes the hosts that are no longer listed.
-func (t *Table) Keep(listed func(netip.AddrPort) bool) {
+// Retain removes the hosts that are no longer listed.
+func (t *Table) Retain(listed func(netip.AddrPort) bool) {
 	for address := range t.rows {
 		if !listed(address) {
 			delete(t.rows, address)
@@ -157,9 +157,9 @@
 	return out
 }
 
-// Ages returns the time as of which the reports are valid, and the stale ones that it does
+// Freshness returns the time as of which the reports are valid, and the stale ones that it does
 // not apply to.
-func (t *Table) Ages(now time.Time, own bool) (at time.Time, stale []Stale) {
+func (t *Table) Freshness(now time.Time, own bool) (at time.Time, stale []Stale) {
 	at = now
 	for address, r := range t.rows {
 		switch {
@@ -194,8 +194,8 @@
 	return r.source, true
 }
 
-// Of returns the addresses of the hosts whose reports came from a relay.
-func (t *Table) Of(source core.HostName) []netip.AddrPort {
+// HostsFrom returns the addresses of the hosts whose reports came from a relay.
+func (t *Table) HostsFrom(source core.HostName) []netip.AddrPort {
 	var out []netip.AddrPort
 	for address, r := range t.rows {
 		if r.source == source {
@@ -234,7 +234,7 @@
 // sameButAdapters reports whether two hosts differ at most in their figures and adapters.
 func sameButAdapters(a, b *Host) bool {
 	r, s := a.Report, b.Report
-	return a.Lost == b.Lost && a.Born == b.Born && a.Planner == b.Planner && slices.Equal(a.Ended, b.Ended) &&
+	return a.Unreachable == b.Unreachable && a.Born == b.Born && a.Planner == b.Planner && slices.Equal(a.Ended, b.Ended) &&
 		r.ID == s.ID && r.Reachable == s.Reachable && r.Leaving == s.Leaving && r.Limit == s.Limit && r.Busy == s.Busy &&
 		r.Loading == s.Loading && r.LoadedBy.Sub(s.LoadedBy).Abs() < loadTolerance && slices.EqualFunc(r.Models, s.Models, sameModel) &&
 		slices.Equal(r.InMemory, s.InMemory) && slices.Equal(r.OnDisk, s.OnDisk)
--- a/core/digest/table_test.go
+++ b/core/digest/table_test.go
@@ -41,32 +41,32 @@
 	var table digest.Table
 	table.Put("", host(first, 0, 0, m))
 	table.Put("", host(second, 0, 0, m))
-	seen, urgent := table.Change(), table.Urgent()
+	seen, urgent := table.LastChange(), table.LastUrgent()
 	t.Run("everything is new to a first poll", func(t *testing.T) {
 		wantSince(t, &table, 0, map[netip.AddrPort]bool{first: true, second: true})
 	})
 	t.Run("an equal report is no change", func(t *testing.T) {
 		table.Put("", host(first, time.Millisecond, 0, m))
-		assert.Equal(t, table.Change(), seen)
+		assert.Equal(t, table.LastChange(), seen)
 	})
 	t.Run("a change of figures alone", func(t *testing.T) {
 		table.Put("", host(first, 2*time.Millisecond, 3, m))
 		wantSince(t, &table, seen, map[netip.AddrPort]bool{first: false})
-		assert.Equal(t, table.Urgent(), urgent)
+		assert.Equal(t, table.LastUrgent(), urgent)
 	})
 	t.Run("a change of adapters is whole and not urgent", func(t *testing.T) {
 		table.Put("", host(first, 3*time.Millisecond, 3, adapted))
 		wantSince(t, &table, seen, map[netip.AddrPort]bool{first: true})
-		assert.Equal(t, table.Urgent(), urgent)
+		assert.Equal(t, table.LastUrgent(), urgent)
 	})
 	t.Run("a change of models is urgent", func(t *testing.T) {
 		table.Put("", host(first, 4*time.Millisecond, 3, m, core.HeldModel{Model: "n"}))
-		assert.Assert(t, table.Urgent() > urgent)
+		assert.Assert(t, table.LastUrgent() > urgent)
 	})
 	t.Run("an older report is ignored", func(t *testing.T) {
-		before := table.Change()
+		before := table.LastChange()
 		table.Put("relay", host(first, 0, 9))
-		assert.Equal(t, table.Change(), before)
+		assert.Equal(t, table.LastChange(), before)
 	})
 }
 
@@ -95,7 +95,7 @@
 	}
 	now := t0.Add(1200 * time.Millisecond)
 	relay.Put("", host(first, 1100*time.Millisecond, 0))
-	at, stale := relay.Ages(now, true)
+	at, stale := relay.Freshness(now, true)
 	assert.Assert(t, slices.Equal(stale, []digest.Stale{{Address: second, Taken: t0}}))
 	entry.Renew("relay", at, stale)
 	fresh, _ := entry.Host(first)
@@ -108,10 +108,10 @@
 	var table digest.Table
 	table.Put("", host(first, 0, 0))
 	table.Put("relay", host(second, 0, 0))
-	assert.Assert(t, slices.Equal(table.Of("relay"), []netip.AddrPort{second}))
+	assert.Assert(t, slices.Equal(table.HostsFrom("relay"), []netip.AddrPort{second}))
 	source, ok := table.Source(second)
 	assert.Assert(t, ok && source == "relay")
-	table.Keep(func(a netip.AddrPort) bool { return a == first })
+	table.Retain(func(a netip.AddrPort) bool { return a == first })
 	assert.Equal(t, table.Len(), 1)
 	_, ok = table.Source(second)
 	assert.Assert(t, !ok)
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -120,7 +120,7 @@
 // usesOut returns the use of the hosts that a relay told of. The caller holds mu.
 func (f *Feed) usesOut(now time.Time, r *relay) []*wire.HostUse {
 	var out []*wire.HostUse
-	for _, h := range f.table.Of(r.member.Name) {
+	for _, h := range f.table.HostsFrom(r.member.Name) {
 		active, used := f.active(now, h, false), r.used[h]
 		if len(active) == 0 && len(used) == 0 {
 			continue
--- a/io/feed/encode.go
+++ b/io/feed/encode.go
@@ -13,7 +13,7 @@
 
 // Apply tells the view what is known of a host.
 func Apply(v *fleet.View, h *digest.Host) {
-	if h.Lost {
+	if h.Unreachable {
 		v.NoteUnreachable(h.Report.Taken, h.Address)
 	}
 	if !h.Report.Reachable {
@@ -26,7 +26,7 @@
 // HostIn decodes an agent's report on the host at an address.
 func HostIn(address netip.AddrPort, r *wire.UpstreamReport, now time.Time) digest.Host {
 	out := digest.Host{
-		Address: address, Lost: r.GetLost(), Born: r.GetBorn(), Ended: core.Names[core.HostName](r.GetEnded()),
+		Address: address, Unreachable: r.GetLost(), Born: r.GetBorn(), Ended: core.Names[core.HostName](r.GetEnded()),
 		Report: fleet.Report{
 			Taken: now.Add(-time.Duration(r.GetAge())), ID: core.HostName(r.GetInstance()), Reachable: r.GetReachable(),
 			Leaving: r.GetLeaving(), Busy: r.GetBusy(), Limit: core.RateLimit{Named: r.GetLimited(), Rate: r.GetRate()},
@@ -35,7 +35,7 @@
 			Loading: core.ModelName(r.GetLoading()), Active: make(map[core.ModelName]int, len(r.GetModels())),
 		},
 	}
-	if out.Lost {
+	if out.Unreachable {
 		out.Report.Taken = now // the word that counts is the agent's own
 	}
 	if out.Report.Loading != "" {
@@ -53,7 +53,7 @@
 func reportOut(now time.Time, h *digest.Host, relay bool) *wire.UpstreamReport {
 	r := h.Report
 	out := &wire.UpstreamReport{
-		Instance: string(r.ID), Busy: r.Busy, Leaving: r.Leaving, Reachable: r.Reachable, Lost: h.Lost,
+		Instance: string(r.ID), Busy: r.Busy, Leaving: r.Leaving, Reachable: r.Reachable, Lost: h.Unreachable,
 		Limited: r.Limit.Named, Rate: r.Limit.Rate,
 		Ended: core.Texts(h.Ended), Born: h.Born, Loading: string(r.Loading),
 	}
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -140,7 +140,7 @@
 // forget drops what is known of hosts that are not listed any more: they would be told to
 // all askers as hosts that were not heard of, for good. The caller holds mu.
 func (f *Feed) forget(listed map[netip.AddrPort]core.DataCentre) {
-	f.table.Keep(func(a netip.AddrPort) bool {
+	f.table.Retain(func(a netip.AddrPort) bool {
 		_, ok := listed[a]
 		return ok
 	})
@@ -198,14 +198,14 @@
 
 // wake has those that wait for an answer look again. The caller holds mu.
 func (f *Feed) wake() {
-	urgent := f.table.Urgent() != f.seenUrgent || f.readyChange != f.seenReady
+	urgent := f.table.LastUrgent() != f.seenUrgent || f.readyChange != f.seenReady
 	if urgent {
-		f.seenUrgent, f.seenReady = f.table.Urgent(), f.readyChange
+		f.seenUrgent, f.seenReady = f.table.LastUrgent(), f.readyChange
 		close(f.urgent)
 		f.urgent = make(chan struct{})
 	}
-	if urgent || f.table.Change() != f.seenChange {
-		f.seenChange = f.table.Change()
+	if urgent || f.table.LastChange() != f.seenChange {
+		f.seenChange = f.table.LastChange()
 		close(f.changed)
 		f.changed = make(chan struct{})
 	}
--- a/io/feed/serve.go
+++ b/io/feed/serve.go
@@ -115,7 +115,7 @@
 	seen := f.seenBy(c)
 	last := f.askers[core.HostName(c.GetEntry())].answered
 	early, late := last.Add(urgentGap), last.Add(f.gap())
-	urgent := f.table.Urgent() > seen || len(c.GetWaiting()) > 0 && f.readyChange != c.GetSeenReady()
+	urgent := f.table.LastUrgent() > seen || len(c.GetWaiting()) > 0 && f.readyChange != c.GetSeenReady()
 	switch {
 	case !at.Before(end):
 		return true, at, nil
@@ -125,7 +125,7 @@
 		return true, at, nil
 	case at.Before(late):
 		return false, earlier(late, end), f.urgent
-	case f.table.Change() > seen:
+	case f.table.LastChange() > seen:
 		return true, at, nil
 	}
 	return false, end, f.changed
@@ -158,9 +158,9 @@
 	defer f.mu.Unlock()
 	now := f.Clock.Now()
 	f.askers[core.HostName(c.GetEntry())].answered = now
-	at, stale := f.table.Ages(now, c.GetRelay())
+	at, stale := f.table.Freshness(now, c.GetRelay())
 	out := &wire.DigestReply{
-		Epoch: f.epoch, Change: f.table.Change(), ReadyChange: f.readyChange,
+		Epoch: f.epoch, Change: f.table.LastChange(), ReadyChange: f.readyChange,
 		Age: age(now, at), Planner: string(f.planner.Name),
 	}
 	for _, s := range stale {
