--- a/core/demand/book.go
+++ b/core/demand/book.go
@@ -29,9 +29,9 @@
 	sharedMissRate = 0.2
 )
 
-// Book holds the demand for models at one entry. The zero Book is ready for use. It is not
+// Tracker holds the demand for models at one entry. The zero Tracker is ready for use. It is not
 // safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	models map[core.ModelName]*modelDemand
 	// newArrivals are the arrivals since the last Take.
 	newArrivals map[core.ModelName]Arrivals
@@ -45,7 +45,7 @@
 	tokenTime float64
 }
 
-func (b *Book) model(name core.ModelName) *modelDemand {
+func (b *Tracker) model(name core.ModelName) *modelDemand {
 	if b.models == nil {
 		b.models = map[core.ModelName]*modelDemand{}
 	}
@@ -57,8 +57,8 @@
 	return m
 }
 
-// Asked records a request for a model.
-func (b *Book) Asked(now time.Time, name core.ModelName, target time.Duration, ask *core.Ask, s *rtable.Service) {
+// NoteRequest records a request for a model.
+func (b *Tracker) NoteRequest(now time.Time, name core.ModelName, target time.Duration, ask *core.Ask, s *rtable.Service) {
 	m := b.model(name)
 	a := Arrivals{Count: 1, Work: m.workOf(ask, s)}
 	if target < hastyTarget {
@@ -103,9 +103,9 @@
 	return max(1, n)
 }
 
-// Made records the duration of a stream with the given number of tokens, from its first
+// NoteStream records the duration of a stream with the given number of tokens, from its first
 // event to its last.
-func (b *Book) Made(name core.ModelName, tokens int, took time.Duration) {
+func (b *Tracker) NoteStream(name core.ModelName, tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -118,11 +118,11 @@
 	m.tokenTime += tokenTimeWeight * (sample - m.tokenTime)
 }
 
-// Wait adds change to the number of requests that wait for a model.
-func (b *Book) Wait(name core.ModelName, change int) { b.model(name).waiting += change }
+// AddWaiting adds change to the number of requests that wait for a model.
+func (b *Tracker) AddWaiting(name core.ModelName, change int) { b.model(name).waiting += change }
 
 // Waiting returns the number of waiting requests by model.
-func (b *Book) Waiting() map[core.ModelName]int {
+func (b *Tracker) Waiting() map[core.ModelName]int {
 	out := map[core.ModelName]int{}
 	for name, m := range b.models {
 		if m.waiting > 0 {
@@ -132,15 +132,15 @@
 	return out
 }
 
-// Take returns the arrivals since the last Take.
-func (b *Book) Take() map[core.ModelName]Arrivals {
+// TakeArrivals returns the arrivals since the last TakeArrivals.
+func (b *Tracker) TakeArrivals() map[core.ModelName]Arrivals {
 	out := b.newArrivals
 	b.newArrivals = nil
 	return out
 }
 
 // All returns the demand by model, and forgets models without demand.
-func (b *Book) All(now time.Time) map[core.ModelName]copies.Demand {
+func (b *Tracker) All(now time.Time) map[core.ModelName]copies.Demand {
 	out := make(map[core.ModelName]copies.Demand, len(b.models))
 	for name, m := range b.models {
 		d, ok := m.demand(now, m.waiting)
--- a/core/demand/book_test.go
+++ b/core/demand/book_test.go
@@ -14,31 +14,31 @@
 	t0 := time.Unix(1000, 0)
 	ask := &core.Ask{Prompt: 3040, Answer: 280} // 0.1 s of an engine that runs 64 requests at once
 	engine := &rtable.Service{Batch: 64, PromptMemory: 260_000}
-	book := func() *Book { return &Book{} }
+	book := func() *Tracker { return &Tracker{} }
 	t.Run("one request is not a rise in demand", func(t *testing.T) {
 		// Models with one request in ten seconds each displaced each other in turn, since
 		// the one with the latest request seemed to have five times the demand of the
 		// others.
 		b := book()
-		b.Asked(t0, "m", time.Second, ask, engine)
+		b.NoteRequest(t0, "m", time.Second, ask, engine)
 		assert.Assert(t, b.All(t0)["m"].Rate < 0.06)
 	})
 	t.Run("several within seconds are a rise", func(t *testing.T) {
 		b := book()
 		for i := range 12 {
-			b.Asked(t0.Add(time.Duration(i)*150*time.Millisecond), "m", time.Second, ask, engine)
+			b.NoteRequest(t0.Add(time.Duration(i)*150*time.Millisecond), "m", time.Second, ask, engine)
 		}
 		d := b.All(t0.Add(2 * time.Second))["m"]
 		assert.Assert(t, d.Rate > 2 && d.Hasty > 0.4 && d.Work > 0.2, "%+v", d)
 	})
 	t.Run("a request that can wait for a load from disk is not hasty", func(t *testing.T) {
 		b := book()
-		b.Asked(t0, "m", 2500*time.Millisecond, ask, engine)
+		b.NoteRequest(t0, "m", 2500*time.Millisecond, ask, engine)
 		assert.Equal(t, b.All(t0)["m"].Hasty, 0.0)
 	})
 	t.Run("a model without demand is forgotten", func(t *testing.T) {
 		b := book()
-		b.Asked(t0, "m", time.Second, ask, engine)
+		b.NoteRequest(t0, "m", time.Second, ask, engine)
 		assert.Equal(t, len(b.All(t0.Add(10*time.Minute))), 0)
 		assert.Equal(t, len(b.models), 0)
 	})
@@ -56,16 +56,16 @@
 		before := d.workOf(ask, &rtable.Service{Batch: 20})
 		assert.Assert(t, d.workOf(ask, &rtable.Service{Batch: 96, PromptMemory: 159_000}) < before/2)
 		b := book()
-		b.Made("m", 282, 400*time.Millisecond)
+		b.NoteStream("m", 282, 400*time.Millisecond)
 		assert.Assert(t, b.model("m").workOf(ask, &rtable.Service{Batch: 20}) < before/2)
 	})
 	t.Run("one delayed stream has little effect", func(t *testing.T) {
 		b := book()
-		b.Made("m", 100, 500*time.Millisecond)
-		b.Made("m", 100, time.Minute)
+		b.NoteStream("m", 100, 500*time.Millisecond)
+		b.NoteStream("m", 100, time.Minute)
 		assert.Assert(t, b.model("m").tokenTime < 0.01)
-		b.Made("m", 0, time.Second)
-		b.Made("m", 10, 0)
+		b.NoteStream("m", 0, time.Second)
+		b.NoteStream("m", 10, 0)
 		assert.Assert(t, b.model("m").tokenTime < 0.01)
 	})
 }
--- a/core/demand/fleet_test.go
+++ b/core/demand/fleet_test.go
@@ -23,10 +23,10 @@
 	var fleet Fleet
 	sum := copies.Demand{}
 	for i := range 100 {
-		var own Book
+		var own Tracker
 		at := t0.Add(time.Duration(i) * 20 * time.Millisecond)
-		own.Asked(at, "m", time.Second, ask, engine)
-		fleet.Add(at, own.Take())
+		own.NoteRequest(at, "m", time.Second, ask, engine)
+		fleet.Add(at, own.TakeArrivals())
 		sum = sum.Add(own.All(t0.Add(2 * time.Second))["m"])
 	}
 	all := fleet.All(t0.Add(2 * time.Second))["m"]
@@ -39,23 +39,23 @@
 	t0 := time.Unix(1000, 0)
 	everybody := func(core.HostName) bool { return true }
 	t.Run("arrivals are taken once", func(t *testing.T) {
-		var b Book
-		b.Asked(t0, "m", time.Second, &core.Ask{}, &rtable.Service{})
-		assert.Equal(t, b.Take()["m"].Count, 1)
-		assert.Equal(t, len(b.Take()), 0)
+		var b Tracker
+		b.NoteRequest(t0, "m", time.Second, &core.Ask{}, &rtable.Service{})
+		assert.Equal(t, b.TakeArrivals()["m"].Count, 1)
+		assert.Equal(t, len(b.TakeArrivals()), 0)
 	})
 	t.Run("waiting requests are summed, and new only once", func(t *testing.T) {
 		var f Fleet
-		assert.Assert(t, f.Wait(t0, "a", map[core.ModelName]int{"m": 2}))
-		assert.Assert(t, !f.Wait(t0, "a", map[core.ModelName]int{"m": 3}))
-		assert.Assert(t, f.Wait(t0, "b", map[core.ModelName]int{"m": 1}))
+		assert.Assert(t, f.SetWaiting(t0, "a", map[core.ModelName]int{"m": 2}))
+		assert.Assert(t, !f.SetWaiting(t0, "a", map[core.ModelName]int{"m": 3}))
+		assert.Assert(t, f.SetWaiting(t0, "b", map[core.ModelName]int{"m": 1}))
 		assert.Equal(t, f.Waiting(t0, everybody)["m"], 4)
 		assert.Equal(t, f.All(t0)["m"].Waiting, 4)
 		assert.Equal(t, f.Waiting(t0, func(n core.HostName) bool { return n == "b" })["m"], 1)
 	})
 	t.Run("waiting requests of a lost entry are forgotten", func(t *testing.T) {
 		var f Fleet
-		f.Wait(t0, "a", map[core.ModelName]int{"m": 2})
+		f.SetWaiting(t0, "a", map[core.ModelName]int{"m": 2})
 		assert.Equal(t, len(f.Waiting(t0.Add(2*time.Second), everybody)), 0)
 	})
 	t.Run("a model without demand is forgotten", func(t *testing.T) {
--- a/io/feed/plan.go
+++ b/io/feed/plan.go
@@ -106,7 +106,7 @@
 // gather takes in what this entry's own callers asked for. The caller holds mu.
 func (f *Feed) gather(now time.Time) {
 	arrivals := f.Proxy.TakeArrivals()
-	f.demand.Wait(now, f.Self.Name, f.Proxy.WaitingFor())
+	f.demand.SetWaiting(now, f.Self.Name, f.Proxy.WaitingFor())
 	f.addArrivals(now, arrivals)
 }
 
--- a/io/feed/serve.go
+++ b/io/feed/serve.go
@@ -69,7 +69,7 @@
 	} else {
 		f.addArrivals(now, arrivals)
 	}
-	if f.demand.Wait(now, name, countsIn(c.GetWaiting())) {
+	if f.demand.SetWaiting(now, name, countsIn(c.GetWaiting())) {
 		f.Proxy.Kick()
 	}
 }
--- a/io/proxy/answer.go
+++ b/io/proxy/answer.go
@@ -94,7 +94,7 @@
 			h.NoteFailure(now)
 		}
 		if isStream && c.query.Model != "" && !resumed {
-			c.proxy.demand.Made(c.query.Model, c.ask.Answer, c.latest.Sub(c.first))
+			c.proxy.demand.NoteStream(c.query.Model, c.ask.Answer, c.latest.Sub(c.first))
 		}
 	})
 	return outcome{done: true}
--- a/io/proxy/call.go
+++ b/io/proxy/call.go
@@ -206,7 +206,7 @@
 	now := p.Clock.Now()
 	p.window(c.service.Name).First(now)
 	if c.query.Model != "" {
-		p.demand.Asked(now, c.query.Model, c.route.Target, &c.ask, c.service)
+		p.demand.NoteRequest(now, c.query.Model, c.route.Target, &c.ask, c.service)
 	}
 }
 
--- a/io/proxy/proxy.go
+++ b/io/proxy/proxy.go
@@ -48,7 +48,7 @@
 	view    fleet.View
 	keeper  rtable.Keeper
 	retries map[core.ServiceName]*retry.Window
-	demand  demand.Book
+	demand  demand.Tracker
 	ready   map[core.ModelName]time.Time
 	// changed is closed and replaced at each change that may matter to requests
 	// that wait.
@@ -173,7 +173,7 @@
 func (p *Proxy) TakeArrivals() map[core.ModelName]demand.Arrivals {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.demand.Take()
+	return p.demand.TakeArrivals()
 }
 
 // WaitingFor returns how many requests wait for each model.
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -237,7 +237,7 @@
 	if c.query.Model == "" {
 		return
 	}
-	p.demand.Wait(c.query.Model, change)
+	p.demand.AddWaiting(c.query.Model, change)
 	if change > 0 {
 		p.Kick()
 	}
