--- a/core/replay/keeper.go
+++ b/core/replay/keeper.go
@@ -40,7 +40,7 @@
 // NewLearned returns the policy of core/warm for the items of a trace. Scale
 // multiplies what a second of waiting is worth.
 func NewLearned(t Trace, scale float64) *Learned {
-	l := &Learned{Policy: &warm.Policy{Worth: warm.DefaultWorth.Times(scale)}}
+	l := &Learned{Policy: &warm.Policy{Worth: warm.DefaultWorth.Scale(scale)}}
 	for _, i := range t.Items {
 		l.Policy.Set(warm.Item{Name: i.Name, Class: i.Class, Accelerators: i.Accelerators})
 	}
@@ -56,7 +56,7 @@
 func (l *Learned) End(now time.Time, name core.ModelName) { l.Policy.End(now, name) }
 
 // Loaded implements Keeper.
-func (l *Learned) Loaded(name core.ModelName, took time.Duration) { l.Policy.Loaded(name, took) }
+func (l *Learned) Loaded(name core.ModelName, took time.Duration) { l.Policy.NoteLoad(name, took) }
 
 // Until implements Keeper.
 func (l *Learned) Until(now time.Time, name core.ModelName) time.Time {
@@ -90,7 +90,7 @@
 
 // NewInformed returns the optimum for a trace, with the same scale of worth.
 func NewInformed(t Trace, scale float64) *Informed {
-	f := &Informed{worth: warm.DefaultWorth.Times(scale), items: map[core.ModelName]Item{}, uses: map[core.ModelName][]use{}}
+	f := &Informed{worth: warm.DefaultWorth.Scale(scale), items: map[core.ModelName]Item{}, uses: map[core.ModelName][]use{}}
 	for _, i := range t.Items {
 		f.items[i.Name] = i
 	}
--- a/core/warm/warm.go
+++ b/core/warm/warm.go
@@ -19,8 +19,8 @@
 // twenty seconds.
 var DefaultWorth = Worth{core.Interactive: 60, core.Evening: 60, core.Overnight: 2}
 
-// Times returns the worth multiplied by a factor.
-func (w Worth) Times(scale float64) Worth {
+// Scale returns the worth multiplied by a factor.
+func (w Worth) Scale(scale float64) Worth {
 	for i := range w {
 		w[i] *= scale
 	}
@@ -88,8 +88,8 @@
 	s.item = i
 }
 
-// Drop removes an item that is no longer in the catalogue.
-func (p *Policy) Drop(name core.ModelName) { delete(p.items, name) }
+// Remove removes an item that is no longer in the catalogue.
+func (p *Policy) Remove(name core.ModelName) { delete(p.items, name) }
 
 // Begin records the arrival of a request of a class for the item. A request for an adapter
 // also counts as one of the same class for its base model.
@@ -135,8 +135,8 @@
 	s.idleSince = now
 }
 
-// Loaded records the duration of a load of the item.
-func (p *Policy) Loaded(name core.ModelName, took time.Duration) {
+// NoteLoad records the duration of a load of the item.
+func (p *Policy) NoteLoad(name core.ModelName, took time.Duration) {
 	s := p.items[name]
 	if s == nil {
 		return
--- a/core/warm/warm_test.go
+++ b/core/warm/warm_test.go
@@ -18,7 +18,7 @@
 func policyFor(class core.Class) *Policy {
 	p := &Policy{}
 	p.Set(Item{Name: item, Class: class, Accelerators: 1})
-	p.Loaded(item, 10*time.Second)
+	p.NoteLoad(item, 10*time.Second)
 	return p
 }
 
@@ -119,7 +119,7 @@
 	for i := range 20 {
 		name := core.ModelName(rune('a' + i))
 		p.Set(Item{Name: name, Class: core.Evening, Accelerators: 0.1})
-		p.Loaded(name, 10*time.Second)
+		p.NoteLoad(name, 10*time.Second)
 		for day := range 5 {
 			at := start.AddDate(0, 0, day).Add(20*time.Hour + time.Duration(rng.Int64N(int64(4*time.Minute))))
 			p.Begin(at, name, core.Evening)
@@ -155,7 +155,7 @@
 func TestDropForgets(t *testing.T) {
 	p := policyFor(core.Interactive)
 	use(p, start)
-	p.Drop(item)
+	p.Remove(item)
 	assert.Equal(t, p.Len(), 0)
 	assert.Assert(t, !p.KeepUntil(start, item).After(start))
 }
--- a/io/agent/drive.go
+++ b/io/agent/drive.go
@@ -179,7 +179,7 @@
 	}
 	a.Meter.Load(a.tier(i.Name), true, since, now)
 	a.learn(i.Name)
-	a.warm.Loaded(i.Name, now.Sub(since))
+	a.warm.NoteLoad(i.Name, now.Sub(since))
 	a.endSlot(now, i.Name, true)
 	events.Log(events.LoadFinished, "model", i.Name, "host", a.Host, "took", now.Sub(since).String())
 }
--- a/io/cmds/replay.go
+++ b/io/cmds/replay.go
@@ -48,7 +48,7 @@
 	for _, r := range replay.Compare(t, scale) {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%.1f\t%.1f\t%.1f\t\n", r.Policy, r.Requests, r.Cold,
 			short(r.P50), short(r.P99), short(r.Max), short(r.Mean), short(r.OpenerP99), r.IdleHours, r.LoadHours,
-			r.Cost(warm.DefaultWorth.Times(scale)))
+			r.Cost(warm.DefaultWorth.Scale(scale)))
 	}
 	fmt.Fprintln(w)
 	return w.Flush()
--- a/io/entry/bench_test.go
+++ b/io/entry/bench_test.go
@@ -16,7 +16,7 @@
 // the engine; their ratio is what to compare.
 func BenchmarkWarm(b *testing.B) {
 	f := newFleet(b)
-	f.worth = warm.DefaultWorth.Times(1e6)
+	f.worth = warm.DefaultWorth.Scale(1e6)
 	h := f.engineHost("up-1", &llmsrv.Server{LoadTimes: quickLoads, Batch: 64})
 	url := f.entryHost()
 	body := `{"model":"alpha","stream":true,"max_tokens":1,"messages":[{"role":"user","content":"x"}]}`
--- a/io/entry/host_test.go
+++ b/io/entry/host_test.go
@@ -149,7 +149,7 @@
 	f := newFleet(t)
 	// Waiting is worth next to nothing, so that idling for a moment costs more
 	// than another load, however long loads take on a busy machine.
-	f.worth = warm.DefaultWorth.Times(1e-6)
+	f.worth = warm.DefaultWorth.Scale(1e-6)
 	h := f.engineHost("up-1", &llmsrv.Server{LoadTimes: quickLoads})
 	assertDone(t, chat(t, f.entryHost(), "alpha", "once", false, 1))
 	waitFor(t, "the model is still loaded", func() bool { return !loaded(h)["alpha"] })
@@ -162,7 +162,7 @@
 func TestWaitForHostIsNoPace(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.worth = warm.DefaultWorth.Times(1e6)
+	f.worth = warm.DefaultWorth.Scale(1e6)
 	f.engineHost("up-1", &llmsrv.Server{LoadTimes: quickLoads, Batch: 8})
 	url := f.entryHost()
 	assertDone(t, chat(t, url, "alpha", "before", false, 1))
--- a/io/node/agent.go
+++ b/io/node/agent.go
@@ -26,7 +26,7 @@
 		Host: s.Name, Service: s.Engine.Service, Plain: s.Engine.Type == core.PlainService, Incarnation: n.incarnation,
 		Engine: upstream, Clock: n.clock, Meter: n.meter, Tracer: n.tracer, Snapshot: n.world.snapshot,
 		Grant: n.grant, Release: n.release, Revoked: n.revoked, Spread: n.spread, KeptAnswers: s.Limits.KeptAnswers,
-		Slot: n.slot, Agents: func() int { return n.world.agents(s.Engine.Service) }, Worth: warm.DefaultWorth.Times(s.Warm.Worth),
+		Slot: n.slot, Agents: func() int { return n.world.agents(s.Engine.Service) }, Worth: warm.DefaultWorth.Scale(s.Warm.Worth),
 		Store: agent.Store{Starts: s.Store.Starts, Parallel: s.Store.Parallel, Adapters: s.Store.Adapters},
 		Rand:  rand.New(rand.NewPCG(n.rand.Uint64(), n.rand.Uint64())),
 	}
