--- a/core/tend/book.go
+++ b/core/tend/book.go
@@ -23,21 +23,21 @@
 // AgentWait is how long an agent waits before its first order if an entry has been the
 // holder. It covers the time until the entry has read the agent's record or can no longer
 // rely on its lease, and the required gap between the orders of two holders.
-const AgentWait = listTTL + LeaseBelief + holderGap
+const AgentWait = listTTL + LeaseValidity + holderGap
 
 // The following are the times of the lease that an entry holds on the engines without
 // agents in its data centre. The margin keeps the orders of two holders apart by more than
 // holderGap, even if the previous one sends an order at the last moment.
 const (
-	LeaseTerm   = 8 * time.Second
-	LeaseMargin = 3500 * time.Millisecond
-	LeaseBelief = LeaseTerm - LeaseMargin
-	holderGap   = 3 * time.Second
+	LeaseTerm     = 8 * time.Second
+	LeaseMargin   = 3500 * time.Millisecond
+	LeaseValidity = LeaseTerm - LeaseMargin
+	holderGap     = 3 * time.Second
 )
 
-// Book tracks the engines of an entry's data centre and their agents. The zero Book is
+// Tracker tracks the engines of an entry's data centre and their agents. The zero Tracker is
 // ready for use. It is not safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	// since is when each engine was first seen without a response of an agent.
 	since map[netip.AddrPort]time.Time
 	// agents are the engines that have an agent's record, as read at listed.
@@ -47,9 +47,9 @@
 	lacks bool
 }
 
-// See records the engines that are listed. The function heard reports whether the agent of
+// SetEngines records the engines that are listed. The function heard reports whether the agent of
 // an engine has ever responded to this entry.
-func (b *Book) See(now time.Time, engines []netip.AddrPort, heard func(netip.AddrPort) bool) {
+func (b *Tracker) SetEngines(now time.Time, engines []netip.AddrPort, heard func(netip.AddrPort) bool) {
 	old := b.since
 	b.since = make(map[netip.AddrPort]time.Time, len(engines))
 	for _, e := range engines {
@@ -64,23 +64,23 @@
 	}
 }
 
-// Listed records the engines that have an agent's record, as the store listed them at the
+// SetRecords records the engines that have an agent's record, as the store listed them at the
 // given time.
-func (b *Book) Listed(at time.Time, agents []netip.AddrPort) {
+func (b *Tracker) SetRecords(at time.Time, agents []netip.AddrPort) {
 	b.listed = at
 	b.agents = make(map[netip.AddrPort]bool, len(agents))
 	for _, a := range agents {
 		b.agents[a] = true
 	}
-	b.lacks = len(b.Alone(at)) > 0
+	b.lacks = len(b.WithoutAgent(at)) > 0
 }
 
-// Lacks reports whether some engine had no agent when the records were last read.
-func (b *Book) Lacks() bool { return b.lacks }
+// AnyWithoutAgent reports whether some engine had no agent when the records were last read.
+func (b *Tracker) AnyWithoutAgent() bool { return b.lacks }
 
-// MustList reports whether the agents' records have to be read now. If holds is set, this
+// MustReadRecords reports whether the agents' records have to be read now. If holds is set, this
 // entry is the holder.
-func (b *Book) MustList(now time.Time, holds bool) bool {
+func (b *Tracker) MustReadRecords(now time.Time, holds bool) bool {
 	interval := otherListInterval
 	if holds {
 		interval = listInterval
@@ -96,8 +96,8 @@
 	return false
 }
 
-// Alone returns the engines that have no agent, sorted by address.
-func (b *Book) Alone(now time.Time) []netip.AddrPort {
+// WithoutAgent returns the engines that have no agent, sorted by address.
+func (b *Tracker) WithoutAgent(now time.Time) []netip.AddrPort {
 	if now.Sub(b.listed) > listTTL {
 		return nil
 	}
--- a/core/tend/book_test.go
+++ b/core/tend/book_test.go
@@ -21,36 +21,38 @@
 
 func silent(netip.AddrPort) bool { return false }
 
-func see(b *tend.Book, d time.Duration, engines ...netip.AddrPort) { b.See(at(d), engines, silent) }
+func see(b *tend.Tracker, d time.Duration, engines ...netip.AddrPort) {
+	b.SetEngines(at(d), engines, silent)
+}
 
-func wantAlone(t *testing.T, b *tend.Book, d time.Duration, want ...netip.AddrPort) {
+func wantAlone(t *testing.T, b *tend.Tracker, d time.Duration, want ...netip.AddrPort) {
 	t.Helper()
-	got := b.Alone(at(d))
+	got := b.WithoutAgent(at(d))
 	assert.Assert(t, slices.Equal(got, want), "%v", got)
 }
 
 func TestEngineWithoutAgent(t *testing.T) {
-	var b tend.Book
+	var b tend.Tracker
 	see(&b, 0, first, second)
 	t.Run("its agent may still be starting", func(t *testing.T) {
-		assert.Assert(t, !b.MustList(at(2*time.Second), false))
+		assert.Assert(t, !b.MustReadRecords(at(2*time.Second), false))
 		wantAlone(t, &b, 2*time.Second)
 	})
 	t.Run("after that its record is read", func(t *testing.T) {
-		assert.Assert(t, b.MustList(at(3*time.Second), false))
-		b.Listed(at(3*time.Second), []netip.AddrPort{second})
+		assert.Assert(t, b.MustReadRecords(at(3*time.Second), false))
+		b.SetRecords(at(3*time.Second), []netip.AddrPort{second})
 		wantAlone(t, &b, 3*time.Second, first)
 	})
 	t.Run("and again while it has no agent", func(t *testing.T) {
-		assert.Assert(t, b.Lacks())
-		assert.Assert(t, !b.MustList(at(5*time.Second), false), "other entries read less often")
-		assert.Assert(t, !b.MustList(at(4*time.Second), true))
-		assert.Assert(t, b.MustList(at(5*time.Second), true))
+		assert.Assert(t, b.AnyWithoutAgent())
+		assert.Assert(t, !b.MustReadRecords(at(5*time.Second), false), "other entries read less often")
+		assert.Assert(t, !b.MustReadRecords(at(4*time.Second), true))
+		assert.Assert(t, b.MustReadRecords(at(5*time.Second), true))
 	})
 	t.Run("an old read is not used", func(t *testing.T) { wantAlone(t, &b, 8*time.Second) })
 	t.Run("a read is not used if the engine was not listed long enough before it", func(t *testing.T) {
-		var b tend.Book
-		b.Listed(at(0), nil)
+		var b tend.Tracker
+		b.SetRecords(at(0), nil)
 		see(&b, time.Second, first)
 		wantAlone(t, &b, 3*time.Second)
 	})
@@ -60,24 +62,24 @@
 // and stay down for long while their engines live. The entries have restarted too and have
 // never had a response of the agents, but must not order their engines.
 func TestEngineOfDeadAgentIsLeftAlone(t *testing.T) {
-	var b tend.Book
+	var b tend.Tracker
 	see(&b, 0, first)
 	for d := 3 * time.Second; d < time.Minute; d += 2 * time.Second {
-		b.Listed(at(d), []netip.AddrPort{first})
+		b.SetRecords(at(d), []netip.AddrPort{first})
 		wantAlone(t, &b, d)
 	}
-	assert.Assert(t, !b.MustList(at(time.Minute), true), "its record is known")
+	assert.Assert(t, !b.MustReadRecords(at(time.Minute), true), "its record is known")
 }
 
 // Guards against an engine with two holders when an agent appears beside an engine that an
 // entry orders. The agent writes its record and waits. By the end of the wait the entry
 // must have stopped, whatever fails on its way to the store.
 func TestAgentThatAppearsWaitsLongEnough(t *testing.T) {
-	var b tend.Book
+	var b tend.Tracker
 	see(&b, 0, first)
-	b.Listed(at(10*time.Second), nil)
+	b.SetRecords(at(10*time.Second), nil)
 	wantAlone(t, &b, 10*time.Second, first)
-	b.Listed(at(12*time.Second), []netip.AddrPort{first})
+	b.SetRecords(at(12*time.Second), []netip.AddrPort{first})
 	wantAlone(t, &b, 12*time.Second)
 	// Without another read, the last order is sent within four seconds of the last read.
 	assert.Assert(t, tend.AgentWait-4*time.Second > 3*time.Second)
@@ -85,8 +87,8 @@
 }
 
 func TestHeardAgent(t *testing.T) {
-	var b tend.Book
+	var b tend.Tracker
 	see(&b, 0, first)
-	b.See(at(time.Second), []netip.AddrPort{first}, func(netip.AddrPort) bool { return true })
-	assert.Assert(t, !b.MustList(at(10*time.Second), true))
+	b.SetEngines(at(time.Second), []netip.AddrPort{first}, func(netip.AddrPort) bool { return true })
+	assert.Assert(t, !b.MustReadRecords(at(10*time.Second), true))
 }
--- a/io/deploy/tend.go
+++ b/io/deploy/tend.go
@@ -42,7 +42,7 @@
 	contends, leaving bool
 	held              map[netip.AddrPort]*tended
 	// book belongs to run.
-	book tend.Book
+	book tend.Tracker
 }
 
 // tended is an engine that this entry orders.
@@ -94,17 +94,17 @@
 func (t *tender) step(ctx context.Context) {
 	now := bootTime()
 	engines := t.engines()
-	t.book.See(now, engines, t.entry.links.heardAgent)
+	t.book.SetEngines(now, engines, t.entry.links.heardAgent)
 	_, holds := t.fence()
-	if t.eligible() && t.book.MustList(now, holds) {
+	if t.eligible() && t.book.MustReadRecords(now, holds) {
 		t.list(ctx, now)
 	}
 	t.mu.Lock()
-	t.contends = t.book.Lacks() && !t.leaving
+	t.contends = t.book.AnyWithoutAgent() && !t.leaving
 	t.mu.Unlock()
 	var alone []netip.AddrPort
 	if holds {
-		alone = t.book.Alone(now)
+		alone = t.book.WithoutAgent(now)
 	}
 	t.giveUp(alone)
 	for _, e := range alone {
@@ -153,7 +153,7 @@
 		}
 		agents = append(agents, s.Upstream)
 	}
-	t.book.Listed(now, agents)
+	t.book.SetRecords(now, agents)
 }
 
 // fence returns the fencing number of this entry's orders; false while it may not order.
