--- a/core/agenda/agenda.go
+++ b/core/agenda/agenda.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Agenda is a queue of events ordered by time. The zero value is empty and ready for use.
+// Queue is a queue of events ordered by time. The zero value is empty and ready for use.
 // It is not safe for concurrent use.
-type Agenda[T any] struct {
+type Queue[T any] struct {
 	items    items[T]
 	sequence int
 }
@@ -21,25 +21,25 @@
 	event    T
 }
 
-// Put adds an event at a time.
-func (a *Agenda[T]) Put(at time.Time, event T) {
+// Push adds an event at a time.
+func (a *Queue[T]) Push(at time.Time, event T) {
 	a.sequence++
 	heap.Push(&a.items, item[T]{at, a.sequence, event})
 }
 
 // Len returns the number of events.
-func (a *Agenda[T]) Len() int { return len(a.items) }
+func (a *Queue[T]) Len() int { return len(a.items) }
 
-// Next returns the time of the next event, false if there is none.
-func (a *Agenda[T]) Next() (time.Time, bool) {
+// NextTime returns the time of the next event, false if there is none.
+func (a *Queue[T]) NextTime() (time.Time, bool) {
 	if len(a.items) == 0 {
 		return time.Time{}, false
 	}
 	return a.items[0].at, true
 }
 
-// Take removes and returns the next event. It panics if there is none.
-func (a *Agenda[T]) Take() (time.Time, T) {
+// Pop removes and returns the next event. It panics if there is none.
+func (a *Queue[T]) Pop() (time.Time, T) {
 	i := heap.Pop(&a.items).(item[T])
 	return i.at, i.event
 }
--- a/core/agenda/agenda_test.go
+++ b/core/agenda/agenda_test.go
@@ -10,17 +10,17 @@
 )
 
 func TestOrder(t *testing.T) {
-	var a agenda.Agenda[string]
+	var a agenda.Queue[string]
 	at := time.Unix(100, 0)
-	a.Put(at.Add(2), "third")
-	a.Put(at, "first")
-	a.Put(at, "second")
-	next, ok := a.Next()
+	a.Push(at.Add(2), "third")
+	a.Push(at, "first")
+	a.Push(at, "second")
+	next, ok := a.NextTime()
 	assert.Assert(t, ok && next.Equal(at))
 	for _, want := range []string{"first", "second", "third"} {
-		_, got := a.Take()
+		_, got := a.Pop()
 		assert.Equal(t, got, want)
 	}
-	_, ok = a.Next()
+	_, ok = a.NextTime()
 	assert.Assert(t, !ok)
 }
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -17,7 +17,7 @@
 type world struct {
 	rng    *rand.Rand
 	now    time.Time
-	queue  agenda.Agenda[func()]
+	queue  agenda.Queue[func()]
 	broken variant
 	// chance is the probability of each fault at each step.
 	chance float64
@@ -137,7 +137,7 @@
 }
 
 func (w *world) after(d time.Duration, do func()) {
-	w.queue.Put(w.now.Add(d), do)
+	w.queue.Push(w.now.Add(d), do)
 }
 
 // at delivers to a node, unless it has died since, after its pause.
@@ -180,9 +180,9 @@
 }
 
 func (w *world) runUntil(end time.Time) {
-	for next, ok := w.queue.Next(); ok && !next.After(end); next, ok = w.queue.Next() {
+	for next, ok := w.queue.NextTime(); ok && !next.After(end); next, ok = w.queue.NextTime() {
 		var do func()
-		w.now, do = w.queue.Take()
+		w.now, do = w.queue.Pop()
 		do()
 	}
 	w.now = end
--- a/core/replay/play.go
+++ b/core/replay/play.go
@@ -91,7 +91,7 @@
 	trace  Trace
 	keeper Keeper
 	items  map[core.ModelName]*held
-	ahead  agenda.Agenda[event]
+	ahead  agenda.Queue[event]
 	result Result
 	waits  []time.Duration
 	opens  []time.Duration
@@ -121,13 +121,13 @@
 }
 
 func (p *player) push(at time.Time, kind eventKind, name core.ModelName) {
-	p.ahead.Put(at, event{kind: kind, name: name})
+	p.ahead.Push(at, event{kind: kind, name: name})
 }
 
 // advance plays what was foreseen up to a time.
 func (p *player) advance(now time.Time) {
-	for next, ok := p.ahead.Next(); ok && !next.After(now); next, ok = p.ahead.Next() {
-		at, e := p.ahead.Take()
+	for next, ok := p.ahead.NextTime(); ok && !next.After(now); next, ok = p.ahead.NextTime() {
+		at, e := p.ahead.Pop()
 		h := p.items[e.name]
 		switch {
 		case e.kind == endOfUse:
--- a/core/retry/play_test.go
+++ b/core/retry/play_test.go
@@ -78,7 +78,7 @@
 	up    *upstream
 	by    decider
 	rng   *rand.Rand
-	steps agenda.Agenda[func(now time.Time)]
+	steps agenda.Queue[func(now time.Time)]
 	sum   sum
 }
 
@@ -91,14 +91,14 @@
 		c.Attempts = nil
 		c.Request.ID = core.RequestID(fmt.Sprint(at))
 		c.Request.Arrived, c.Request.Deadline = at, at.Add(time.Second)
-		p.steps.Put(at, func(now time.Time) {
+		p.steps.Push(at, func(now time.Time) {
 			p.sum.sent++
 			p.by.first("qalam")
 			p.try(now, c, p.rng.IntN(up.hosts))
 		})
 	}
 	for p.steps.Len() > 0 {
-		now, do := p.steps.Take()
+		now, do := p.steps.Pop()
 		do(now)
 	}
 	return p.sum
@@ -107,7 +107,7 @@
 func (p *play) try(now time.Time, c retry.Case, host int) {
 	p.sum.attempts++
 	end, ref := p.up.attempt(now, host, p.rng)
-	p.steps.Put(end, func(now time.Time) {
+	p.steps.Push(end, func(now time.Time) {
 		if ref == nil {
 			p.answer(now, c)
 			return
@@ -134,7 +134,7 @@
 	case retry.Again:
 		p.try(now, c, host)
 	case retry.Later:
-		p.steps.Put(d.At, func(now time.Time) { p.try(now, c, host) })
+		p.steps.Push(d.At, func(now time.Time) { p.try(now, c, host) })
 	}
 }
 
--- a/core/route/play_test.go
+++ b/core/route/play_test.go
@@ -128,7 +128,7 @@
 type play struct {
 	hosts   []*host
 	entries []*entry
-	events  agenda.Agenda[func(now time.Time)]
+	events  agenda.Queue[func(now time.Time)]
 	// waits are the times to the whole answer, in the order of the answers; short
 	// those of the requests of 100 ms.
 	waits, short []time.Duration
@@ -163,12 +163,12 @@
 func oldReport(int) router { return oldest{} }
 
 func (p *play) at(t time.Time, do func(now time.Time)) {
-	p.events.Put(t, do)
+	p.events.Push(t, do)
 }
 
 func (p *play) run() {
 	for p.events.Len() > 0 {
-		now, do := p.events.Take()
+		now, do := p.events.Pop()
 		do(now)
 	}
 }
--- a/core/slots/play_test.go
+++ b/core/slots/play_test.go
@@ -45,7 +45,7 @@
 type play struct {
 	rng    *rand.Rand
 	now    time.Time
-	queue  agenda.Agenda[func()]
+	queue  agenda.Queue[func()]
 	store  *store
 	pool   *Pool
 	locals []*Local
@@ -74,14 +74,14 @@
 }
 
 func (p *play) after(d time.Duration, do func()) {
-	p.queue.Put(p.now.Add(max(0, d)), do)
+	p.queue.Push(p.now.Add(max(0, d)), do)
 }
 
 func (p *play) run(d time.Duration) {
 	end := p.now.Add(d)
-	for next, ok := p.queue.Next(); ok && !next.After(end); next, ok = p.queue.Next() {
+	for next, ok := p.queue.NextTime(); ok && !next.After(end); next, ok = p.queue.NextTime() {
 		var do func()
-		p.now, do = p.queue.Take()
+		p.now, do = p.queue.Pop()
 		do()
 	}
 	p.now = end
--- a/core/strike/play_test.go
+++ b/core/strike/play_test.go
@@ -22,7 +22,7 @@
 type fleet struct {
 	rng     *rand.Rand
 	now     time.Time
-	queue   agenda.Agenda[func()]
+	queue   agenda.Queue[func()]
 	naive   bool    // no strikes at all
 	loss    float64 // of messages between processes
 	agents  []*upstream
@@ -68,14 +68,14 @@
 }
 
 func (f *fleet) after(d time.Duration, do func()) {
-	f.queue.Put(f.now.Add(d), do)
+	f.queue.Push(f.now.Add(d), do)
 }
 
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
-	for next, ok := f.queue.Next(); ok && !next.After(end); next, ok = f.queue.Next() {
+	for next, ok := f.queue.NextTime(); ok && !next.After(end); next, ok = f.queue.NextTime() {
 		var do func()
-		f.now, do = f.queue.Take()
+		f.now, do = f.queue.Pop()
 		do()
 	}
 	f.now = end
