--- a/core/copies/plan.go
+++ b/core/copies/plan.go
@@ -62,9 +62,9 @@
 	// model that is in use is evicted for it. Without this bound, callers of a model whose
 	// hosts are all in use would wait until they give up.
 	busyEvictionWait = 2 * time.Second
-	// loadTimePenalty is the cost of a second of loading time in the choice among hosts for the
-	// same copy: about what its callers lose by it. Copies then go where the weights are in
-	// memory or on disk.
+	// loadTimePenalty is the cost of a second of loading time in the choice among hosts for
+	// the same copy: about what its callers lose by it. Copies then go where the weights
+	// are in memory or on disk.
 	loadTimePenalty = 0.3
 	// limitPenalty is the cost of a host with a rate limit in that choice.
 	limitPenalty = 1.0
@@ -89,8 +89,8 @@
 // Host is the planner's view of an upstream host.
 type Host struct {
 	ID core.HostName
-	// TakesOrders is set if the host takes an order now: it is reachable, not leaving and not
-	// busy.
+	// TakesOrders is set if the host takes an order now: it is reachable, not leaving and
+	// not busy.
 	TakesOrders bool
 	// ReportedAt is when the host's agent took the report that all of this comes from.
 	ReportedAt time.Time
--- a/core/copies/play_test.go
+++ b/core/copies/play_test.go
@@ -249,7 +249,8 @@
 	return out
 }
 
-// leastRecentlyUsed loads models with waiting requests in place of the least recently used ones.
+// leastRecentlyUsed loads models with waiting requests in place of the least recently used
+// ones.
 func leastRecentlyUsed() policy {
 	used := map[copyOf]time.Time{}
 	return func(now time.Time, s *rtable.Service, hosts []*copies.Host, demand map[core.ModelName]copies.Demand) []copies.Move {
--- a/core/copies/width_test.go
+++ b/core/copies/width_test.go
@@ -11,8 +11,8 @@
 	"radishwell/core/copies"
 )
 
-// storeSimulation simulates a weight store that serves some loads at once at full speed, and hosts
-// that begin a load whenever the width allows one more.
+// storeSimulation simulates a weight store that serves some loads at once at full speed,
+// and hosts that begin a load whenever the width allows one more.
 type storeSimulation struct {
 	now   time.Time
 	speed float64
--- a/core/copies/worth.go
+++ b/core/copies/worth.go
@@ -26,9 +26,9 @@
 	return d.Rate*(after-before) + first*math.Pow(extraCopyFactor, float64(nth-1))
 }
 
-// timelyShare returns the fraction of requests that engines with the given utilization serve in
-// time. Above saturationLoad the absolute number served in time stays constant, so that an
-// additional copy has worth however many are missing.
+// timelyShare returns the fraction of requests that engines with the given utilization
+// serve in time. Above saturationLoad the absolute number served in time stays constant, so
+// that an additional copy has worth however many are missing.
 func timelyShare(load float64) float64 {
 	switch {
 	case load <= queueingLoad:
--- a/core/demand/book.go
+++ b/core/demand/book.go
@@ -29,11 +29,11 @@
 	sharedMissRate = 0.2
 )
 
-// Tracker holds the demand for models at one entry. The zero Tracker is ready for use. It is not
-// safe for concurrent use.
+// Tracker holds the demand for models at one entry. The zero Tracker is ready for use. It
+// is not safe for concurrent use.
 type Tracker struct {
 	models map[core.ModelName]*modelDemand
-	// newArrivals are the arrivals since the last Take.
+	// newArrivals are the arrivals since the last TakeArrivals.
 	newArrivals map[core.ModelName]Arrivals
 }
 
@@ -103,8 +103,8 @@
 	return max(1, n)
 }
 
-// NoteStream records the duration of a stream with the given number of tokens, from its first
-// event to its last.
+// NoteStream records the duration of a stream with the given number of tokens, from its
+// first event to its last.
 func (b *Tracker) NoteStream(name core.ModelName, tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
--- a/core/demand/fleet.go
+++ b/core/demand/fleet.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// SetWaiting records the numbers of waiting requests at an entry, or at all entries that report
-// to it. It reports whether any of the models had no waiting requests there before.
+// SetWaiting records the numbers of waiting requests at an entry, or at all entries that
+// report to it. It reports whether any of the models had no waiting requests there before.
 func (f *Fleet) SetWaiting(now time.Time, entry core.HostName, models map[core.ModelName]int) (news bool) {
 	if f.waits == nil {
 		f.waits = map[core.HostName]waitCounts{}
--- a/core/digest/table.go
+++ b/core/digest/table.go
@@ -21,8 +21,8 @@
 type Host struct {
 	Address netip.AddrPort
 	Report  fleet.Report
-	// Unreachable is set if the agent cannot reach the host. Born is the host's start time as the
-	// host reports it, and Ended lists its incarnations that have ended.
+	// Unreachable is set if the agent cannot reach the host. Born is the host's start time
+	// as the host reports it, and Ended lists its incarnations that have ended.
 	Unreachable bool
 	Born        int64
 	Ended       []core.HostName
@@ -157,8 +157,8 @@
 	return out
 }
 
-// Freshness returns the time as of which the reports are valid, and the stale ones that it does
-// not apply to.
+// Freshness returns the time as of which the reports are valid, and the stale ones that it
+// does not apply to.
 func (t *Table) Freshness(now time.Time, own bool) (at time.Time, stale []Stale) {
 	at = now
 	for address, r := range t.rows {
--- a/core/fleet/host.go
+++ b/core/fleet/host.go
@@ -150,9 +150,9 @@
 	return max(h.active[model], h.Report.Active[model])
 }
 
-// IsUnreachable reports whether the host's agent reports that it cannot reach the host. Such a
-// report expires like any other: if the agent itself falls silent, the state of its host is
-// unknown.
+// IsUnreachable reports whether the host's agent reports that it cannot reach the host.
+// Such a report expires like any other: if the agent itself falls silent, the state of its
+// host is unknown.
 func (h *Host) IsUnreachable(now time.Time) bool {
 	return !h.unreachableAt.IsZero() && now.Sub(h.unreachableAt) < reportTTL
 }
@@ -171,8 +171,8 @@
 // agent or because the registry lists a newer one at its address.
 func (h *Host) HasEnded() bool { return h.ended || h.superseded }
 
-// IsAvailable reports whether this incarnation may be used: its entry could be read, and neither
-// the registry nor its agent says that it has ended or cannot be reached.
+// IsAvailable reports whether this incarnation may be used: its entry could be read, and
+// neither the registry nor its agent says that it has ended or cannot be reached.
 func (h *Host) IsAvailable(now time.Time) bool {
 	return h.Usable && !h.HasEnded() && !h.IsUnreachable(now)
 }
--- a/core/fleet/limit_test.go
+++ b/core/fleet/limit_test.go
@@ -36,7 +36,7 @@
 	assert.Equal(t, h.Limit(at(70).Add(fleet.LimitAge)), core.RateLimit{}, "the limit has expired")
 }
 
-func TestLimitIsOfOneLife(t *testing.T) {
+func TestLimitIsPerIncarnation(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	one := core.RateLimit{Named: true, Rate: 1}
 	var v fleet.View
--- a/core/fleet/lives.go
+++ b/core/fleet/lives.go
@@ -17,16 +17,16 @@
 	maxEnded = 8
 )
 
-// Incarnation identifies one incarnation of a host by its ID and, if the host reports it, its
-// start time in milliseconds since the Unix epoch, since an ID can be reused after a
+// Incarnation identifies one incarnation of a host by its ID and, if the host reports it,
+// its start time in milliseconds since the Unix epoch, since an ID can be reused after a
 // restart.
 type Incarnation struct {
 	ID   core.HostName
 	Born int64
 }
 
-// IncarnationTracker tracks the running incarnation of a host, from the entries that the registry lists,
-// for the agent beside a host whose own reports do not name it.
+// IncarnationTracker tracks the running incarnation of a host, from the entries that the
+// registry lists, for the agent beside a host whose own reports do not name it.
 //
 // A restarted host is listed under a new name at once, while its old entry lapses only
 // seconds later. If the agent kept the old name, the host would refuse all of its orders,
@@ -46,12 +46,12 @@
 // Current returns the running incarnation's ID, empty if none is known.
 func (l *IncarnationTracker) Current() core.HostName { return l.current.ID }
 
-// NoteReported records the incarnation that the host itself reports. It takes precedence over what
-// the registry lists.
+// NoteReported records the incarnation that the host itself reports. It takes precedence
+// over what the registry lists.
 func (l *IncarnationTracker) NoteReported(inc Incarnation) { l.current = inc }
 
-// NoteListed records the incarnation that the registry lists, and reports whether it is a new
-// one. An incarnation that has ended is ignored until endedTTL has passed.
+// NoteListed records the incarnation that the registry lists, and reports whether it is a
+// new one. An incarnation that has ended is ignored until endedTTL has passed.
 func (l *IncarnationTracker) NoteListed(now time.Time, inc Incarnation) bool {
 	l.forget(now)
 	over := func(e endedIncarnation) bool { return e.Incarnation == inc }
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -111,8 +111,8 @@
 // target because a later answer is of little use and delays others.
 func (c Choice) Overloaded(target time.Duration) bool { return exceeds(c.Wait, target) }
 
-// AllBackingOff reports whether all hosts want no requests for longer than a request with the
-// given target waits. Such a request is told at once when to retry.
+// AllBackingOff reports whether all hosts want no requests for longer than a request with
+// the given target waits. Such a request is told at once when to retry.
 func (c Choice) AllBackingOff(now time.Time, target time.Duration) bool {
 	return exceeds(c.RetryAt.Sub(now), target)
 }
@@ -184,7 +184,7 @@
 	if q.Model == "" {
 		return before
 	}
-	return before + float64(h.unread(now, q))/PrefillRate
+	return before + float64(h.uncachedTokens(now, q))/PrefillRate
 }
 
 // backlog returns the time, in milliseconds, for the prefill of what the host reported and
@@ -230,9 +230,9 @@
 	return max(busyCost, float64(h.Report.LoadedBy.Sub(now))/float64(time.Millisecond))
 }
 
-// unread returns the number of the prompt's tokens that the host is not known to have
-// cached.
-func (h *Host) unread(now time.Time, q *Query) int {
+// uncachedTokens returns the number of the prompt's tokens that the host is not known to
+// have cached.
+func (h *Host) uncachedTokens(now time.Time, q *Query) int {
 	left := q.Tokens
 	for _, p := range q.shared() {
 		at, ok := h.prefixes[q.key(p.ID)]
@@ -283,7 +283,8 @@
 	return v.meanPrefill
 }
 
-// NotePrompt adds the prompt tokens that an engine has to prefill for a request to the average.
+// NotePrompt adds the prompt tokens that an engine has to prefill for a request to the
+// average.
 func (v *View) NotePrompt(tokens int) {
 	v.meanPrefill = v.prefillTime() + prefillWeight*(float64(tokens)/PrefillRate-v.prefillTime())
 }
@@ -298,10 +299,10 @@
 		h.active = map[core.ModelName]int{}
 	}
 	h.active[q.Model]++
-	unread := h.unread(now, q)
-	h.pendingPrefill += unread
+	tokens := h.uncachedTokens(now, q)
+	h.pendingPrefill += tokens
 	h.sentPrompts = slices.DeleteFunc(h.sentPrompts, func(s sentPrompt) bool { return !s.at.After(h.Report.Taken) || now.Sub(s.at) > reportTTL })
-	h.sentPrompts = append(h.sentPrompts, sentPrompt{at: now, tokens: unread})
+	h.sentPrompts = append(h.sentPrompts, sentPrompt{at: now, tokens: tokens})
 	if h.prefixes == nil || len(h.prefixes) >= maxPrefixes {
 		h.prefixes = map[prefixKey]time.Time{}
 	}
@@ -310,18 +311,20 @@
 	}
 }
 
-// NoteAnswerStart records the start of an answer. The cost is the value of Unread before Sent.
-func (h *Host) NoteAnswerStart(cost int) { h.pendingPrefill = max(0, h.pendingPrefill-cost) }
+// NoteAnswerStart records the start of an answer, where prefill is the value of
+// PrefillTokens before NoteSent.
+func (h *Host) NoteAnswerStart(prefill int) { h.pendingPrefill = max(0, h.pendingPrefill-prefill) }
 
-// PrefillTokens returns the number of prompt tokens that Sent will count for a request.
+// PrefillTokens returns the number of prompt tokens that NoteSent will count for a request.
 func (h *Host) PrefillTokens(now time.Time, q *Query) int {
 	if q.Model == "" {
 		return 0
 	}
-	return h.unread(now, q)
+	return h.uncachedTokens(now, q)
 }
 
-// NoteEnd records that a request to the host is over. The model is empty for a plain service.
+// NoteEnd records that a request to the host is over. The model is empty for a plain
+// service.
 func (h *Host) NoteEnd(model core.ModelName) {
 	h.inFlight = max(0, h.inFlight-1)
 	switch n := h.active[model]; {
--- a/core/fleet/pick_test.go
+++ b/core/fleet/pick_test.go
@@ -78,9 +78,9 @@
 		now := after(time.Duration(i) * 300 * time.Millisecond)
 		q := prompt(fmt.Sprint("doc-", i%12), fmt.Sprint("own-", i))
 		h := v.Pick(now, q).Host
-		unread := h.PrefillTokens(now, q)
+		prefill := h.PrefillTokens(now, q)
 		h.NoteSent(now, q)
-		h.NoteAnswerStart(unread)
+		h.NoteAnswerStart(prefill)
 		h.NoteEnd("m")
 		if where[q.Parts[0].ID] == nil {
 			where[q.Parts[0].ID] = map[core.HostName]bool{}
@@ -109,9 +109,9 @@
 func TestFavouredHostIsNotOverrun(t *testing.T) {
 	v := hostsOf(9)
 	type run struct {
-		h      *fleet.Host
-		unread int
-		begins time.Time
+		h       *fleet.Host
+		prefill int
+		begins  time.Time
 	}
 	var runs []run
 	free := map[core.HostName]time.Time{}
@@ -119,22 +119,22 @@
 	for i := range 400 {
 		now := after(time.Duration(i) * 25 * time.Millisecond)
 		for len(runs) > 0 && !runs[0].begins.After(now) {
-			runs[0].h.NoteAnswerStart(runs[0].unread)
+			runs[0].h.NoteAnswerStart(runs[0].prefill)
 			runs[0].h.NoteEnd("m")
 			runs = runs[1:]
 		}
 		q := prompt("doc", fmt.Sprint("own-", i))
 		h := v.Pick(now, q).Host
-		unread := h.PrefillTokens(now, q)
+		prefill := h.PrefillTokens(now, q)
 		h.NoteSent(now, q)
 		begins := now
 		if free[h.ID].After(now) {
 			begins = free[h.ID]
 		}
-		begins = begins.Add(time.Duration(float64(unread) / 38 * float64(time.Millisecond)))
+		begins = begins.Add(time.Duration(float64(prefill) / 38 * float64(time.Millisecond)))
 		free[h.ID] = begins
 		worst = max(worst, begins.Sub(now))
-		runs = append(runs, run{h, unread, begins})
+		runs = append(runs, run{h, prefill, begins})
 		for j := len(runs) - 1; j > 0 && runs[j].begins.Before(runs[j-1].begins); j-- {
 			runs[j], runs[j-1] = runs[j-1], runs[j]
 		}
@@ -154,9 +154,9 @@
 		now := after(time.Duration(i) * 50 * time.Millisecond)
 		q := prompt(fmt.Sprint("doc-", i%30), "own")
 		h := v.Pick(now, q).Host
-		unread := h.PrefillTokens(now, q)
+		prefill := h.PrefillTokens(now, q)
 		h.NoteSent(now, q)
-		h.NoteAnswerStart(unread)
+		h.NoteAnswerStart(prefill)
 		h.NoteEnd("m")
 		if h.ID == "i-00" && rng.Float64() < 0.5 {
 			bad++
@@ -195,8 +195,8 @@
 		v := hostsOf(1)
 		const requests, every, read, target, patience = 600, 50 * time.Millisecond, 100 * time.Millisecond, 800 * time.Millisecond, 5 * time.Second
 		type run struct {
-			unread int
-			came   time.Time
+			prefill int
+			came    time.Time
 		}
 		var queue []run
 		h := v.Host("i-00")
@@ -206,7 +206,7 @@
 			for len(queue) > 0 && !free.After(now) {
 				r := queue[0]
 				queue = queue[1:]
-				h.NoteAnswerStart(r.unread)
+				h.NoteAnswerStart(r.prefill)
 				h.NoteEnd("m")
 				if free.Sub(r.came) > patience {
 					continue // the caller has left, and the engine skips the request
@@ -227,10 +227,10 @@
 			if !admit(c) {
 				continue
 			}
-			unread := h.PrefillTokens(now, q)
+			prefill := h.PrefillTokens(now, q)
 			h.NoteSent(now, q)
-			v.NotePrompt(unread)
-			queue = append(queue, run{unread: unread, came: now})
+			v.NotePrompt(prefill)
+			queue = append(queue, run{prefill: prefill, came: now})
 		}
 		return float64(inTime) / requests
 	}
@@ -281,7 +281,7 @@
 			q := prompt(fmt.Sprint("doc-", i), "own")
 			c := v.Pick(now, q)
 			h := c.Host
-			unread := h.PrefillTokens(now, q)
+			prefill := h.PrefillTokens(now, q)
 			h.NoteSent(now, q)
 			if free[ids[0]].Before(now) {
 				free[ids[0]] = now
@@ -298,7 +298,7 @@
 			}
 			free[h.ID] = free[h.ID].Add(read)
 			sum += (free[h.ID].Sub(now) - c.Wait).Abs()
-			h.NoteAnswerStart(unread)
+			h.NoteAnswerStart(prefill)
 			h.NoteEnd("m")
 		}
 		return sum / requests, float64(behind) / requests
--- a/core/fleet/view.go
+++ b/core/fleet/view.go
@@ -63,13 +63,13 @@
 // NoteStoreFailure records that the store failed or could not be reached.
 func (v *View) NoteStoreFailure(now time.Time) { v.lastStoreFailure = now }
 
-// NoteRelayReport records when the relay that forwards the agents' reports last sent one. The zero
-// time means that the agents report to this process directly.
+// NoteRelayReport records when the relay that forwards the agents' reports last sent one.
+// The zero time means that the agents report to this process directly.
 func (v *View) NoteRelayReport(at time.Time) { v.lastRelayReport = at }
 
-// ReferenceTime returns the time against which the age of agents' reports is measured. While a
-// relay is silent, the state of the agents behind it is unknown; if they counted as silent
-// too, all paused streams of their hosts would be cut.
+// ReferenceTime returns the time against which the age of agents' reports is measured.
+// While a relay is silent, the state of the agents behind it is unknown; if they counted as
+// silent too, all paused streams of their hosts would be cut.
 func (v *View) ReferenceTime(now time.Time) time.Time {
 	if v.lastRelayReport.IsZero() {
 		return now
@@ -193,9 +193,9 @@
 	h.Report = r
 }
 
-// NoteUnreachable records that the agent at an address cannot reach its host. The registry lists a
-// crashed host for some seconds more. In that time its models have to be loaded elsewhere,
-// and requests sent to it fail.
+// NoteUnreachable records that the agent at an address cannot reach its host. The registry
+// lists a crashed host for some seconds more. In that time its models have to be loaded
+// elsewhere, and requests sent to it fail.
 func (v *View) NoteUnreachable(now time.Time, address netip.AddrPort) {
 	for _, h := range v.byAddress[address] {
 		if !h.IsUnreachable(now) {
@@ -205,8 +205,8 @@
 	}
 }
 
-// NoteIncarnations records what the agent at an address reports of its host's incarnations: the
-// start time of the current one, zero if the host does not report it, and the ones that
+// NoteIncarnations records what the agent at an address reports of its host's incarnations:
+// the start time of the current one, zero if the host does not report it, and the ones that
 // have ended. The registry lists those for some seconds more, but requests and orders for
 // them are refused.
 func (v *View) NoteIncarnations(address netip.AddrPort, born int64, ended []core.HostName) {
--- a/core/follow/choose.go
+++ b/core/follow/choose.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// directShare is the fraction of MostDirect below which an entry that has used relays
+	// directShare is the fraction of MaxDirect below which an entry that has used relays
 	// follows all agents again. It prevents a fleet of about that size from switching with
 	// each host that joins or leaves.
 	directShare = 0.75
@@ -122,9 +122,9 @@
 	p.failures++
 }
 
-// IsAvoided reports whether a member is avoided because it did not respond. It is chosen again
-// only after it has responded to a probe, so that a member that stays unresponsive causes
-// no further delay.
+// IsAvoided reports whether a member is avoided because it did not respond. It is chosen
+// again only after it has responded to a probe, so that a member that stays unresponsive
+// causes no further delay.
 func (c *Chooser) IsAvoided(m Member) bool {
 	p := c.peers[m.Name]
 	return p != nil && p.failures > 0
--- a/core/rtable/table.go
+++ b/core/rtable/table.go
@@ -49,8 +49,8 @@
 	Target time.Duration
 	// Pause is the longest gap between the events of a stream that callers accept.
 	Pause time.Duration
-	// SilenceTimeout is how long callers wait for the first event of a stream, and for each next
-	// one, before they disconnect. It is zero if unknown.
+	// SilenceTimeout is how long callers wait for the first event of a stream, and for each
+	// next one, before they disconnect. It is zero if unknown.
 	SilenceTimeout time.Duration
 	// Rank is the urgency of the route's requests. Zero is the most urgent.
 	Rank int
--- a/core/tend/book.go
+++ b/core/tend/book.go
@@ -47,8 +47,8 @@
 	lacks bool
 }
 
-// SetEngines records the engines that are listed. The function heard reports whether the agent of
-// an engine has ever responded to this entry.
+// SetEngines records the engines that are listed. The function heard reports whether the
+// agent of an engine has ever responded to this entry.
 func (b *Tracker) SetEngines(now time.Time, engines []netip.AddrPort, heard func(netip.AddrPort) bool) {
 	old := b.since
 	b.since = make(map[netip.AddrPort]time.Time, len(engines))
@@ -64,8 +64,8 @@
 	}
 }
 
-// SetRecords records the engines that have an agent's record, as the store listed them at the
-// given time.
+// SetRecords records the engines that have an agent's record, as the store listed them at
+// the given time.
 func (b *Tracker) SetRecords(at time.Time, agents []netip.AddrPort) {
 	b.listed = at
 	b.agents = make(map[netip.AddrPort]bool, len(agents))
@@ -78,8 +78,8 @@
 // AnyWithoutAgent reports whether some engine had no agent when the records were last read.
 func (b *Tracker) AnyWithoutAgent() bool { return b.lacks }
 
-// MustReadRecords reports whether the agents' records have to be read now. If holds is set, this
-// entry is the holder.
+// MustReadRecords reports whether the agents' records have to be read now. If holds is set,
+// this entry is the holder.
 func (b *Tracker) MustReadRecords(now time.Time, holds bool) bool {
 	interval := otherListInterval
 	if holds {
