--- a/core/demand/tracker.go
+++ b/core/demand/tracker.go
@@ -45,30 +45,30 @@
 	tokenTime float64
 }
 
-func (b *Tracker) model(name core.ModelName) *modelDemand {
-	if b.models == nil {
-		b.models = map[core.ModelName]*modelDemand{}
+func (t *Tracker) model(name core.ModelName) *modelDemand {
+	if t.models == nil {
+		t.models = map[core.ModelName]*modelDemand{}
 	}
-	m := b.models[name]
+	m := t.models[name]
 	if m == nil {
 		m = &modelDemand{}
-		b.models[name] = m
+		t.models[name] = m
 	}
 	return m
 }
 
 // NoteRequest records a request for a model.
-func (b *Tracker) NoteRequest(now time.Time, name core.ModelName, target time.Duration, ask *core.Ask, s *rtable.Service) {
-	m := b.model(name)
+func (t *Tracker) NoteRequest(now time.Time, name core.ModelName, target time.Duration, ask *core.Ask, s *rtable.Service) {
+	m := t.model(name)
 	a := Arrivals{Count: 1, Work: m.workOf(ask, s)}
 	if target < hastyTarget {
 		a.Hasty = 1
 	}
 	m.add(now, a)
-	if b.newArrivals == nil {
-		b.newArrivals = map[core.ModelName]Arrivals{}
+	if t.newArrivals == nil {
+		t.newArrivals = map[core.ModelName]Arrivals{}
 	}
-	b.newArrivals[name] = b.newArrivals[name].Add(a)
+	t.newArrivals[name] = t.newArrivals[name].Add(a)
 }
 
 // workOf returns the engine time that a request takes, in seconds. Its prompt occupies the
@@ -105,11 +105,11 @@
 
 // NoteStream records the duration of a stream with the given number of tokens, from its
 // first event to its last.
-func (b *Tracker) NoteStream(name core.ModelName, tokens int, took time.Duration) {
+func (t *Tracker) NoteStream(name core.ModelName, tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	m := b.model(name)
+	m := t.model(name)
 	sample := min(maxTokenTime, max(minTokenTime, took.Seconds()/float64(tokens)))
 	if m.tokenTime == 0 {
 		m.tokenTime = sample
@@ -119,12 +119,12 @@
 }
 
 // AddWaiting adds change to the number of requests that wait for a model.
-func (b *Tracker) AddWaiting(name core.ModelName, change int) { b.model(name).waiting += change }
+func (t *Tracker) AddWaiting(name core.ModelName, change int) { t.model(name).waiting += change }
 
 // Waiting returns the number of waiting requests by model.
-func (b *Tracker) Waiting() map[core.ModelName]int {
+func (t *Tracker) Waiting() map[core.ModelName]int {
 	out := map[core.ModelName]int{}
-	for name, m := range b.models {
+	for name, m := range t.models {
 		if m.waiting > 0 {
 			out[name] = m.waiting
 		}
@@ -133,19 +133,19 @@
 }
 
 // TakeArrivals returns the arrivals since the last TakeArrivals.
-func (b *Tracker) TakeArrivals() map[core.ModelName]Arrivals {
-	out := b.newArrivals
-	b.newArrivals = nil
+func (t *Tracker) TakeArrivals() map[core.ModelName]Arrivals {
+	out := t.newArrivals
+	t.newArrivals = nil
 	return out
 }
 
 // All returns the demand by model, and forgets models without demand.
-func (b *Tracker) All(now time.Time) map[core.ModelName]copies.Demand {
-	out := make(map[core.ModelName]copies.Demand, len(b.models))
-	for name, m := range b.models {
+func (t *Tracker) All(now time.Time) map[core.ModelName]copies.Demand {
+	out := make(map[core.ModelName]copies.Demand, len(t.models))
+	for name, m := range t.models {
 		d, ok := m.demand(now, m.waiting)
 		if !ok {
-			delete(b.models, name)
+			delete(t.models, name)
 			continue
 		}
 		out[name] = d
--- a/core/tend/tracker.go
+++ b/core/tend/tracker.go
@@ -38,58 +38,58 @@
 // Tracker tracks the engines of an entry's data centre and their agents. The zero Tracker is
 // ready for use. It is not safe for concurrent use.
 type Tracker struct {
-	// since is when each engine was first seen without a response of an agent.
-	since map[netip.AddrPort]time.Time
+	// unresponsiveSince is when each engine was first seen without a response of an agent.
+	unresponsiveSince map[netip.AddrPort]time.Time
 	// agents are the engines that have an agent's record, as read at listed.
 	agents map[netip.AddrPort]bool
 	listed time.Time
-	// lacks is set if some engine had no agent at that time.
-	lacks bool
+	// anyWithoutAgent is set if some engine had no agent at that time.
+	anyWithoutAgent bool
 }
 
-// SetEngines records the engines that are listed. The function heard reports whether the
+// SetEngines records the engines that are listed. The function responded reports whether the
 // agent of an engine has ever responded to this entry.
-func (b *Tracker) SetEngines(now time.Time, engines []netip.AddrPort, heard func(netip.AddrPort) bool) {
-	old := b.since
-	b.since = make(map[netip.AddrPort]time.Time, len(engines))
+func (t *Tracker) SetEngines(now time.Time, engines []netip.AddrPort, responded func(netip.AddrPort) bool) {
+	old := t.unresponsiveSince
+	t.unresponsiveSince = make(map[netip.AddrPort]time.Time, len(engines))
 	for _, e := range engines {
-		if heard(e) {
+		if responded(e) {
 			continue
 		}
 		at, ok := old[e]
 		if !ok {
 			at = now
 		}
-		b.since[e] = at
+		t.unresponsiveSince[e] = at
 	}
 }
 
 // SetRecords records the engines that have an agent's record, as the store listed them at
 // the given time.
-func (b *Tracker) SetRecords(at time.Time, agents []netip.AddrPort) {
-	b.listed = at
-	b.agents = make(map[netip.AddrPort]bool, len(agents))
+func (t *Tracker) SetRecords(at time.Time, agents []netip.AddrPort) {
+	t.listed = at
+	t.agents = make(map[netip.AddrPort]bool, len(agents))
 	for _, a := range agents {
-		b.agents[a] = true
+		t.agents[a] = true
 	}
-	b.lacks = len(b.WithoutAgent(at)) > 0
+	t.anyWithoutAgent = len(t.WithoutAgent(at)) > 0
 }
 
 // AnyWithoutAgent reports whether some engine had no agent when the records were last read.
-func (b *Tracker) AnyWithoutAgent() bool { return b.lacks }
+func (t *Tracker) AnyWithoutAgent() bool { return t.anyWithoutAgent }
 
 // MustReadRecords reports whether the agents' records have to be read now. If holds is set,
 // this entry is the holder.
-func (b *Tracker) MustReadRecords(now time.Time, holds bool) bool {
+func (t *Tracker) MustReadRecords(now time.Time, holds bool) bool {
 	interval := otherListInterval
 	if holds {
 		interval = listInterval
 	}
-	if now.Sub(b.listed) < interval {
+	if now.Sub(t.listed) < interval {
 		return false
 	}
-	for e, at := range b.since {
-		if now.Sub(at) >= agentStartGrace && !b.agents[e] {
+	for e, at := range t.unresponsiveSince {
+		if now.Sub(at) >= agentStartGrace && !t.agents[e] {
 			return true
 		}
 	}
@@ -97,13 +97,13 @@
 }
 
 // WithoutAgent returns the engines that have no agent, sorted by address.
-func (b *Tracker) WithoutAgent(now time.Time) []netip.AddrPort {
-	if now.Sub(b.listed) > listTTL {
+func (t *Tracker) WithoutAgent(now time.Time) []netip.AddrPort {
+	if now.Sub(t.listed) > listTTL {
 		return nil
 	}
 	var out []netip.AddrPort
-	for e, at := range b.since {
-		if b.listed.Sub(at) >= agentStartGrace && !b.agents[e] {
+	for e, at := range t.unresponsiveSince {
+		if t.listed.Sub(at) >= agentStartGrace && !t.agents[e] {
 			out = append(out, e)
 		}
 	}
--- a/core/tend/tracker_test.go
+++ b/core/tend/tracker_test.go
@@ -25,7 +25,7 @@
 	b.SetEngines(at(d), engines, silent)
 }
 
-func wantAlone(t *testing.T, b *tend.Tracker, d time.Duration, want ...netip.AddrPort) {
+func wantWithoutAgent(t *testing.T, b *tend.Tracker, d time.Duration, want ...netip.AddrPort) {
 	t.Helper()
 	got := b.WithoutAgent(at(d))
 	assert.Assert(t, slices.Equal(got, want), "%v", got)
@@ -36,12 +36,12 @@
 	see(&b, 0, first, second)
 	t.Run("its agent may still be starting", func(t *testing.T) {
 		assert.Assert(t, !b.MustReadRecords(at(2*time.Second), false))
-		wantAlone(t, &b, 2*time.Second)
+		wantWithoutAgent(t, &b, 2*time.Second)
 	})
 	t.Run("after that its record is read", func(t *testing.T) {
 		assert.Assert(t, b.MustReadRecords(at(3*time.Second), false))
 		b.SetRecords(at(3*time.Second), []netip.AddrPort{second})
-		wantAlone(t, &b, 3*time.Second, first)
+		wantWithoutAgent(t, &b, 3*time.Second, first)
 	})
 	t.Run("and again while it has no agent", func(t *testing.T) {
 		assert.Assert(t, b.AnyWithoutAgent())
@@ -49,12 +49,12 @@
 		assert.Assert(t, !b.MustReadRecords(at(4*time.Second), true))
 		assert.Assert(t, b.MustReadRecords(at(5*time.Second), true))
 	})
-	t.Run("an old read is not used", func(t *testing.T) { wantAlone(t, &b, 8*time.Second) })
+	t.Run("an old read is not used", func(t *testing.T) { wantWithoutAgent(t, &b, 8*time.Second) })
 	t.Run("a read is not used if the engine was not listed long enough before it", func(t *testing.T) {
 		var b tend.Tracker
 		b.SetRecords(at(0), nil)
 		see(&b, time.Second, first)
-		wantAlone(t, &b, 3*time.Second)
+		wantWithoutAgent(t, &b, 3*time.Second)
 	})
 }
 
@@ -66,7 +66,7 @@
 	see(&b, 0, first)
 	for d := 3 * time.Second; d < time.Minute; d += 2 * time.Second {
 		b.SetRecords(at(d), []netip.AddrPort{first})
-		wantAlone(t, &b, d)
+		wantWithoutAgent(t, &b, d)
 	}
 	assert.Assert(t, !b.MustReadRecords(at(time.Minute), true), "its record is known")
 }
@@ -78,15 +78,15 @@
 	var b tend.Tracker
 	see(&b, 0, first)
 	b.SetRecords(at(10*time.Second), nil)
-	wantAlone(t, &b, 10*time.Second, first)
+	wantWithoutAgent(t, &b, 10*time.Second, first)
 	b.SetRecords(at(12*time.Second), []netip.AddrPort{first})
-	wantAlone(t, &b, 12*time.Second)
+	wantWithoutAgent(t, &b, 12*time.Second)
 	// Without another read, the last order is sent within four seconds of the last read.
 	assert.Assert(t, tend.AgentWait-4*time.Second > 3*time.Second)
 	assert.Assert(t, tend.LeaseMargin > 3*time.Second)
 }
 
-func TestHeardAgent(t *testing.T) {
+func TestRespondingAgent(t *testing.T) {
 	var b tend.Tracker
 	see(&b, 0, first)
 	b.SetEngines(at(time.Second), []netip.AddrPort{first}, func(netip.AddrPort) bool { return true })
