--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
 	"radishwell/core/dedupe"
+	"radishwell/core/eventq"
 )
 
 // world is a small model of entries, agents and the platform with fake time.
@@ -17,7 +17,7 @@
 type world struct {
 	rng    *rand.Rand
 	now    time.Time
-	queue  agenda.Queue[func()]
+	queue  eventq.Queue[func()]
 	broken variant
 	// chance is the probability of each fault at each step.
 	chance float64
--- a/core/agenda/agenda.go
+++ b/core/eventq/queue.go
@@ -1,7 +1,7 @@
-// Package agenda is an event queue for replays and simulations. It returns the earliest
+// Package eventq is an event queue for replays and simulations. It returns the earliest
 // event first, and events with the same time in the order in which they were added, so that
 // every run is the same.
-package agenda
+package eventq
 
 import (
 	"container/heap"
--- a/core/agenda/agenda_test.go
+++ b/core/eventq/queue_test.go
@@ -1,4 +1,4 @@
-package agenda_test
+package eventq_test
 
 import (
 	"testing"
@@ -6,11 +6,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 )
 
 func TestOrder(t *testing.T) {
-	var a agenda.Queue[string]
+	var a eventq.Queue[string]
 	at := time.Unix(100, 0)
 	a.Push(at.Add(2), "third")
 	a.Push(at, "first")
--- a/core/tend/doc.go
+++ b/core/orphan/doc.go
@@ -1,4 +1,4 @@
-// Package tend decides which upstream hosts an entry orders itself because they have no
+// Package orphan decides which upstream hosts an entry orders itself because they have no
 // agent.
 //
 // An engine has one holder, which sends its orders. If the engine has an agent, alive or
@@ -6,4 +6,4 @@
 // before its first order, and no entry orders an engine with such a record, however long
 // the agent is silent. An agent that starts later finds that an entry was the holder, and
 // waits until that entry has certainly stopped.
-package tend
+package orphan
--- a/core/tend/tracker.go
+++ b/core/orphan/tracker.go
@@ -1,4 +1,4 @@
-package tend
+package orphan
 
 import (
 	"net/netip"
--- a/core/tend/tracker_test.go
+++ b/core/orphan/tracker_test.go
@@ -1,4 +1,4 @@
-package tend_test
+package orphan_test
 
 import (
 	"net/netip"
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"radishwell/core/tend"
+	"radishwell/core/orphan"
 )
 
 var (
@@ -21,18 +21,18 @@
 
 func silent(netip.AddrPort) bool { return false }
 
-func see(b *tend.Tracker, d time.Duration, engines ...netip.AddrPort) {
+func see(b *orphan.Tracker, d time.Duration, engines ...netip.AddrPort) {
 	b.SetEngines(at(d), engines, silent)
 }
 
-func wantWithoutAgent(t *testing.T, b *tend.Tracker, d time.Duration, want ...netip.AddrPort) {
+func wantWithoutAgent(t *testing.T, b *orphan.Tracker, d time.Duration, want ...netip.AddrPort) {
 	t.Helper()
 	got := b.WithoutAgent(at(d))
 	assert.Assert(t, slices.Equal(got, want), "%v", got)
 }
 
 func TestEngineWithoutAgent(t *testing.T) {
-	var b tend.Tracker
+	var b orphan.Tracker
 	see(&b, 0, first, second)
 	t.Run("its agent may still be starting", func(t *testing.T) {
 		assert.Assert(t, !b.MustReadRecords(at(2*time.Second), false))
@@ -51,7 +51,7 @@
 	})
 	t.Run("an old read is not used", func(t *testing.T) { wantWithoutAgent(t, &b, 8*time.Second) })
 	t.Run("a read is not used if the engine was not listed long enough before it", func(t *testing.T) {
-		var b tend.Tracker
+		var b orphan.Tracker
 		b.SetRecords(at(0), nil)
 		see(&b, time.Second, first)
 		wantWithoutAgent(t, &b, 3*time.Second)
@@ -62,7 +62,7 @@
 // and stay down for long while their engines live. The entries have restarted too and have
 // never had a response of the agents, but must not order their engines.
 func TestEngineOfDeadAgentIsLeftAlone(t *testing.T) {
-	var b tend.Tracker
+	var b orphan.Tracker
 	see(&b, 0, first)
 	for d := 3 * time.Second; d < time.Minute; d += 2 * time.Second {
 		b.SetRecords(at(d), []netip.AddrPort{first})
@@ -75,19 +75,19 @@
 // entry orders. The agent writes its record and waits. By the end of the wait the entry
 // must have stopped, whatever fails on its way to the store.
 func TestAgentThatAppearsWaitsLongEnough(t *testing.T) {
-	var b tend.Tracker
+	var b orphan.Tracker
 	see(&b, 0, first)
 	b.SetRecords(at(10*time.Second), nil)
 	wantWithoutAgent(t, &b, 10*time.Second, first)
 	b.SetRecords(at(12*time.Second), []netip.AddrPort{first})
 	wantWithoutAgent(t, &b, 12*time.Second)
 	// Without another read, the last order is sent within four seconds of the last read.
-	assert.Assert(t, tend.AgentWait-4*time.Second > 3*time.Second)
-	assert.Assert(t, tend.LeaseMargin > 3*time.Second)
+	assert.Assert(t, orphan.AgentWait-4*time.Second > 3*time.Second)
+	assert.Assert(t, orphan.LeaseMargin > 3*time.Second)
 }
 
 func TestRespondingAgent(t *testing.T) {
-	var b tend.Tracker
+	var b orphan.Tracker
 	see(&b, 0, first)
 	b.SetEngines(at(time.Second), []netip.AddrPort{first}, func(netip.AddrPort) bool { return true })
 	assert.Assert(t, !b.MustReadRecords(at(10*time.Second), true))
--- a/core/replay/play.go
+++ b/core/replay/play.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 	"radishwell/core/warm"
 )
 
@@ -91,7 +91,7 @@
 	trace  Trace
 	keeper Keeper
 	items  map[core.ModelName]*held
-	ahead  agenda.Queue[event]
+	ahead  eventq.Queue[event]
 	result Result
 	waits  []time.Duration
 	opens  []time.Duration
--- a/core/retry/play_test.go
+++ b/core/retry/play_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 	"radishwell/core/retry"
 )
 
@@ -78,7 +78,7 @@
 	up    *upstream
 	by    decider
 	rng   *rand.Rand
-	steps agenda.Queue[func(now time.Time)]
+	steps eventq.Queue[func(now time.Time)]
 	sum   sum
 }
 
--- a/core/route/play_test.go
+++ b/core/route/play_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 	"radishwell/core/route"
 )
 
@@ -128,7 +128,7 @@
 type play struct {
 	hosts   []*host
 	entries []*entry
-	events  agenda.Queue[func(now time.Time)]
+	events  eventq.Queue[func(now time.Time)]
 	// waits are the times to the whole answer, in the order of the answers; short
 	// those of the requests of 100 ms.
 	waits, short []time.Duration
--- a/core/slots/play_test.go
+++ b/core/slots/play_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 )
 
 var start = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
@@ -45,7 +45,7 @@
 type play struct {
 	rng    *rand.Rand
 	now    time.Time
-	queue  agenda.Queue[func()]
+	queue  eventq.Queue[func()]
 	store  *store
 	pool   *Pool
 	locals []*Local
--- a/core/strike/play_test.go
+++ b/core/strike/play_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 )
 
 const poison core.Fingerprint = 1
@@ -22,7 +22,7 @@
 type fleet struct {
 	rng     *rand.Rand
 	now     time.Time
-	queue   agenda.Queue[func()]
+	queue   eventq.Queue[func()]
 	naive   bool    // no strikes at all
 	loss    float64 // of messages between processes
 	agents  []*upstream
--- a/io/deploy/agent.go
+++ b/io/deploy/agent.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"radishwell/core"
-	"radishwell/core/tend"
+	"radishwell/core/orphan"
 	"radishwell/io/driver"
 	"radishwell/io/events"
 	"radishwell/io/loop"
@@ -82,7 +82,7 @@
 	case err != nil:
 		return err
 	}
-	loop.Sleep(ctx, tend.AgentWait)
+	loop.Sleep(ctx, orphan.AgentWait)
 	return nil
 }
 
--- a/io/deploy/tend.go
+++ b/io/deploy/tend.go
@@ -15,7 +15,7 @@
 
 	"radishwell/core"
 	"radishwell/core/lease"
-	"radishwell/core/tend"
+	"radishwell/core/orphan"
 	"radishwell/io/driver"
 	"radishwell/io/events"
 	"radishwell/io/loop"
@@ -42,7 +42,7 @@
 	contends, leaving bool
 	held              map[netip.AddrPort]*tended
 	// book belongs to run.
-	book tend.Tracker
+	book orphan.Tracker
 }
 
 // tended is an engine that this entry orders.
@@ -72,7 +72,7 @@
 		entry: e, held: map[netip.AddrPort]*tended{},
 		lease: lease.Lease{
 			Host: s.Name, Incarnation: core.Incarnation(time.Now().UnixNano()), Kind: core.KindOrders, Name: string(s.DataCentre),
-			Term: tend.LeaseTerm, Margin: tend.LeaseMargin,
+			Term: orphan.LeaseTerm, Margin: orphan.LeaseMargin,
 			// Nothing deletes the object, so where there is none nobody has held it.
 			Blank: true,
 		},
