--- a/core/rtable/table.go
+++ b/core/rtable/table.go
@@ -99,7 +99,7 @@
 	// Models are the models that the service's hosts can hold. It is empty for a plain
 	// service.
 	Models map[core.ModelName]Model
-	// Memory is a host's memory for weights and adapters together, and AdapterPlaces is the
+	// Memory is a host's memory for weights and adapters together, and AdapterSlots is the
 	// maximum number of adapters that it holds.
 	Memory       core.Bytes
 	AdapterSlots int
