--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
 	"radishwell/core/dedupe"
+	"radishwell/core/eventq"
 )
 
 // world simulates entries, agents and the platform with a fake clock. Faults
@@ -16,7 +16,7 @@
 type world struct {
 	rng    *rand.Rand
 	now    time.Time
-	queue  agenda.Agenda[func()]
+	queue  eventq.Queue[func()]
 	broken disabledGuards
 	// faultRate is the probability of a fault at each step.
 	faultRate float64
@@ -139,7 +139,7 @@
 }
 
 func (w *world) after(d time.Duration, do func()) {
-	w.queue.Put(w.now.Add(d), do)
+	w.queue.Push(w.now.Add(d), do)
 }
 
 // at calls do at a node after d, or when the node's pause ends. It calls lost
@@ -183,9 +183,9 @@
 }
 
 func (w *world) runUntil(end time.Time) {
-	for next, ok := w.queue.Next(); ok && !next.After(end); next, ok = w.queue.Next() {
+	for next, ok := w.queue.NextTime(); ok && !next.After(end); next, ok = w.queue.NextTime() {
 		var do func()
-		w.now, do = w.queue.Take()
+		w.now, do = w.queue.Pop()
 		do()
 	}
 	w.now = end
--- a/core/agenda/agenda_test.go
+++ b/core/eventq/queue_test.go
@@ -1,4 +1,4 @@
-package agenda_test
+package eventq_test
 
 import (
 	"testing"
@@ -6,21 +6,21 @@
 
 	"gotest.tools/v3/assert"
 
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 )
 
 func TestOrder(t *testing.T) {
-	var a agenda.Agenda[string]
+	var a eventq.Queue[string]
 	at := time.Unix(100, 0)
-	a.Put(at.Add(2), "third")
-	a.Put(at, "first")
-	a.Put(at, "second")
-	next, ok := a.Next()
+	a.Push(at.Add(2), "third")
+	a.Push(at, "first")
+	a.Push(at, "second")
+	next, ok := a.NextTime()
 	assert.Assert(t, ok && next.Equal(at))
 	for _, want := range []string{"first", "second", "third"} {
-		_, got := a.Take()
+		_, got := a.Pop()
 		assert.Equal(t, got, want)
 	}
-	_, ok = a.Next()
+	_, ok = a.NextTime()
 	assert.Assert(t, !ok)
 }
--- a/core/replay/policy.go
+++ b/core/replay/policy.go
@@ -42,7 +42,7 @@
 // NewLearned returns the policy of core/warm for the items of a trace. The worth
 // of a second of waiting is warm.DefaultWorth multiplied by scale.
 func NewLearned(t Trace, scale float64) *Learned {
-	l := &Learned{Policy: &warm.Policy{Worth: warm.DefaultWorth.Times(scale)}}
+	l := &Learned{Policy: &warm.Policy{Worth: warm.DefaultWorth.Scale(scale)}}
 	for _, i := range t.Items {
 		l.Policy.Set(warm.Item{Name: i.Name, Class: i.Class, Accelerators: i.Accelerators})
 	}
@@ -58,7 +58,7 @@
 func (l *Learned) End(now time.Time, name core.ModelName) { l.Policy.End(now, name) }
 
 // Loaded implements Policy.
-func (l *Learned) Loaded(name core.ModelName, took time.Duration) { l.Policy.Loaded(name, took) }
+func (l *Learned) Loaded(name core.ModelName, took time.Duration) { l.Policy.NoteLoad(name, took) }
 
 // KeepUntil implements Policy.
 func (l *Learned) KeepUntil(now time.Time, name core.ModelName) time.Time {
@@ -93,7 +93,7 @@
 // NewOptimal returns the optimal policy for a trace. The worth of a second of
 // waiting is warm.DefaultWorth multiplied by scale.
 func NewOptimal(t Trace, scale float64) *Optimal {
-	f := &Optimal{worth: warm.DefaultWorth.Times(scale), items: map[core.ModelName]Item{}, uses: map[core.ModelName][]use{}}
+	f := &Optimal{worth: warm.DefaultWorth.Scale(scale), items: map[core.ModelName]Item{}, uses: map[core.ModelName][]use{}}
 	for _, i := range t.Items {
 		f.items[i.Name] = i
 	}
--- a/core/replay/simulate.go
+++ b/core/replay/simulate.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 	"radishwell/core/warm"
 )
 
@@ -101,7 +101,7 @@
 	trace       Trace
 	policy      Policy
 	items       map[core.ModelName]*itemState
-	events      agenda.Agenda[event]
+	events      eventq.Queue[event]
 	result      Result
 	waits       []time.Duration
 	openerWaits []time.Duration
@@ -131,13 +131,13 @@
 }
 
 func (s *simulator) schedule(at time.Time, kind eventKind, name core.ModelName) {
-	s.events.Put(at, event{kind: kind, name: name})
+	s.events.Push(at, event{kind: kind, name: name})
 }
 
 // advance processes the events up to a time.
 func (s *simulator) advance(now time.Time) {
-	for next, ok := s.events.Next(); ok && !next.After(now); next, ok = s.events.Next() {
-		at, e := s.events.Take()
+	for next, ok := s.events.NextTime(); ok && !next.After(now); next, ok = s.events.NextTime() {
+		at, e := s.events.Pop()
 		it := s.items[e.name]
 		switch {
 		case e.kind == useEnd:
--- a/core/retry/sim_test.go
+++ b/core/retry/sim_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 	"radishwell/core/retry"
 )
 
@@ -81,7 +81,7 @@
 	upstream *upstreamModel
 	policy   policy
 	rng      *rand.Rand
-	events   agenda.Agenda[func(now time.Time)]
+	events   eventq.Queue[func(now time.Time)]
 	totals   totals
 }
 
@@ -94,14 +94,14 @@
 		c.Attempts = nil
 		c.Request.ID = core.RequestID(fmt.Sprint(at))
 		c.Request.Arrived, c.Request.Deadline = at, at.Add(time.Second)
-		p.events.Put(at, func(now time.Time) {
+		p.events.Push(at, func(now time.Time) {
 			p.totals.sent++
 			p.policy.first("qalam")
 			p.try(now, c, p.rng.IntN(upstream.hosts))
 		})
 	}
 	for p.events.Len() > 0 {
-		now, do := p.events.Take()
+		now, do := p.events.Pop()
 		do(now)
 	}
 	return p.totals
@@ -110,7 +110,7 @@
 func (p *simulation) try(now time.Time, c retry.Case, host int) {
 	p.totals.attempts++
 	end, ref := p.upstream.attempt(now, host, p.rng)
-	p.events.Put(end, func(now time.Time) {
+	p.events.Push(end, func(now time.Time) {
 		if ref == nil {
 			p.answer(now, c)
 			return
@@ -137,7 +137,7 @@
 	case retry.RetryNow:
 		p.try(now, c, host)
 	case retry.RetryLater:
-		p.events.Put(d.At, func(now time.Time) { p.try(now, c, host) })
+		p.events.Push(d.At, func(now time.Time) { p.try(now, c, host) })
 	}
 }
 
--- a/core/route/sim_test.go
+++ b/core/route/sim_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 	"radishwell/core/route"
 )
 
@@ -132,7 +132,7 @@
 type simulation struct {
 	hosts   []*simHost
 	entries []*simEntry
-	events  agenda.Agenda[func(now time.Time)]
+	events  eventq.Queue[func(now time.Time)]
 	// waits are the times from arrival to the end of the answer, in the order
 	// of the answers; short are those of the requests of 100 ms.
 	waits, short []time.Duration
@@ -167,12 +167,12 @@
 func newLeastReported(int) router { return leastReported{} }
 
 func (p *simulation) schedule(t time.Time, do func(now time.Time)) {
-	p.events.Put(t, do)
+	p.events.Push(t, do)
 }
 
 func (p *simulation) run() {
 	for p.events.Len() > 0 {
-		now, do := p.events.Take()
+		now, do := p.events.Pop()
 		do(now)
 	}
 }
--- a/core/slots/sim_test.go
+++ b/core/slots/sim_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"radishwell/core"
-	"radishwell/core/agenda"
+	"radishwell/core/eventq"
 )
 
 var start = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
@@ -46,7 +46,7 @@
 type simulation struct {
 	rng      *rand.Rand
 	now      time.Time
-	events   agenda.Agenda[func()]
+	events   eventq.Queue[func()]
 	store    *simStore
 	pool     *Pool
 	locals   []*Local
@@ -75,14 +75,14 @@
 }
 
 func (p *simulation) schedule(d time.Duration, do func()) {
-	p.events.Put(p.now.Add(max(0, d)), do)
+	p.events.Push(p.now.Add(max(0, d)), do)
 }
 
 func (p *simulation) run(d time.Duration) {
 	end := p.now.Add(d)
-	for next, ok := p.events.Next(); ok && !next.After(end); next, ok = p.events.Next() {
+	for next, ok := p.events.NextTime(); ok && !next.After(end); next, ok = p.events.NextTime() {
 		var do func()
-		p.now, do = p.events.Take()
+		p.now, do = p.events.Pop()
 		do()
 	}
 	p.now = end
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -77,14 +77,14 @@
 	if err != nil {
 		if ctx.Err() == nil {
 			events.Fail(events.PeerUnreachable, err, "address", r.member.Control)
-			f.chooser.Failed(now, r.member.Name)
+			f.chooser.NoteFailure(now, r.member.Name)
 			r.add(told)
 			r.seen = 0
 			f.pokeChoose()
 		}
 		return false
 	}
-	f.chooser.Heard(now, r.member.Name)
+	f.chooser.NoteResponse(now, r.member.Name)
 	f.take(now, r, in, reply)
 	return true
 }
@@ -120,7 +120,7 @@
 // usesOut returns the use of the hosts that a relay told of. The caller holds mu.
 func (f *Feed) usesOut(now time.Time, r *relay) []*wire.HostUse {
 	var out []*wire.HostUse
-	for _, h := range f.table.Of(r.member.Name) {
+	for _, h := range f.table.HostsFrom(r.member.Name) {
 		active, used := f.active(now, h, false), r.used[h]
 		if len(active) == 0 && len(used) == 0 {
 			continue
@@ -179,7 +179,7 @@
 	}
 	f.Proxy.Update(func(v *fleet.View, _ time.Time) {
 		if f.choice.Scope == follow.None {
-			v.Heard(now)
+			v.NoteRelayReport(now)
 		}
 		for i := range fresh {
 			Apply(v, &fresh[i])
@@ -248,9 +248,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		f.chooser.Failed(f.Clock.Now(), m.Name)
+		f.chooser.NoteFailure(f.Clock.Now(), m.Name)
 		return
 	}
-	f.chooser.Heard(f.Clock.Now(), m.Name)
+	f.chooser.NoteResponse(f.Clock.Now(), m.Name)
 	f.pokeChoose()
 }
--- a/io/proxy/answer.go
+++ b/io/proxy/answer.go
@@ -69,11 +69,11 @@
 	}
 	c.ran++
 	if err := c.check(resp, head); err != nil {
-		c.recordEnd(t, (*fleet.Host).Failed)
+		c.recordEnd(t, (*fleet.Host).NoteFailure)
 		return outcome{sent: true, cause: err}
 	}
 	if c.keepFailure(resp) {
-		c.recordEnd(t, (*fleet.Host).Failed)
+		c.recordEnd(t, (*fleet.Host).NoteFailure)
 		return outcome{sent: true, cause: &FailedError{Status: resp.StatusCode}}
 	}
 	resumed := c.started
@@ -92,10 +92,10 @@
 	}
 	c.recordEnd(t, func(h *fleet.Host, now time.Time) {
 		if resp.StatusCode >= http.StatusInternalServerError {
-			h.Failed(now)
+			h.NoteFailure(now)
 		}
 		if isStream && c.query.Model != "" && !resumed {
-			c.proxy.demand.Made(c.query.Model, c.ask.Answer, c.lastEvent.Sub(c.firstEvent))
+			c.proxy.demand.NoteStream(c.query.Model, c.ask.Answer, c.lastEvent.Sub(c.firstEvent))
 		}
 	})
 	return outcome{done: true}
@@ -119,7 +119,7 @@
 	switch {
 	case c.failure != nil:
 		return c.deadline.Add(-failureMargin)
-	case c.route.Kind == rtable.Repeatable && c.ran+1 < c.route.MostHosts:
+	case c.route.Kind == rtable.Repeatable && c.ran+1 < c.route.MaxHosts:
 		now := c.proxy.Clock.Now()
 		return now.Add(c.deadline.Sub(now) / 2)
 	}
@@ -146,7 +146,7 @@
 // keepFailure reports whether an answer is a failure after which another host is tried.
 // It keeps the failure if it could be read.
 func (c *call) keepFailure(resp *http.Response) bool {
-	if c.route.Kind != rtable.Repeatable || resp.StatusCode < http.StatusInternalServerError || c.ran >= c.route.MostHosts {
+	if c.route.Kind != rtable.Repeatable || resp.StatusCode < http.StatusInternalServerError || c.ran >= c.route.MaxHosts {
 		return false
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
@@ -187,28 +187,28 @@
 	switch {
 	case ctx.Err() != nil && c.request.Context().Err() != nil:
 	case !sent:
-		h.Unreached(now)
+		h.NoteConnectFailure(now)
 	default:
-		h.Failed(now)
+		h.NoteFailure(now)
 	}
 }
 
 // recordRejection records that a host rejected the request.
 func (c *call) recordRejection(h *fleet.Host, now time.Time, status int) {
 	if status == http.StatusMisdirectedRequest && c.query.Model != "" {
-		h.Lacks(now, c.query.Model)
+		h.NoteMissing(now, c.query.Model)
 		return
 	}
-	h.Failed(now)
+	h.NoteFailure(now)
 }
 
 // recordEnd records that an attempt has ended, and calls note for its result.
 func (c *call) recordEnd(t *target, note func(*fleet.Host, time.Time)) {
 	c.proxy.Update(func(_ *fleet.View, now time.Time) {
 		if !t.started {
-			t.host.Begun(t.unread)
+			t.host.NoteAnswerStart(t.unread)
 		}
-		t.host.Ended(c.query.Model)
+		t.host.NoteEnd(c.query.Model)
 		note(t.host, now)
 	})
 }
--- a/io/proxy/call.go
+++ b/io/proxy/call.go
@@ -213,7 +213,7 @@
 	now := p.Clock.Now()
 	p.window(c.service.Name).RecordFirst(now)
 	if c.query.Model != "" {
-		p.demand.Asked(now, c.query.Model, c.route.Target, &c.ask, c.service)
+		p.demand.NoteRequest(now, c.query.Model, c.route.Target, &c.ask, c.service)
 	}
 }
 
@@ -242,7 +242,7 @@
 }
 
 // mayRepeat reports whether a request that may have run may be sent to one more host.
-func (c *call) mayRepeat() bool { return c.route.Repeats() && c.ran < c.route.MostHosts }
+func (c *call) mayRepeat() bool { return c.route.Repeats() && c.ran < c.route.MaxHosts }
 
 // expired returns the refusal of a request whose deadline has passed or whose caller
 // has left.
--- a/io/proxy/customer.go
+++ b/io/proxy/customer.go
@@ -24,7 +24,7 @@
 		return nil
 	}
 	if c.ask.KeyRefusal == nil {
-		c.customer = t.Holder(c.ask.Key)
+		c.customer = t.KeyHolder(c.ask.Key)
 	}
 	switch {
 	case c.customer != nil || c.route.Open:
--- a/io/proxy/proxy.go
+++ b/io/proxy/proxy.go
@@ -32,10 +32,10 @@
 	Pacer core.Pacer
 	// OnRateLimit, if set, is called for each answer in which an upstream names a rate
 	// limit, and once when the upstream no longer names one.
-	OnRateLimit func(life fleet.Life, limit core.RateLimit)
+	OnRateLimit func(life fleet.Incarnation, limit core.RateLimit)
 	// OnLeaving, if set, is called once an upstream states in an answer that it is
 	// leaving.
-	OnLeaving func(life fleet.Life)
+	OnLeaving func(life fleet.Incarnation)
 	// Behind, if set, reports whether the routing table in force may be outdated.
 	Behind func() bool
 	// RetryRatio, RetrySpare and RetrySpan are this process's share of the platform's
@@ -49,7 +49,7 @@
 	view      fleet.View
 	keeper    rtable.Keeper
 	retries   map[core.ServiceName]*retry.Window
-	demand    demand.Book
+	demand    demand.Tracker
 	forecasts map[core.ModelName]time.Time
 	// changed is closed and replaced at each change that may matter to waiting
 	// requests.
@@ -177,7 +177,7 @@
 func (p *Proxy) TakeArrivals() map[core.ModelName]demand.Arrivals {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.demand.Take()
+	return p.demand.TakeArrivals()
 }
 
 // WaitingFor returns the number of requests that wait for each model.
--- a/io/proxy/reserve.go
+++ b/io/proxy/reserve.go
@@ -15,7 +15,7 @@
 // will have the model sooner.
 func (c *call) keepsWaiting(choice fleet.Choice) bool {
 	switch {
-	case choice.Paced <= admit.MaxAhead:
+	case choice.RateLimitDelay <= admit.MaxAhead:
 		return false
 	case c.started || c.ran > 0 || !choice.Overloaded(c.route.Target):
 		return true
--- a/io/proxy/signal.go
+++ b/io/proxy/signal.go
@@ -69,7 +69,7 @@
 	if head.ID != c.ask.ID {
 		return // the answer belongs to another request
 	}
-	p, life := c.proxy, fleet.Life{ID: t.id, Born: t.born}
+	p, life := c.proxy, fleet.Incarnation{ID: t.id, Born: t.born}
 	for _, name := range p.newFields(head.UnknownFields) {
 		events.Log(events.UpstreamFieldUnknown, "field", name, "host", t.id, "address", t.address, "request", c.ask.ID)
 	}
--- a/io/proxy/silent.go
+++ b/io/proxy/silent.go
@@ -84,7 +84,7 @@
 
 // mayMove reports whether the request may be sent to another host after the attempt
 // that begins now.
-func (c *call) mayMove() bool { return c.route.Repeats() && c.ran+1 < c.route.MostHosts }
+func (c *call) mayMove() bool { return c.route.Repeats() && c.ran+1 < c.route.MaxHosts }
 
 // Run moves streams away from silent hosts until the context ends.
 func (p *Proxy) Run(ctx context.Context) error {
@@ -115,7 +115,7 @@
 	now := p.Clock.Now()
 	for w := range p.streams {
 		silent := now.Sub(time.Unix(0, w.lastEvent.Load())) >= w.timeout
-		if !silent || !w.host.Silent(p.view.Known(now)) {
+		if !silent || !w.host.Silent(p.view.ReferenceTime(now)) {
 			continue
 		}
 		if !w.canMove(now, p.view.Pick(now, &w.query)) {
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -85,7 +85,7 @@
 	p.mu.Lock()
 	now := p.Clock.Now()
 	_, backoff := t.host.BackingOff(now)
-	ok := t.host.Runs(now) && !t.host.IsLeaving(now) && !backoff
+	ok := t.host.IsAvailable(now) && !t.host.IsLeaving(now) && !backoff
 	p.mu.Unlock()
 	if !ok {
 		c.abandon(t)
@@ -101,7 +101,7 @@
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
 	choice := p.view.Pick(now, &c.query)
-	if c.failure != nil && (choice.Host == nil || choice.Paced > admit.MaxAhead) {
+	if c.failure != nil && (choice.Host == nil || choice.RateLimitDelay > admit.MaxAhead) {
 		return nil, false, nil, c.lost() // the kept failure is written instead
 	}
 	if choice.Host == nil {
@@ -119,10 +119,10 @@
 		return nil, false, nil, c.giveUp()
 	}
 	h := choice.Host
-	t = &target{id: h.ID, born: h.Born, address: h.Address, host: h, unread: h.Unread(now, &c.query), limit: h.Limit(now)}
-	h.Sent(now, &c.query)
+	t = &target{id: h.ID, born: h.Born, address: h.Address, host: h, unread: h.PrefillTokens(now, &c.query), limit: h.Limit(now)}
+	h.NoteSent(now, &c.query)
 	if c.query.Model != "" {
-		p.view.Read(t.unread)
+		p.view.NotePrompt(t.unread)
 	}
 	return t, choice.Fetch, nil, nil
 }
@@ -139,10 +139,10 @@
 // refuseOverload refuses a request if its hosts have more work than they can do in
 // time. It never refuses a request that a host may have run in part.
 func (c *call) refuseOverload(choice fleet.Choice) *core.Refusal {
-	if c.query.Model == "" && choice.Paced == 0 || c.started || c.ran > 0 || !choice.Overloaded(c.route.Target) {
+	if c.query.Model == "" && choice.RateLimitDelay == 0 || c.started || c.ran > 0 || !choice.Overloaded(c.route.Target) {
 		return nil
 	}
-	if choice.Paced > 0 {
+	if choice.RateLimitDelay > 0 {
 		return core.RefuseUntil(core.CodeOverload, "the hosts take no more requests a second", c.retryAt(choice.Wait))
 	}
 	return core.RefuseUntil(core.CodeOverload, "the model's hosts have more work than they can do in time", c.retryAt(choice.Wait))
@@ -159,7 +159,7 @@
 	at, ok := c.proxy.forecasts[c.query.Model]
 	if retry := choice.RetryAt; !retry.IsZero() && (!ok || retry.Before(at)) {
 		at, ok = retry, true
-		if c.ran == 0 && choice.BacksOff(now, c.route.Target) {
+		if c.ran == 0 && choice.AllBackingOff(now, c.route.Target) {
 			return core.RefuseUntil(core.CodeOverload, "the hosts want no requests for now", c.retryAt(at.Sub(now)))
 		}
 	}
@@ -188,8 +188,8 @@
 	if last.IsZero() {
 		last = c.arrived
 	}
-	by := last.Add(c.route.Silence)
-	if c.route.Silence == 0 || c.deadline.Before(by) {
+	by := last.Add(c.route.SilenceTimeout)
+	if c.route.SilenceTimeout == 0 || c.deadline.Before(by) {
 		return c.deadline
 	}
 	return by
@@ -240,7 +240,7 @@
 	if c.query.Model == "" {
 		return
 	}
-	p.demand.Wait(c.query.Model, change)
+	p.demand.AddWaiting(c.query.Model, change)
 	if change > 0 {
 		p.Kick()
 	}
@@ -250,7 +250,7 @@
 func (c *call) abandon(t *target) {
 	c.release(t)
 	c.proxy.Update(func(*fleet.View, time.Time) {
-		t.host.Begun(t.unread)
-		t.host.Ended(c.query.Model)
+		t.host.NoteAnswerStart(t.unread)
+		t.host.NoteEnd(c.query.Model)
 	})
 }
