--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -22,23 +22,26 @@
 )
 
 const (
-	// maxRecords bounds the requests remembered for attaching and sealing.
+	// maxRecords bounds the requests kept in the dedupe table, which serves
+	// readers that reattach and entries that seal an attempt.
 	maxRecords = 200_000
-	// maxStrikes bounds the strikes known.
+	// maxStrikes bounds the strike records kept.
 	maxStrikes = 10_000
-	// defaultConcurrency is how many requests of one model run at once where
-	// the catalogue sets no limit: engines batch about that many.
+	// defaultConcurrency is the number of requests of one model that run at once
+	// if the catalogue sets no limit. Engines batch about that many.
 	defaultConcurrency = 64
 )
 
-// Agent is the agent role. Set the exported fields before Run.
+// Agent implements the agent role. The exported fields are set before Init and
+// not changed afterwards.
 type Agent struct {
-	// Host is the host's name, Service the service its upstream belongs to.
+	// Host is the name of the upstream host; Service is the service that its
+	// upstream belongs to.
 	Host    core.HostName
 	Service core.ServiceName
-	// Plain tells that the upstream is a plain service, which takes no orders.
+	// Plain is set if the upstream is a plain service, which takes no orders.
 	Plain bool
-	// Incarnation tells this process from its predecessors.
+	// Incarnation distinguishes this process from earlier ones of the same host.
 	Incarnation core.Incarnation
 	Engine      core.Engine
 	Clock       core.Clock
@@ -46,27 +49,29 @@
 	Tracer      *spans.Tracer
 	// Snapshot returns the catalogue in force.
 	Snapshot func() *catlog.Snapshot
-	// Grant tells how the platform's newest known word on this host and an item
-	// stands; ok is false where the word may be older than a release that a
-	// predecessor of this process made.
+	// Grant returns the newest known state of this host's grant for an item. It
+	// reports false for ok if that state may be older than a release that an
+	// earlier process of this host made.
 	Grant func(core.ModelName) (g core.GrantState, ok bool)
-	// Release takes this host out of an item's grant. The item is not on the
-	// host and cannot get there any more.
+	// Release removes this host from an item's grant. It is called only when the
+	// item is not on the host and cannot be loaded there any more.
 	Release func(ctx context.Context, name core.ModelName) error
-	// Revoked lists the items whose grant to this host was taken back.
+	// Revoked lists the items whose grant to this host has been revoked.
 	Revoked func() []core.ModelName
-	// Spread sends strikes to peers at once.
+	// Spread sends strikes to peers without waiting for the next exchange.
 	Spread func([]strike.Record)
-	// Slot asks the deciding entry for leave to read from the weight store. Store
-	// holds the store's limits, Agents counts the agents that share them.
+	// Slot asks the deciding entry for a slot, the permission to read from the
+	// weight store. Store holds the store's limits; Agents returns the number of
+	// agents that share them, 0 if it is not known.
 	Slot   func(context.Context, *wire.SlotCall) (*wire.SlotReply, error)
 	Store  Store
 	Agents func() int
-	// Worth is what a caller's second of waiting is worth.
+	// Worth weighs the time that callers wait against idle accelerator time.
 	Worth warm.Worth
 	// Rand is the source of jitter.
 	Rand *rand.Rand
-	// KeptAnswers bounds the memory for answers of keyed requests.
+	// KeptAnswers bounds the memory for answers of requests with an idempotency
+	// key.
 	KeptAnswers core.Bytes
 
 	mu     sync.Mutex
@@ -77,42 +82,46 @@
 	gate   strike.Gate
 	runs   map[dedupe.KeyID]*run
 	byID   map[core.RequestID]*run
-	// live are the runs that have not ended; byID has ended ones, too, for
-	// readers that come back.
+	// live holds the runs that have not ended. byID also holds ended runs, for
+	// readers that reconnect.
 	live  map[core.RequestID]*run
 	lanes map[string]*lane
-	// held are requests taken from the queue that wait for a trial.
-	held   []*run
-	inWork int
+	// trialWaiters are requests taken from the queue that may not start because
+	// of a trial: a request suspected of crashing engines runs alone.
+	trialWaiters []*run
+	// active counts the requests sent to the upstream that have not ended.
+	active int
 	state  core.EngineState
-	// reached tells that the upstream answered when it was last asked; crashed
-	// is the epoch of the engine that was last seen to die.
-	reached bool
-	crashed uint64
-	leaving bool
-	swept   time.Time
-	warm    warm.Policy
-	slots   map[core.ModelName]*slot
-	// ownModels and ownAdapters are this agent's shares of the store's limits
-	// while the decider does not answer.
-	ownModels   slots.Local
-	ownAdapters slots.Local
-	slotAlarm   chan struct{}
-	looked      time.Time
-	prewarmed   time.Time
-	// orders wakes the goroutine that drives the engine, alarm the one that
-	// waits for deadlines.
-	orders chan struct{}
-	alarm  chan struct{}
-	base   context.Context
-	work   sync.WaitGroup
-	ready  chan struct{}
-	once   sync.Once
+	// reachable reports whether the upstream answered the last call;
+	// crashedEpoch is the epoch of the engine at its last crash.
+	reachable    bool
+	crashedEpoch uint64
+	leaving      bool
+	lastSweep    time.Time
+	warm         warm.Policy
+	slots        map[core.ModelName]*slot
+	// localModels and localAdapters are this agent's shares of the store's
+	// limits, which it uses while the decider does not answer.
+	localModels   slots.Local
+	localAdapters slots.Local
+	lastReview    time.Time
+	lastPrewarm   time.Time
+	// driveWake wakes the goroutine that drives the engine, deadlineWake the one
+	// that watches deadlines, and slotWake the one that asks for slots.
+	driveWake    chan struct{}
+	deadlineWake chan struct{}
+	slotWake     chan struct{}
+	baseCtx      context.Context
+	background   sync.WaitGroup
+	ready        chan struct{}
+	readyOnce    sync.Once
 }
 
-// Init prepares the agent for requests; Run calls are made after it.
+// Init prepares the agent for requests. It is called once, before Run and before
+// the handler serves requests. Runs are not cancelled with ctx but keep its
+// values.
 func (a *Agent) Init(ctx context.Context) {
-	a.base = ctx
+	a.baseCtx = ctx
 	a.table = dedupe.Table{Incarnation: a.Incarnation, MaxBytes: a.KeptAnswers, MaxRecords: maxRecords}
 	a.queue = queue.Queue{Shared: !a.Plain}
 	a.book = strike.Book{Self: a.Host, MaxRecords: maxStrikes}
@@ -121,34 +130,35 @@
 	a.byID = map[core.RequestID]*run{}
 	a.live = map[core.RequestID]*run{}
 	a.lanes = map[string]*lane{}
-	a.orders = make(chan struct{}, 1)
-	a.alarm = make(chan struct{}, 1)
+	a.driveWake = make(chan struct{}, 1)
+	a.deadlineWake = make(chan struct{}, 1)
 	a.ready = make(chan struct{})
-	a.slotAlarm = make(chan struct{}, 1)
+	a.slotWake = make(chan struct{}, 1)
 	a.slots = map[core.ModelName]*slot{}
 	a.warm = warm.Policy{Worth: a.Worth}
-	a.ownModels = slots.Local{Rate: a.Store.Starts, Parallel: a.Store.Parallel, Random: a.Rand}
-	a.ownAdapters = slots.Local{Parallel: a.Store.Adapters, Random: a.Rand}
-	a.showGauges()
+	a.localModels = slots.Local{Rate: a.Store.Starts, Parallel: a.Store.Parallel, Random: a.Rand}
+	a.localAdapters = slots.Local{Parallel: a.Store.Adapters, Random: a.Rand}
+	a.registerGauges()
 }
 
-// Store holds the weight store's limits for the whole fleet.
+// Store holds the weight store's limits, which apply to the whole fleet.
 type Store struct {
-	// Starts is the loads of models it starts a second, Parallel the transfers at
-	// full speed, Adapters those of adapters.
+	// Starts is the number of model loads the store can start a second, Parallel
+	// the number of model transfers it serves at full speed at once, and Adapters
+	// that of adapter transfers.
 	Starts   float64
 	Parallel int
 	Adapters int
 }
 
-// Ready is closed once the upstream has been reached.
+// Ready returns a channel that is closed once the upstream has answered.
 func (a *Agent) Ready() <-chan struct{} { return a.ready }
 
-// Run drives the upstream until the context ends. It returns a FencedError if
-// another agent orders the same engine.
+// Run drives the upstream until ctx ends. It returns a FencedError if another
+// agent sends orders to the same engine.
 func (a *Agent) Run(ctx context.Context) error {
-	// The process has its exclusive addresses by now: no predecessor that still
-	// lives could order the engine after this.
+	// The process holds its listen addresses exclusively by now, so no earlier
+	// process that is still alive can send the engine an order after this.
 	a.mu.Lock()
 	a.ledger.Started = a.Clock.Now()
 	a.mu.Unlock()
@@ -164,11 +174,11 @@
 	for range loops[1:] {
 		<-ended
 	}
-	a.work.Wait()
+	a.background.Wait()
 	return err
 }
 
-// FencedError reports that another agent orders this agent's engine.
+// FencedError reports that another agent sends orders to this agent's engine.
 type FencedError struct{ Host core.HostName }
 
 // Error implements error.
@@ -176,24 +186,24 @@
 	return "another agent orders the engine of host " + string(e.Host)
 }
 
-// tick is the longest time between two looks at the queue.
-const tick = time.Second
+// queueCheckInterval is the longest time between two checks of the queue.
+const queueCheckInterval = time.Second
 
-// watchDeadlines ends waiting requests whose time has run out, and runs whose
-// readers have gone.
+// watchDeadlines ends waiting requests whose deadline has passed and runs that
+// have no readers any more, and reviews idle items, until ctx ends.
 func (a *Agent) watchDeadlines(ctx context.Context) error {
-	return loop.Run(ctx, a.Clock, a.alarm, tick, func(now time.Time) time.Time {
+	return loop.Run(ctx, a.Clock, a.deadlineWake, queueCheckInterval, func(now time.Time) time.Time {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		a.schedule(now)
 		a.sweep(now)
-		a.look(now)
+		a.reviewItems(now)
 		return a.queue.Next()
 	})
 }
 
-// Leave stops the taking of new work: what waits is refused at once, so that
-// entries try it elsewhere, and what runs goes on.
+// Leave makes the agent refuse new requests. Waiting requests are refused at
+// once, so that entries try other hosts; running ones continue.
 func (a *Agent) Leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -204,7 +214,7 @@
 	events.Log(events.HostLeaving, "host", a.Host)
 	now := a.Clock.Now()
 	for _, r := range a.live {
-		if !r.began {
+		if !r.dispatched {
 			a.queue.Remove(r.id)
 			a.end(r, now, a.leavingRefusal(now))
 		}
--- a/io/agent/doc.go
+++ b/io/agent/doc.go
@@ -1,8 +1,8 @@
-// Package agent is the agent role: one process in the slot beside an upstream,
-// the sole authority for that host.
+// Package agent implements the agent role: one process per upstream host, which
+// alone decides what that upstream runs and loads.
 //
-// It takes requests from entries, queues them, has models loaded and unloaded by
-// order to the engine within the memory its ledger promises, and relays answers.
-// Decisions are those of core/ledger, core/queue and core/dedupe; this package
-// holds one lock around them and turns their answers into calls.
+// An agent accepts requests from entries, queues them, orders the engine to load
+// and unload models within the memory that its ledger accounts for, and relays
+// the answers. The decisions are made in core/ledger, core/queue and core/dedupe;
+// this package guards them with one mutex and carries them out as calls.
 package agent
--- a/io/agent/drive.go
+++ b/io/agent/drive.go
@@ -14,25 +14,27 @@
 )
 
 const (
-	// pollIdle is the time between two reports while nothing changes, pollWork
-	// while requests run: their progress shows which connection went silent.
-	pollIdle = time.Second
-	pollWork = 300 * time.Millisecond
-	// pollLoad is the least time between two reports while a load is under way.
-	// An adapter arrives within a handful of milliseconds; a load that has taken
-	// longer is asked for in steps of a sixteenth of its age.
-	pollLoad     = 2 * time.Millisecond
-	pollLoadMost = 100 * time.Millisecond
-	loadSteps    = 16
-	// stateTime bounds one call for a report, orderTime one order.
-	stateTime = 2 * time.Second
-	orderTime = 5 * time.Second
-	// diagnoseTime bounds the look at an engine that lost a request.
-	diagnoseTime = 500 * time.Millisecond
+	// idlePollInterval is the time between two state reports while nothing
+	// changes. busyPollInterval applies while requests run: their progress shows
+	// which connection has gone silent.
+	idlePollInterval = time.Second
+	busyPollInterval = 300 * time.Millisecond
+	// minLoadPollInterval is the shortest time between two reports, used while a
+	// load is in progress: an adapter loads within a few milliseconds. For a load
+	// that takes longer the interval is a loadPollDivisor-th of its age, up to
+	// maxLoadPollInterval.
+	minLoadPollInterval = 2 * time.Millisecond
+	maxLoadPollInterval = 100 * time.Millisecond
+	loadPollDivisor     = 16
+	// stateTimeout bounds one call for a report, orderTimeout one order.
+	stateTimeout = 2 * time.Second
+	orderTimeout = 5 * time.Second
+	// diagnoseTimeout bounds the state call to an engine that lost a request.
+	diagnoseTimeout = 500 * time.Millisecond
 )
 
-// drive asks the engine for reports and sends it the ledger's orders. It is the
-// only sender of orders, one at a time.
+// drive polls the engine for reports and sends it the ledger's orders. It is the
+// only sender of orders and sends one at a time.
 func (a *Agent) drive(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -40,14 +42,14 @@
 	for {
 		select {
 		case <-timer.C:
-		case <-a.orders:
+		case <-a.driveWake:
 		case <-ctx.Done():
 			return nil
 		}
-		// A report makes this loop's own waiting requests ask for orders again:
-		// without the gap, a hundred requests that wait for a load kept a core
-		// busy with reports.
-		if now := a.Clock.Now(); !now.Before(polled.Add(pollLoad)) {
+		// A report runs schedule, which wakes this loop again while requests wait
+		// for a load. Without a minimum interval, a hundred requests that waited
+		// for a load kept a core busy with reports.
+		if now := a.Clock.Now(); !now.Before(polled.Add(minLoadPollInterval)) {
 			a.poll(ctx)
 			polled = now
 		}
@@ -55,17 +57,17 @@
 		if err := a.sendOrders(ctx); err != nil {
 			return err
 		}
-		timer.Reset(a.pollPause())
+		timer.Reset(a.pollInterval())
 	}
 }
 
-// poll takes one report.
+// poll reads one report and applies it.
 func (a *Agent) poll(ctx context.Context) {
 	a.mu.Lock()
 	a.ledger.ChecksFence = a.checksFence()
 	ticket := a.ledger.NewTicket(a.Clock.Now())
 	a.mu.Unlock()
-	call, stop := context.WithTimeout(ctx, stateTime)
+	call, stop := context.WithTimeout(ctx, stateTimeout)
 	state, err := a.Engine.State(call)
 	stop()
 	if ctx.Err() != nil {
@@ -74,7 +76,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock.Now()
-	a.noteReached(err)
+	a.setReachable(err)
 	if err != nil || a.Plain {
 		return
 	}
@@ -82,52 +84,53 @@
 	if !a.ledger.Report(now, ticket, state) {
 		return
 	}
-	sameLife := a.state.Epoch == state.Epoch
-	if a.state.Epoch != 0 && !sameLife {
+	sameEpoch := a.state.Epoch == state.Epoch
+	if a.state.Epoch != 0 && !sameEpoch {
 		events.Log(events.EngineRestarted, "host", a.Host)
 	}
 	a.state = state
-	a.noteItems(now, before, rebuilt, sameLife)
-	a.noteStalls(now)
+	a.recordItemChanges(now, before, rebuilt, sameEpoch)
+	a.redialStalled(now)
 	a.schedule(now)
 }
 
-// noteReached keeps whether the upstream answers at all.
-func (a *Agent) noteReached(err error) {
+// setReachable records whether the upstream answered a state call.
+func (a *Agent) setReachable(err error) {
 	reached := err == nil
 	if reached {
-		a.once.Do(func() { close(a.ready) })
+		a.readyOnce.Do(func() { close(a.ready) })
 	}
-	if reached == a.reached {
+	if reached == a.reachable {
 		return
 	}
 	if reached {
-		a.reached = true
+		a.reachable = true
 		events.Log(events.EngineBack, "host", a.Host)
 		return
 	}
-	a.lostEngine(err)
+	a.markUnreachable(err)
 }
 
-// lostEngine notes that the upstream does not answer, and refuses what waits,
-// so that entries try other hosts. Without it the requests behind a crash are
-// sent to a dead engine one after the other, and each is blamed for the next.
-func (a *Agent) lostEngine(err error) {
-	if a.reached {
+// markUnreachable records that the upstream does not answer and refuses waiting
+// requests, so that entries try other hosts. Otherwise the requests queued behind
+// a crash would be sent to a dead engine one after the other, and each would get
+// a strike for the failure of the next.
+func (a *Agent) markUnreachable(err error) {
+	if a.reachable {
 		events.Fail(events.EngineUnreachable, err, "host", a.Host)
 	}
-	a.reached = false
+	a.reachable = false
 	now := a.Clock.Now()
 	for _, r := range a.live {
-		if !r.began {
+		if !r.dispatched {
 			a.queue.Remove(r.id)
-			a.end(r, now, a.unreached(now))
+			a.end(r, now, a.unreachableRefusal(now))
 		}
 	}
-	loop.Poke(a.orders)
+	loop.Poke(a.driveWake)
 }
 
-func (a *Agent) unreached(now time.Time) *core.Refusal {
+func (a *Agent) unreachableRefusal(now time.Time) *core.Refusal {
 	return core.RefuseUntil(core.CodeUpstreamLost, "the upstream does not answer", now.Add(time.Second))
 }
 
@@ -136,8 +139,8 @@
 	return ok && p.ChecksFence
 }
 
-// noteItems logs and measures what a report has changed.
-func (a *Agent) noteItems(now time.Time, before []ledger.Info, rebuilt, sameLife bool) {
+// recordItemChanges logs and measures what a report has changed.
+func (a *Agent) recordItemChanges(now time.Time, before []ledger.Info, rebuilt, sameEpoch bool) {
 	old := map[core.ModelName]ledger.Info{}
 	for _, i := range before {
 		old[i.Name] = i
@@ -146,8 +149,8 @@
 		was := old[i.Name]
 		delete(old, i.Name)
 		if i.State == core.Loaded && was.State != core.Loaded {
-			a.corrected(i.Name, was.Name == "" && rebuilt)
-			a.loaded(now, i, was)
+			a.logCorrection(i.Name, was.Name == "" && rebuilt)
+			a.recordLoaded(now, i, was)
 		}
 	}
 	for name, was := range old {
@@ -156,37 +159,37 @@
 			a.Meter.Load(a.tier(name), false, was.Since, now)
 			events.Log(events.LoadFailed, "model", name, "host", a.Host)
 			a.endSlot(now, name, false)
-			a.loadFailed(now, name)
+			a.refuseFailedLoad(now, name)
 		case core.Unloading:
 			events.Log(events.Unloaded, "model", name, "host", a.Host)
 		case core.Loaded:
-			a.corrected(name, sameLife)
+			a.logCorrection(name, sameEpoch)
 		}
 	}
 }
 
-// corrected tells that the engine loaded or dropped an item without an order.
-func (a *Agent) corrected(name core.ModelName, unasked bool) {
+// logCorrection logs that the engine loaded or dropped an item without an order.
+func (a *Agent) logCorrection(name core.ModelName, unasked bool) {
 	if unasked {
 		events.Log(events.LedgerCorrected, "model", name, "host", a.Host)
 	}
 }
 
-func (a *Agent) loaded(now time.Time, i, was ledger.Info) {
+func (a *Agent) recordLoaded(now time.Time, i, was ledger.Info) {
 	since := was.Since
 	if since.IsZero() {
 		since = now
 	}
 	a.Meter.Load(a.tier(i.Name), true, since, now)
-	a.learn(i.Name)
+	a.registerItem(i.Name)
 	a.warm.Loaded(i.Name, now.Sub(since))
 	a.endSlot(now, i.Name, true)
 	events.Log(events.LoadFinished, "model", i.Name, "host", a.Host, "took", now.Sub(since).String())
 }
 
-// loadFailed refuses what waited for the load, so that entries try another
-// granted host within the callers' deadlines.
-func (a *Agent) loadFailed(now time.Time, name core.ModelName) {
+// refuseFailedLoad refuses the requests that waited for a load, so that entries
+// try another granted host within the callers' deadlines.
+func (a *Agent) refuseFailedLoad(now time.Time, name core.ModelName) {
 	for _, l := range a.lanes {
 		if l.target.Model == name || l.target.Base == name {
 			a.refuseLane(now, l, core.CodeLoadFailed, "the load of "+string(name)+" failed")
@@ -194,32 +197,32 @@
 	}
 }
 
-// noteStalls finds connections to the engine that have gone silent: nothing has
-// arrived for a while, though the engine has produced more of the answer, or
-// has ended a run that it listed before. A slow model is not mistaken for one:
-// it is listed and has produced nothing more either.
-func (a *Agent) noteStalls(now time.Time) {
+// redialStalled finds connections to the engine that have gone silent: nothing
+// has arrived for stallTimeout, although the engine has produced more of the
+// answer or no longer lists a run that it listed before. A run of a slow model
+// doesn't match, since the engine lists it and has produced no more either.
+func (a *Agent) redialStalled(now time.Time) {
 	listed := map[core.RequestID]int64{}
 	for _, e := range a.state.Runs {
 		listed[e.ID] = e.Emitted
 	}
 	for _, r := range a.live {
-		if !r.began {
+		if !r.dispatched {
 			continue
 		}
 		emitted, running := listed[r.id]
 		silent := running && emitted > r.received.Load() || !running && r.listed
 		r.listed = r.listed || running
-		if silent && now.Sub(time.Unix(0, r.moved.Load())) >= stallTime {
+		if silent && now.Sub(time.Unix(0, r.lastByte.Load())) >= stallTimeout {
 			a.redial(r)
 		}
 	}
 }
 
-// redial closes a run's connection to the engine; the run then goes on over a
+// redial closes a run's connection to the engine; the run then resumes over a
 // new one.
 func (a *Agent) redial(r *run) {
-	closing := r.redial.Swap(nil)
+	closing := r.closeConn.Swap(nil)
 	if closing == nil {
 		return
 	}
@@ -228,7 +231,7 @@
 	go (*closing)()
 }
 
-// sendOrders sends the ledger's orders until it has no more at present.
+// sendOrders sends orders until the ledger has none to send.
 func (a *Agent) sendOrders(ctx context.Context) error {
 	if a.Plain {
 		return nil
@@ -251,7 +254,7 @@
 }
 
 func (a *Agent) send(ctx context.Context, o ledger.Order) {
-	ctx, stop := context.WithTimeout(ctx, orderTime)
+	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
 	var err error
 	if o.Kind == ledger.LoadItem {
@@ -273,14 +276,14 @@
 	a.ledger.Answer(a.Clock.Now(), reply)
 }
 
-// pollPause returns how long until the next report is wanted.
-func (a *Agent) pollPause() time.Duration {
+// pollInterval returns the time until the next report.
+func (a *Agent) pollInterval() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock.Now()
-	pause := pollIdle
-	if a.inWork > 0 || !a.reached {
-		pause = pollWork
+	pause := idlePollInterval
+	if a.active > 0 || !a.reachable {
+		pause = busyPollInterval
 	}
 	if a.Plain {
 		return pause
@@ -288,21 +291,22 @@
 	for _, i := range a.ledger.Items() {
 		if i.State == core.Loading || i.State == core.Unloading {
 			age := now.Sub(i.Since)
-			pause = min(pause, max(pollLoad, min(pollLoadMost, age/loadSteps)))
+			pause = min(pause, max(minLoadPollInterval, min(maxLoadPollInterval, age/loadPollDivisor)))
 		}
 	}
 	if !a.ledger.Rebuilt() {
-		pause = min(pause, pollLoadMost)
+		pause = min(pause, maxLoadPollInterval)
 	}
 	return pause
 }
 
-// releaseGrants gives up grants that were revoked, once the item has left.
+// releaseGrants unloads items whose grants are revoked and releases each grant
+// once its item is proven absent.
 func (a *Agent) releaseGrants(ctx context.Context) {
 	if a.Plain {
 		return
 	}
-	a.dropUngranted()
+	a.unloadUngranted()
 	for _, name := range a.Revoked() {
 		a.mu.Lock()
 		now := a.Clock.Now()
@@ -317,9 +321,10 @@
 	}
 }
 
-// dropUngranted unloads what this host certainly has no grant for, as after it
-// was reclaimed and came back under its old name with its engine still running.
-func (a *Agent) dropUngranted() {
+// unloadUngranted unloads items that this host certainly has no grant for. That
+// happens if the host was reclaimed and came back under its old name with its
+// engine still running.
+func (a *Agent) unloadUngranted() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock.Now()
@@ -330,14 +335,14 @@
 		}
 		if a.ledger.Unload(now, i.Name) {
 			a.Meter.Unload(meter.UnloadRevoked)
-			loop.Poke(a.orders)
+			loop.Poke(a.driveWake)
 		}
 	}
 }
 
-// mayUse tells whether this host may serve an item: it is granted, or, where
-// the newest grant is not known for certain, the engine holds it already. What
-// is loaded was granted and has not been released, since a release comes after
+// mayUse reports whether this host may serve an item: its grant is active or, if
+// the newest grant is not known for certain, the engine holds the item already.
+// A loaded item was granted and has not been released, since a release follows
 // the unload.
 func (a *Agent) mayUse(name core.ModelName) bool {
 	state, ok := a.Grant(name)
@@ -347,11 +352,12 @@
 	return a.ledger.Item(name).State == core.Loaded
 }
 
-// diagnose finds out whether a request that was lost took its engine along, and
-// gives strikes to all that were in it. The strikes go out before the request
-// is answered: its caller may send it again to another entry at once.
+// diagnose finds out whether the engine crashed when a request was lost, and if
+// so records a strike for every request that was in it. The strikes are sent to
+// peers before the request is answered, since its caller may send it to another
+// entry at once.
 func (a *Agent) diagnose(ctx context.Context, r *run) {
-	call, stop := context.WithTimeout(context.WithoutCancel(ctx), diagnoseTime)
+	call, stop := context.WithTimeout(context.WithoutCancel(ctx), diagnoseTimeout)
 	state, err := a.Engine.State(call)
 	stop()
 	var fault *core.EngineError
@@ -366,22 +372,22 @@
 	}
 }
 
-// strikeAll gives one strike for each crash of the engine to all requests that
-// were in it.
+// strikeAll records one strike per crash of the engine for each request that was
+// in it. It returns no records if the crash was recorded before.
 func (a *Agent) strikeAll(r *run, err error) []strike.Record {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if r.struck || !a.reached && r.epoch == a.crashed {
-		// The crash has been counted, with all that were in the engine then;
-		// what was sent to the dead engine since had no part in it.
+	if r.struck || !a.reachable && r.epoch == a.crashedEpoch {
+		// The crash has been recorded for all requests that were in the engine
+		// then. Requests sent to the dead engine since did not cause it.
 		return nil
 	}
-	a.crashed = r.epoch
-	a.lostEngine(err)
+	a.crashedEpoch = r.epoch
+	a.markUnreachable(err)
 	var prints []core.Fingerprint
 	var lost []*run
 	for _, o := range a.live {
-		if o.began && !o.struck && o.epoch == r.epoch {
+		if o.dispatched && !o.struck && o.epoch == r.epoch {
 			o.struck = true
 			prints = append(prints, o.call.Fingerprint)
 			lost = append(lost, o)
--- a/io/agent/explain.go
+++ b/io/agent/explain.go
@@ -7,7 +7,8 @@
 	"radishwell/core/strike"
 )
 
-// ExplainRequest tells how a request stands at this host.
+// ExplainRequest describes the state of a request at this host for operators, one
+// sentence a line. It returns nil for an unknown request.
 func (a *Agent) ExplainRequest(id core.RequestID) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -22,7 +23,7 @@
 		if refusal := r.spool.Refused(a.Host); refusal != nil {
 			lines = append(lines, refusal.Error())
 		}
-	case r.began:
+	case r.dispatched:
 		lines = append(lines, fmt.Sprintf("is in the engine; %d bytes of its answer have arrived", r.received.Load()))
 	default:
 		lines = append(lines, fmt.Sprintf("waits; %s is %s here", r.target.Name(), a.ledger.Item(r.target.Model).State))
@@ -33,7 +34,8 @@
 	return lines
 }
 
-// ExplainModel tells how a model stands at this host.
+// ExplainModel describes the state of a model or adapter at this host for
+// operators, one sentence a line.
 func (a *Agent) ExplainModel(name core.ModelName) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -55,11 +57,12 @@
 	return lines
 }
 
-// ExplainHost tells how this host stands.
+// ExplainHost describes the state of this host for operators, one sentence a
+// line.
 func (a *Agent) ExplainHost() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	lines := []string{fmt.Sprintf("%s of %s: engine reached %t, leaving %t, %d requests in the engine", a.Host, a.Service, a.reached, a.leaving, a.inWork)}
+	lines := []string{fmt.Sprintf("%s of %s: engine reached %t, leaving %t, %d requests in the engine", a.Host, a.Service, a.reachable, a.leaving, a.active)}
 	promised, capacity := a.ledger.Reserved(), a.ledger.Capacity()
 	for i := range capacity {
 		lines = append(lines, fmt.Sprintf("accelerator %d: %s of %s promised", i, promised[i], capacity[i]))
@@ -70,14 +73,14 @@
 	return lines
 }
 
-// Strikes returns what this agent knows against requests, for peers.
+// Strikes returns the strike records that this agent knows, for peers.
 func (a *Agent) Strikes() []strike.Record {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.book.Records(a.Clock.Now())
 }
 
-// MergeStrikes takes strikes from peers and tells whether any was news.
+// MergeStrikes merges strikes from peers and reports whether any was new.
 func (a *Agent) MergeStrikes(list []strike.Record) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/io/agent/gauge.go
+++ b/io/agent/gauge.go
@@ -5,8 +5,9 @@
 	"radishwell/io/meter"
 )
 
-// showGauges has the metrics read this agent's queue and memory.
-func (a *Agent) showGauges() {
+// registerGauges registers functions that read this agent's queue and memory as
+// gauges.
+func (a *Agent) registerGauges() {
 	for c := range core.ClassCount {
 		a.Meter.Queue(c, func() int {
 			a.mu.Lock()
@@ -28,15 +29,15 @@
 	defer a.mu.Unlock()
 	n := 0
 	for _, r := range a.live {
-		if r.began && core.Class(r.head.GetClass()) == c {
+		if r.dispatched && core.Class(r.head.GetClass()) == c {
 			n++
 		}
 	}
 	return n
 }
 
-// memory is all accelerators' memory: what loaded items hold, what is promised
-// beyond that, and what is left.
+// memory is the memory of all accelerators together: held by loaded items,
+// promised to items that are loading or unloading, and free.
 type memory struct{ held, promised, free core.Bytes }
 
 func (a *Agent) memory() memory {
--- a/io/agent/load.go
+++ b/io/agent/load.go
@@ -7,22 +7,23 @@
 	"radishwell/wire"
 )
 
-// maxReported bounds the items of a report; a host holds a few dozen.
-const maxReported = 64
+// maxReportedItems bounds the items in a load report that were not asked for. A
+// host holds a few dozen.
+const maxReportedItems = 64
 
-// load reports this host's load: what it holds, and the items named. The lock
-// is held.
-func (a *Agent) load(now time.Time, names []core.ModelName) *wire.HostLoad {
+// loadReport returns this host's load with the items that it holds and those in
+// names. The caller holds mu.
+func (a *Agent) loadReport(now time.Time, names []core.ModelName) *wire.HostLoad {
 	out := &wire.HostLoad{
 		Host: string(a.Host), Incarnation: uint64(a.Incarnation), At: now.UnixNano(),
-		Running: int32(a.inWork), Leaving: a.leaving, FreeBytes: int64(a.mostFree()),
+		Running: int32(a.active), Leaving: a.leaving, FreeBytes: int64(a.maxFree()),
 	}
 	for _, l := range a.lanes {
 		out.Queued += int32(l.waiting)
 	}
 	known := map[core.ModelName]bool{"": true}
 	for _, i := range a.ledger.Items() {
-		if len(out.Items) < maxReported {
+		if len(out.Items) < maxReportedItems {
 			known[i.Name] = true
 			out.Items = append(out.Items, a.itemLoad(i.Name))
 		}
@@ -35,11 +36,12 @@
 	return out
 }
 
-// Load reports this host's load for a probe.
+// Load returns this host's load with the items that it holds and those in names.
+// It answers probes.
 func (a *Agent) Load(names []core.ModelName) *wire.HostLoad {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.load(a.Clock.Now(), names)
+	return a.loadReport(a.Clock.Now(), names)
 }
 
 func (a *Agent) itemLoad(name core.ModelName) *wire.ItemLoad {
@@ -54,8 +56,8 @@
 	return out
 }
 
-// mostFree is the unpromised memory of the accelerator that has most.
-func (a *Agent) mostFree() core.Bytes {
+// maxFree returns the free memory of the accelerator that has the most.
+func (a *Agent) maxFree() core.Bytes {
 	promised, capacity := a.ledger.Reserved(), a.ledger.Capacity()
 	var most core.Bytes
 	for i := range capacity {
--- a/io/agent/run.go
+++ b/io/agent/run.go
@@ -21,74 +21,78 @@
 )
 
 const (
-	// orphanGrace is how long a run goes on without a connection that reads it.
-	// An entry that lost its connection is back well within it; one that has
-	// died is not, and then nothing may burn for nobody.
+	// orphanGrace is how long a run continues without a reader. An entry that
+	// lost its connection reconnects well within this time; if the entry has
+	// died, the run would use the accelerators for no one.
 	orphanGrace = 4 * time.Second
-	// stallTime is how long an answer may stand still while the engine reports
-	// progress before its connection is taken to have gone silent.
-	stallTime = time.Second
-	// resumeTries bounds the new connections made for one silent one.
-	resumeTries = 5
-	resumePause = 200 * time.Millisecond
-	readPiece   = 32 << 10
+	// stallTimeout is how long no byte of an answer may arrive while the engine
+	// reports progress before its connection counts as silent.
+	stallTimeout = time.Second
+	// maxResumeTries bounds the attempts to resume an answer that make no
+	// progress.
+	maxResumeTries = 5
+	resumeDelay    = 200 * time.Millisecond
+	readBufferSize = 32 << 10
 )
 
-// run is one request at this agent, from its arrival until it is forgotten.
+// run is one request at this agent, from its arrival until it is removed from
+// the agent's tables.
 type run struct {
 	agent *Agent
 	head  *wire.WorkHead
 	body  []byte
 	id    core.RequestID
-	// call is the request's identity in the table, target what it asks for.
+	// call is the request's identity in the dedupe table.
 	call    dedupe.Call
 	target  core.Target
 	spool   *relay.Spool
 	arrived time.Time
 	span    spans.Span
 
-	// What follows, up to cancel, is under the agent's lock.
+	// The agent's mutex guards the fields from waiting to cancel.
 
-	// waiting tells that the run is in the queue, began that it went to the
-	// upstream, under use where that is an engine.
-	waiting bool
-	began   bool
-	use     ledger.Use
-	// cold tells that the request waited for a load, alone that nothing else ran
-	// beside it, listed that the engine has reported it; epoch is the engine's at
-	// the run's start.
+	// waiting is set while the run is in the queue or waits for a trial;
+	// dispatched is set once it is sent to the upstream. use is then its use of
+	// the model in the ledger, if the upstream is an engine.
+	waiting    bool
+	dispatched bool
+	use        ledger.Use
+	// cold is set if the request waited for a load, alone if it runs alone (see
+	// strike.Verdict), and listed once a report of the engine has listed it.
+	// epoch is the engine's epoch at dispatch.
 	cold   bool
 	alone  bool
 	listed bool
 	epoch  uint64
-	// struck tells that its engine died with it; strikes go out with its end.
+	// struck is set if the engine crashed while the request was in it; strikes
+	// are returned to the entry with the end of the answer.
 	struck  bool
 	strikes []strike.Record
-	// readers counts the connections that read the answer, the last of which
-	// ended at detached.
+	// readers counts the connections that read the answer; detached is when the
+	// last one ended.
 	readers  int
 	detached time.Time
 	ended    time.Time
 	cancel   context.CancelCauseFunc
 
-	// started is when the run went to the engine, loading when the load that it
-	// waited for began.
-	started time.Time
-	loading time.Time
-	// first is when the answer's first byte came, in nanoseconds since the epoch.
-	first atomic.Int64
+	// started is when the run was dispatched, coldSince when requests for its
+	// model began to wait for the load.
+	started   time.Time
+	coldSince time.Time
+	// firstByte is when the answer's first byte arrived, in Unix nanoseconds.
+	firstByte atomic.Int64
 
-	// received counts the answer's bytes that arrived; moved is when the last
-	// did, in nanoseconds since the epoch.
+	// received counts the answer's bytes that have arrived; lastByte is when the
+	// last of them did (or the dispatch, before any), in Unix nanoseconds.
 	received atomic.Int64
-	moved    atomic.Int64
-	// tail is execute's alone.
+	lastByte atomic.Int64
+	// Only execute uses tail.
 	tail tail
-	// redial closes the connection to the engine, which makes execute resume.
-	redial atomic.Pointer[func()]
+	// closeConn closes the connection to the engine, which makes execute resume.
+	closeConn atomic.Pointer[func()]
 }
 
-// cause is why a run was ended from outside.
+// cause is the reason why a run was cancelled.
 type cause uint8
 
 const (
@@ -104,16 +108,16 @@
 	return "the deadline passed"
 }
 
-// begin starts the run on the engine. The agent's lock is held.
-func (a *Agent) begin(r *run, now time.Time) {
-	r.began = true
-	ctx, cancel := context.WithCancelCause(context.WithoutCancel(a.base))
+// dispatch sends the run to the upstream. The caller holds mu.
+func (a *Agent) dispatch(r *run, now time.Time) {
+	r.dispatched = true
+	ctx, cancel := context.WithCancelCause(context.WithoutCancel(a.baseCtx))
 	ctx, stop := context.WithDeadlineCause(ctx, relay.Time(r.head.GetDeadline()), causeDeadline)
 	r.cancel = cancel
-	r.moved.Store(now.UnixNano())
-	a.work.Add(1)
+	r.lastByte.Store(now.UnixNano())
+	a.background.Add(1)
 	go func() {
-		defer a.work.Done()
+		defer a.background.Done()
 		defer stop()
 		refusal := r.execute(ctx)
 		if refusal != nil && refusal.Code == core.CodeUpstreamLost {
@@ -123,26 +127,26 @@
 	}()
 }
 
-// execute hands the request to the engine and copies the answer into the spool.
-// It returns nil for a whole answer.
+// execute sends the request to the upstream and copies the answer into the spool.
+// It returns nil if the answer is complete.
 func (r *run) execute(ctx context.Context) *core.Refusal {
 	answer, err := r.agent.Engine.Run(ctx, r.engineWork())
 	if err != nil {
-		return r.handOverFailed(ctx, err)
+		return r.dispatchRefusal(ctx, err)
 	}
-	if refusal := r.notHeld(answer); refusal != nil {
+	if refusal := r.modelMissing(answer); refusal != nil {
 		answer.Body.Close()
 		return refusal
 	}
 	r.tail = tailOf(answer, r.agent.Plain)
 	if !r.agent.Plain {
-		// The length of what a connection brought is not the answer's, which may
-		// go on over another connection.
+		// Content-Length describes one connection's response, but the answer may
+		// continue over another connection.
 		http.Header(answer.Header).Del("Content-Length")
 	}
-	r.spool.Head(&wire.AnswerHead{Status: int32(answer.Status), Header: fields(answer.Header)})
+	r.spool.Head(&wire.AnswerHead{Status: int32(answer.Status), Header: toFields(answer.Header)})
 	for try := 0; ; try++ {
-		moved := r.received.Load()
+		before := r.received.Load()
 		err = r.copy(ctx, answer.Body)
 		answer.Body.Close()
 		if err == nil {
@@ -151,14 +155,14 @@
 		if err == nil {
 			return nil
 		}
-		if r.received.Load() > moved {
+		if r.received.Load() > before {
 			try = 0
 		}
-		if ctx.Err() != nil || r.agent.Plain || try >= resumeTries {
-			return r.cut(ctx, err)
+		if ctx.Err() != nil || r.agent.Plain || try >= maxResumeTries {
+			return r.interruptedRefusal(ctx, err)
 		}
 		if answer, err = r.resume(ctx); err != nil {
-			return r.cut(ctx, err)
+			return r.interruptedRefusal(ctx, err)
 		}
 	}
 }
@@ -166,35 +170,37 @@
 func (r *run) engineWork() core.EngineWork {
 	return core.EngineWork{
 		ID: r.id, Model: core.ModelName(r.head.GetModel()), Method: r.head.GetMethod(), Path: r.head.GetPath(),
-		Header: header(r.head.GetHeader()), Body: r.body, Priority: core.Class(r.head.GetClass()),
+		Header: toHeader(r.head.GetHeader()), Body: r.body, Priority: core.Class(r.head.GetClass()),
 		Deadline: relay.Time(r.head.GetDeadline()), Trace: r.span.Traceparent(),
 	}
 }
 
-// handOverFailed says what is known of a request that got no answer.
-func (r *run) handOverFailed(ctx context.Context, err error) *core.Refusal {
+// dispatchRefusal returns the refusal for a request that got no answer.
+func (r *run) dispatchRefusal(ctx context.Context, err error) *core.Refusal {
 	var fault *core.EngineError
 	if errors.As(err, &fault) && fault.Fault == core.EngineUnreached {
 		return core.RefuseUntil(core.CodeUpstreamLost, "the upstream does not answer", r.agent.Clock.Now().Add(time.Second))
 	}
-	return r.cut(ctx, err)
+	return r.interruptedRefusal(ctx, err)
 }
 
-// notHeld recognises an engine's word that it does not hold the model, as after
-// a restart between our look and the hand-over. Nothing ran then.
-func (r *run) notHeld(answer core.Answer) *core.Refusal {
+// modelMissing returns a refusal if the engine answered that it does not hold
+// the model, as after a restart between the last report and the dispatch. The
+// request has not run in that case.
+func (r *run) modelMissing(answer core.Answer) *core.Refusal {
 	if r.agent.Plain || answer.Status != http.StatusNotFound {
 		return nil
 	}
 	return core.RefuseUntil(core.CodeLoadFailed, "the engine no longer holds the model", r.agent.Clock.Now().Add(time.Second))
 }
 
-// cut ends an answer that has begun, or may have.
-func (r *run) cut(ctx context.Context, err error) *core.Refusal {
+// interruptedRefusal returns the refusal for a request that has run or may have
+// run without a complete answer.
+func (r *run) interruptedRefusal(ctx context.Context, err error) *core.Refusal {
 	refusal := &core.Refusal{Code: core.CodeUpstreamLost, Outcome: core.MayHaveRun, Reason: "contact with the upstream was lost", Host: r.agent.Host}
 	var why cause
 	if errors.As(context.Cause(ctx), &why) {
-		r.tellCancel(ctx)
+		r.cancelAtEngine(ctx)
 		refusal.Reason = why.Error()
 		refusal.Code = core.CodeCancelled
 		if why == causeDeadline {
@@ -208,40 +214,42 @@
 	return refusal
 }
 
-// cancelTime bounds the call that tells an engine to stop a request.
-const cancelTime = 2 * time.Second
+// cancelTimeout bounds the call that cancels a request at the engine.
+const cancelTimeout = 2 * time.Second
 
-// tellCancel has the engine stop the request, so that it generates for nobody.
-func (r *run) tellCancel(ctx context.Context) {
+// cancelAtEngine makes the engine stop the request, so that it generates no
+// output that is not read.
+func (r *run) cancelAtEngine(ctx context.Context) {
 	if r.agent.Plain {
 		return
 	}
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelTime)
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	defer stop()
-	// An engine that cannot be reached has no request to stop, or is asked
-	// again by nobody: its state report shows what it still runs.
+	// A failed call is not repeated: an engine that can't be reached has no
+	// request to stop, or its state report shows what it still runs.
 	_ = r.agent.Engine.Cancel(ctx, r.id)
 }
 
-// pieces are buffers between the engine and the spool, which copies what it
-// takes. One for each short answer was a third of what a request allocated, and
-// the collector's work showed in the first byte's tail.
-var pieces = sync.Pool{New: func() any { return new([readPiece]byte) }}
+// readBuffers pools the buffers between the engine and the spool, which copies
+// what is written to it. A buffer per answer was a third of what a request with
+// a short answer allocated, and garbage collection showed in the tail latency of
+// the first byte.
+var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
-// copy moves the answer's bytes into the spool until the answer ends.
+// copy copies the answer's bytes into the spool until the answer ends.
 func (r *run) copy(ctx context.Context, body io.ReadCloser) error {
 	closing := func() { body.Close() }
-	r.redial.Store(&closing)
-	piece := pieces.Get().(*[readPiece]byte)
-	defer pieces.Put(piece)
-	buf := piece[:]
+	r.closeConn.Store(&closing)
+	pooled := readBuffers.Get().(*[readBufferSize]byte)
+	defer readBuffers.Put(pooled)
+	buf := pooled[:]
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
 			if r.received.Add(int64(n)) == int64(n) {
-				r.first.Store(r.agent.Clock.Now().UnixNano())
+				r.firstByte.Store(r.agent.Clock.Now().UnixNano())
 			}
-			r.moved.Store(r.agent.Clock.Now().UnixNano())
+			r.lastByte.Store(r.agent.Clock.Now().UnixNano())
 			r.tail.add(buf[:n])
 			if err := r.write(ctx, buf[:n]); err != nil {
 				return err
@@ -256,7 +264,8 @@
 	}
 }
 
-// write appends to the spool, and to the kept answer of a keyed request.
+// write appends p to the spool or, for a keyed request, to the answer kept in
+// the dedupe table.
 func (r *run) write(ctx context.Context, p []byte) error {
 	if !r.keyed() {
 		return r.spool.Write(ctx, p)
@@ -268,11 +277,11 @@
 	return nil
 }
 
-// resume continues the answer on a new connection at the offset reached.
+// resume continues the answer on a new connection from the offset reached.
 func (r *run) resume(ctx context.Context) (core.Answer, error) {
 	var answer core.Answer
 	var err error
-	for range resumeTries {
+	for range maxResumeTries {
 		answer, err = r.agent.Engine.Resume(ctx, r.id, r.received.Load())
 		if err == nil {
 			return answer, nil
@@ -282,7 +291,7 @@
 			return answer, err
 		}
 		select {
-		case <-time.After(resumePause):
+		case <-time.After(resumeDelay):
 		case <-ctx.Done():
 			return answer, context.Cause(ctx)
 		}
@@ -290,17 +299,17 @@
 	return answer, err
 }
 
-// trace records the run's hops once it has ended.
-func (r *run) trace(refusal *core.Refusal, now time.Time) {
+// recordTrace records the run's hops once it has ended.
+func (r *run) recordTrace(refusal *core.Refusal, now time.Time) {
 	if !r.started.IsZero() {
 		r.span.Hop(meter.AgentQueue, r.arrived, r.started)
 		r.agent.Meter.Hop(meter.AgentQueue, r.arrived, r.started)
 	}
-	if r.cold && !r.loading.IsZero() {
-		r.span.Hop(meter.Load, r.loading, r.started)
-		r.agent.Meter.Hop(meter.Load, r.loading, r.started)
+	if r.cold && !r.coldSince.IsZero() {
+		r.span.Hop(meter.Load, r.coldSince, r.started)
+		r.agent.Meter.Hop(meter.Load, r.coldSince, r.started)
 	}
-	if first := r.first.Load(); first != 0 {
+	if first := r.firstByte.Load(); first != 0 {
 		at := time.Unix(0, first)
 		r.span.Hop(meter.FirstToken, r.started, at)
 		r.span.Hop(meter.Stream, at, now)
@@ -313,7 +322,7 @@
 
 func (r *run) keyed() bool { return r.head.GetAttempt() > 0 }
 
-func fields(h map[string][]string) []*wire.Field {
+func toFields(h map[string][]string) []*wire.Field {
 	var out []*wire.Field
 	for name, values := range h {
 		for _, v := range values {
@@ -323,7 +332,7 @@
 	return out
 }
 
-func header(list []*wire.Field) map[string][]string {
+func toHeader(list []*wire.Field) map[string][]string {
 	h := http.Header{}
 	for _, f := range list {
 		h.Add(f.GetName(), f.GetValue())
--- a/io/agent/sched.go
+++ b/io/agent/sched.go
@@ -14,16 +14,16 @@
 	"radishwell/io/relay"
 )
 
-// lane is the requests of one model, adapter or plain service.
+// lane holds the counts of the requests for one model, adapter or plain service.
 type lane struct {
 	name    string
 	target  core.Target
 	waiting int
 	running int
-	// cold tells that requests now waiting have waited for a load.
+	// cold is set if the waiting requests wait, or have waited, for a load.
 	cold bool
-	// loading is when the load began that they wait for.
-	loading time.Time
+	// coldSince is when the requests began to wait for that load.
+	coldSince time.Time
 }
 
 func (a *Agent) lane(t core.Target) *lane {
@@ -35,55 +35,55 @@
 	return l
 }
 
-// schedule starts what may start and asks for the loads that waiting requests
-// need. The lock is held.
+// schedule dispatches the requests that may start and orders the loads that
+// waiting requests need. The caller holds mu.
 func (a *Agent) schedule(now time.Time) {
-	a.expire(now)
-	a.startHeld(now)
+	a.expireQueued(now)
+	a.startTrialWaiters(now)
 	for {
-		item, ok := a.queue.Pop(now, func(name string) int { return a.free(a.lanes[name]) })
-		a.expire(now)
+		item, ok := a.queue.Pop(now, func(name string) int { return a.freeCapacity(a.lanes[name]) })
+		a.expireQueued(now)
 		if !ok || !a.start(now, a.byID[item.ID]) {
 			break
 		}
 	}
 	for _, l := range a.lanes {
 		if l.waiting > 0 {
-			a.want(now, l)
+			a.requestLoad(now, l)
 		}
 	}
 }
 
-func (a *Agent) expire(now time.Time) {
+func (a *Agent) expireQueued(now time.Time) {
 	for _, gone := range a.queue.Expire(now) {
-		a.refused(now, gone)
+		a.endRefused(now, gone)
 	}
 }
 
-// startHeld tries again the requests that wait for a suspect's trial.
-func (a *Agent) startHeld(now time.Time) {
-	held := a.held
-	a.held = nil
-	for i, r := range held {
+// startTrialWaiters tries again to start the requests that wait for a trial.
+func (a *Agent) startTrialWaiters(now time.Time) {
+	waiters := a.trialWaiters
+	a.trialWaiters = nil
+	for i, r := range waiters {
 		switch {
 		case !r.ended.IsZero():
 		case !now.Before(relay.Time(r.head.GetDeadline())):
 			a.end(r, now, core.Refuse(core.CodeDeadline, "the deadline passed while the request waited for a trial"))
-		case a.free(a.lane(r.target)) <= 0:
-			a.held = append(a.held, r)
+		case a.freeCapacity(a.lane(r.target)) <= 0:
+			a.trialWaiters = append(a.trialWaiters, r)
 		case !a.start(now, r):
-			a.held = append(a.held, held[i+1:]...)
+			a.trialWaiters = append(a.trialWaiters, waiters[i+1:]...)
 			return
 		}
 	}
 }
 
-// free tells how many of the lane's requests may start.
-func (a *Agent) free(l *lane) int {
-	if !a.reached || !a.Plain && (a.ledger.Item(l.target.Model).State != core.Loaded || !a.baseLoaded(l.target)) {
+// freeCapacity returns how many more of the lane's requests may start.
+func (a *Agent) freeCapacity(l *lane) int {
+	if !a.reachable || !a.Plain && (a.ledger.Item(l.target.Model).State != core.Loaded || !a.baseLoaded(l.target)) {
 		return 0
 	}
-	return min(a.concurrency(l.target)-l.running, a.serviceConcurrency()-a.inWork)
+	return min(a.concurrency(l.target)-l.running, a.serviceConcurrency()-a.active)
 }
 
 func (a *Agent) baseLoaded(t core.Target) bool {
@@ -104,11 +104,11 @@
 	return math.MaxInt
 }
 
-// start hands a popped request to the upstream. A request that is suspected of
-// crashing engines waits until it can run alone, and others wait while it does;
-// start returns false where nothing that follows may start either.
+// start dispatches a request taken from the queue. A request that is suspected of
+// crashing engines waits until it can run alone, and others wait while it does.
+// start returns false if no other request may start either.
 func (a *Agent) start(now time.Time, r *run) bool {
-	verdict := a.gate.MayRun(now, r.call.Fingerprint, r.head.GetTrial(), a.inFlight())
+	verdict := a.gate.MayRun(now, r.call.Fingerprint, r.head.GetTrial(), a.inFlightFingerprints())
 	switch verdict.Action {
 	case strike.Deny:
 		a.queue.Finish(now, r.id, queue.Failed)
@@ -116,7 +116,7 @@
 		return true
 	case strike.Wait:
 		a.queue.Finish(now, r.id, queue.Failed)
-		a.held = append(a.held, r)
+		a.trialWaiters = append(a.trialWaiters, r)
 		return a.book.Find(now, r.call.Fingerprint).Standing == strike.Suspect
 	}
 	use, ok := a.beginUse(now, r)
@@ -129,16 +129,16 @@
 	l.waiting--
 	r.waiting = false
 	l.running++
-	a.inWork++
-	a.useBegins(now, r.target, core.Class(r.head.GetClass()))
-	r.cold, r.loading, r.started = l.cold, l.loading, now
+	a.active++
+	a.warmBegin(now, r.target, core.Class(r.head.GetClass()))
+	r.cold, r.coldSince, r.started = l.cold, l.coldSince, now
 	if l.waiting == 0 {
 		l.cold = false
 	}
 	r.use = use
 	r.alone = verdict.Alone
 	r.epoch = a.state.Epoch
-	a.begin(r, now)
+	a.dispatch(r, now)
 	return true
 }
 
@@ -149,25 +149,25 @@
 	return a.ledger.Begin(now, r.target.Model)
 }
 
-func (a *Agent) inFlight() []core.Fingerprint {
+func (a *Agent) inFlightFingerprints() []core.Fingerprint {
 	var list []core.Fingerprint
 	for _, r := range a.live {
-		if r.began {
+		if r.dispatched {
 			list = append(list, r.call.Fingerprint)
 		}
 	}
 	return list
 }
 
-// want has the lane's model loaded. A cold start needs no call of the platform:
-// the grant is there already.
-func (a *Agent) want(now time.Time, l *lane) {
+// requestLoad orders the load of the lane's model, and of its base first. A cold
+// start makes no call to the platform, since the grant exists already.
+func (a *Agent) requestLoad(now time.Time, l *lane) {
 	if a.Plain || a.ledger.Item(l.target.Model).State == core.Loaded && a.baseLoaded(l.target) {
 		return
 	}
 	if !l.cold {
 		l.cold = true
-		l.loading = now
+		l.coldSince = now
 	}
 	class, deadline := a.urgency(l)
 	verdict := ledger.NoBase
@@ -181,14 +181,14 @@
 	case ledger.NoMemory, ledger.TooLarge:
 		a.refuseLane(now, l, core.CodeNoMemory, "no accelerator has room for "+l.name)
 	case ledger.Ready, ledger.Loading, ledger.Evicting, ledger.Unloading, ledger.NotReady:
-		a.queue.SetReady(now, l.name, a.readyAt(now, l))
-		loop.Poke(a.orders)
+		a.queue.SetReady(now, l.name, a.estimateReady(now, l))
+		loop.Poke(a.driveWake)
 	}
 }
 
-// readyAt foresees when a lane can start work: the measured load times of what
-// is missing, from when its load began.
-func (a *Agent) readyAt(now time.Time, l *lane) time.Time {
+// estimateReady returns when a lane's requests are expected to start: the start
+// of the missing items' loads plus their measured load times.
+func (a *Agent) estimateReady(now time.Time, l *lane) time.Time {
 	at := now
 	for _, name := range itemsOf(l.target) {
 		i := a.ledger.Item(name)
@@ -207,11 +207,12 @@
 	return at
 }
 
-// urgency is the class and the earliest deadline of what waits in a lane.
+// urgency returns the most urgent class and the earliest deadline of the
+// requests that wait in a lane.
 func (a *Agent) urgency(l *lane) (core.Class, time.Time) {
 	class, deadline := core.Overnight, time.Time{}
 	for _, r := range a.live {
-		if r.target != l.target || r.began {
+		if r.target != l.target || r.dispatched {
 			continue
 		}
 		class = min(class, core.Class(r.head.GetClass()))
@@ -222,28 +223,29 @@
 	return class, deadline
 }
 
-// loadItem asks the ledger for one item. One that comes from the weight store
-// first needs leave to read there.
+// loadItem asks the ledger to load one item. An item that is read from the weight
+// store needs a slot first.
 func (a *Agent) loadItem(now time.Time, name, base core.ModelName, class core.Class, deadline time.Time) ledger.Verdict {
 	e, ok := a.Snapshot().Model(name)
 	if !ok {
 		return ledger.NotReady
 	}
 	tier := a.tier(name)
-	if tier == core.TierStore && a.ledger.Rebuilt() && a.ledger.Item(name).State == core.Absent && !a.leaveTo(now, name, base, class, deadline) {
+	if tier == core.TierStore && a.ledger.Rebuilt() && a.ledger.Item(name).State == core.Absent && !a.ensureSlot(now, name, base, class, deadline) {
 		return ledger.Loading
 	}
 	verdict := a.ledger.Load(now, ledger.LoadRequest{
 		Name: name, Base: base, Bytes: e.Memory, Accelerators: e.Accelerators, Source: tier,
-	}, func(name core.ModelName) float64 { return a.keep(now, name) })
+	}, func(name core.ModelName) float64 { return a.keepScore(now, name) })
 	if verdict == ledger.Evicting {
-		a.noteEvicted(now, name)
+		a.recordEvictions(now, name)
 	}
 	return verdict
 }
 
-// noteEvicted tells of the items that leave from this moment on for another.
-func (a *Agent) noteEvicted(now time.Time, wanted core.ModelName) {
+// recordEvictions logs and counts the items that are unloaded from now on to make
+// room for wanted.
+func (a *Agent) recordEvictions(now time.Time, wanted core.ModelName) {
 	for _, i := range a.ledger.Items() {
 		if i.State == core.Unloading && i.Since.Equal(now) {
 			a.Meter.Unload(meter.UnloadEvicted)
@@ -252,7 +254,8 @@
 	}
 }
 
-// tier is where the engine's host finds a checkpoint.
+// tier returns the nearest storage tier that holds an item's checkpoint for the
+// engine's host.
 func (a *Agent) tier(name core.ModelName) core.Tier {
 	for _, c := range a.state.Copies {
 		if c.Name == name {
@@ -262,20 +265,21 @@
 	return core.TierStore
 }
 
-// keep scores an item for eviction: what requests wait for stays, and among the
-// rest the policy of keeping models loaded decides.
-func (a *Agent) keep(now time.Time, name core.ModelName) float64 {
-	if a.wanted(name) {
+// keepScore returns how much an item is worth keeping loaded; the item with the
+// lowest score is evicted first. An item that requests wait for stays; for the
+// others the warm policy decides.
+func (a *Agent) keepScore(now time.Time, name core.ModelName) float64 {
+	if a.hasWaiting(name) {
 		return math.Inf(1)
 	}
 	return a.warm.Score(now, name)
 }
 
 // refuseLane refuses all waiting requests of a lane, so that their entries try
-// another host now and not after a deadline.
+// another host at once instead of after a deadline.
 func (a *Agent) refuseLane(now time.Time, l *lane, code core.Code, reason string) {
 	for _, r := range a.live {
-		if r.target == l.target && !r.began {
+		if r.target == l.target && !r.dispatched {
 			a.queue.Remove(r.id)
 			a.end(r, now, core.RefuseUntil(code, reason, now.Add(time.Second)))
 		}
@@ -283,7 +287,7 @@
 	l.cold = false
 }
 
-// finish takes a run's end from its goroutine.
+// finish records the end of a dispatched run. The run's goroutine calls it.
 func (a *Agent) finish(r *run, refusal *core.Refusal) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -298,8 +302,8 @@
 	a.queue.Finish(now, r.id, end)
 	l := a.lane(r.target)
 	l.running--
-	a.inWork--
-	a.useEnds(now, r.target)
+	a.active--
+	a.warmEnd(now, r.target)
 	if !a.Plain {
 		a.ledger.End(now, r.use)
 	}
@@ -313,5 +317,5 @@
 		events.Log(events.RequestMayHaveRun, "request", r.id, "code", refusal.Code, "reason", refusal.Reason)
 	}
 	a.schedule(now)
-	loop.Poke(a.alarm)
+	loop.Poke(a.deadlineWake)
 }
--- a/io/agent/serve.go
+++ b/io/agent/serve.go
@@ -13,16 +13,17 @@
 	"radishwell/wire"
 )
 
-// Paths of the interface between entries and agents.
+// Paths of the HTTP interface between entries and agents.
 const (
 	PathWork   = "/work"
 	PathCancel = "/cancel"
 )
 
-// maxBody bounds a body that an entry hands over; entries bound it first.
+// maxBody bounds the body of a request, in bytes. Entries enforce tighter limits
+// before.
 const maxBody = 1 << 30
 
-// Handler returns the interface for entries.
+// Handler returns the HTTP handler that serves entries.
 func (a *Agent) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathWork, a.serveWork)
@@ -30,7 +31,7 @@
 	return mux
 }
 
-// serveWork takes a request, or a reader that comes back for the rest of an
+// serveWork accepts a request, or a reader that reconnects for the rest of an
 // answer, and writes the answer as frames.
 func (a *Agent) serveWork(w http.ResponseWriter, r *http.Request) {
 	in := bufio.NewReader(r.Body)
@@ -45,12 +46,12 @@
 		return
 	}
 	out := relay.NewWriter(w)
-	run, refusal := a.take(head, body)
+	run, refusal := a.accept(head, body)
 	if refusal != nil {
 		_ = relay.Finish(out, a.refusalEnd(refusal))
 		return
 	}
-	defer a.left(run)
+	defer a.detachReader(run)
 	err = relay.Copy(r.Context(), out, a.source(run), head.GetOffset())
 	var lost *relay.LostError
 	if errors.As(err, &lost) {
@@ -60,14 +61,14 @@
 	}
 }
 
-// refusalEnd is the end of a request that was not let in. It carries the load
-// like others: an entry that took this process for its predecessor learns from
-// it that there is a new one.
+// refusalEnd returns the end frame for a request that was not accepted. Like
+// other end frames it carries the load: an entry that took this process for an
+// earlier one learns the new incarnation from it.
 func (a *Agent) refusalEnd(refusal *core.Refusal) *wire.End {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	e := relay.EndOf(refusal)
-	e.Load = a.load(a.Clock.Now(), nil)
+	e.Load = a.loadReport(a.Clock.Now(), nil)
 	return e
 }
 
@@ -90,7 +91,9 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Seal tells what became of an attempt, and forbids it where it has not come.
+// Seal returns the state of an attempt, and seals the attempt if it has not
+// arrived: it is then refused if it does. A call with Peek set only asks. Seal
+// serves the peer protocol.
 func (a *Agent) Seal(_ context.Context, c *wire.SealCall) *wire.SealReply {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -98,8 +101,8 @@
 		Owner: c.GetOwner(), Key: c.GetKey(), RequestId: c.GetKey(), Attempt: c.GetAttempt(), Incarnation: c.GetIncarnation(),
 		Fingerprint: c.GetFingerprint(), ClaimExpires: c.GetExpires(), Deadline: c.GetExpires(), HandOver: c.GetHandOver(),
 	})
-	// Without an incarnation the question may be about a predecessor, which may
-	// have run the request.
+	// Without an incarnation the call may concern an earlier process, which may
+	// have run the request, so callOf's default does not apply.
 	call.Incarnation = core.Incarnation(c.GetIncarnation())
 	if c.GetPeek() {
 		state, known := a.table.Peek(a.Clock.Now(), call)
--- a/io/agent/slots.go
+++ b/io/agent/slots.go
@@ -12,56 +12,63 @@
 )
 
 const (
-	// slotTime bounds one question to the decider.
-	slotTime = 500 * time.Millisecond
-	// slotPoll is how often due questions are looked for while loads wait.
-	slotPoll = 20 * time.Millisecond
-	// slotIdle is how long a slot outlives the last request that wanted it.
-	slotIdle = 5 * time.Second
-	// unknownAgents stands in for the number of agents that share the store while
-	// the platform's list has not been seen.
-	unknownAgents = 100
+	// slotTimeout bounds one call to the decider.
+	slotTimeout = 500 * time.Millisecond
+	// slotPollInterval is the time between two checks for slots to ask for or
+	// renew, while there are any.
+	slotPollInterval = 20 * time.Millisecond
+	// slotIdleTimeout is how long a slot is kept after a load last asked for it.
+	slotIdleTimeout = 5 * time.Second
+	// assumedAgents is the number of agents assumed to share the store while the
+	// platform's list of hosts has not been read.
+	assumedAgents = 100
 )
 
-// slot is leave to read one item from the weight store, or the wish for it.
+// slot is the permission to read one item from the weight store, or the pending
+// request for it.
 type slot struct {
-	ask     slots.Request
+	request slots.Request
 	name    core.ModelName
 	adapter bool
 	granted bool
-	// local tells that the leave is this agent's own, while the decider could
-	// not be reached.
+	// local is set if this agent granted the slot from its own share of the
+	// limits because the decider could not be reached.
 	local bool
-	// began is when the read began, renewed when the decider was last told.
-	began   time.Time
-	renewed time.Time
-	next    time.Time
-	wanted  time.Time
-	busy    bool
+	// grantedAt is when the slot was granted, lastRenewal when the decider was
+	// last asked to renew it, whether it answered or was unreachable.
+	grantedAt   time.Time
+	lastRenewal time.Time
+	// nextAsk is when the decider is asked again; asking is set during a call.
+	nextAsk time.Time
+	asking  bool
+	// lastWanted is when a load last asked for the slot.
+	lastWanted time.Time
 }
 
-// leaveTo asks for leave to read an item from the store. It returns false until
-// there is; the loop of askSlots asks the decider meanwhile. The lock is held.
-func (a *Agent) leaveTo(now time.Time, name, base core.ModelName, class core.Class, deadline time.Time) bool {
+// ensureSlot reports whether a slot to read an item from the store is granted. If
+// not, it records the request, and askSlots asks the decider. The caller holds
+// mu.
+func (a *Agent) ensureSlot(now time.Time, name, base core.ModelName, class core.Class, deadline time.Time) bool {
 	s := a.slots[name]
 	if s == nil {
-		s = &slot{name: name, adapter: base != "", next: now}
-		s.ask = slots.Request{ID: string(a.Host) + "/" + string(name), Host: a.Host, Class: class, Deadline: deadline}
+		s = &slot{name: name, adapter: base != "", nextAsk: now}
+		s.request = slots.Request{ID: string(a.Host) + "/" + string(name), Host: a.Host, Class: class, Deadline: deadline}
 		if e, ok := a.Snapshot().Model(name); ok {
-			s.ask.Owner, s.ask.Size = e.Owner, e.Memory
+			s.request.Owner, s.request.Size = e.Owner, e.Memory
 		}
 		a.slots[name] = s
-		loop.Poke(a.slotAlarm)
+		loop.Poke(a.slotWake)
 	}
-	s.ask.Class = min(s.ask.Class, class)
-	if deadline.Before(s.ask.Deadline) {
-		s.ask.Deadline = deadline
+	s.request.Class = min(s.request.Class, class)
+	if deadline.Before(s.request.Deadline) {
+		s.request.Deadline = deadline
 	}
-	s.wanted = now
+	s.lastWanted = now
 	return s.granted
 }
 
-// endSlot gives a slot back after a load; took is zero where it failed.
+// endSlot releases a slot after a load; ok reports whether the load succeeded.
+// The release carries the load's duration, 0 if it failed. The caller holds mu.
 func (a *Agent) endSlot(now time.Time, name core.ModelName, ok bool) {
 	s := a.slots[name]
 	if s == nil {
@@ -70,41 +77,41 @@
 	delete(a.slots, name)
 	var took time.Duration
 	if ok && s.granted {
-		took = now.Sub(s.began)
+		took = now.Sub(s.grantedAt)
 	}
 	if s.local {
-		a.localOf(s).End(s.ask.Size, took)
+		a.localShare(s).End(s.request.Size, took)
 		return
 	}
-	a.localOf(s).Observe(s.ask.Size, took)
-	a.work.Add(1)
+	a.localShare(s).Observe(s.request.Size, took)
+	a.background.Add(1)
 	go func() {
-		defer a.work.Done()
-		ctx, stop := context.WithTimeout(context.WithoutCancel(a.base), slotTime)
+		defer a.background.Done()
+		ctx, stop := context.WithTimeout(context.WithoutCancel(a.baseCtx), slotTimeout)
 		defer stop()
 		call := slotCall(s)
 		call.Release, call.Took = true, int64(took)
-		// A lost release costs the fleet a slot for its lifetime.
+		// If the release is lost, the slot stays taken until its lifetime ends.
 		_, _ = a.Slot(ctx, call)
 	}()
 }
 
-func (a *Agent) localOf(s *slot) *slots.Local {
+func (a *Agent) localShare(s *slot) *slots.Local {
 	if s.adapter {
-		return &a.ownAdapters
+		return &a.localAdapters
 	}
-	return &a.ownModels
+	return &a.localModels
 }
 
 func slotCall(s *slot) *wire.SlotCall {
 	return &wire.SlotCall{
-		Host: string(s.ask.Host), Name: string(s.name), Adapter: s.adapter, Class: uint32(s.ask.Class),
-		Deadline: s.ask.Deadline.UnixNano(), Bytes: int64(s.ask.Size), Id: s.ask.ID, Owner: string(s.ask.Owner), Holding: s.granted,
+		Host: string(s.request.Host), Name: string(s.name), Adapter: s.adapter, Class: uint32(s.request.Class),
+		Deadline: s.request.Deadline.UnixNano(), Bytes: int64(s.request.Size), Id: s.request.ID, Owner: string(s.request.Owner), Holding: s.granted,
 	}
 }
 
 // askSlots asks the decider for the slots that loads wait for, and renews those
-// that are held, until the context ends.
+// that are held, until ctx ends.
 func (a *Agent) askSlots(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -115,42 +122,43 @@
 		}
 		wait := time.Hour
 		if more {
-			wait = slotPoll
+			wait = slotPollInterval
 		}
 		timer.Reset(wait)
 		select {
 		case <-timer.C:
-		case <-a.slotAlarm:
+		case <-a.slotWake:
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// dueSlots returns the slots to ask for now, and whether there are any at all.
+// dueSlots returns the slots to ask for or renew now, and reports whether there
+// are any slots at all. It releases slots that are no longer wanted.
 func (a *Agent) dueSlots() (due []*slot, more bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock.Now()
 	for name, s := range a.slots {
 		absent := a.ledger.Item(name).State == core.Absent
-		if absent && now.After(s.wanted.Add(slotIdle)) {
+		if absent && now.After(s.lastWanted.Add(slotIdleTimeout)) {
 			a.endSlot(now, name, false)
 			continue
 		}
-		renew := s.granted && !s.local && now.After(s.renewed.Add(slots.RenewAfter))
-		if !s.busy && (renew || !s.granted && !now.Before(s.next)) {
-			s.busy = true
+		renew := s.granted && !s.local && now.After(s.lastRenewal.Add(slots.RenewAfter))
+		if !s.asking && (renew || !s.granted && !now.Before(s.nextAsk)) {
+			s.asking = true
 			due = append(due, s)
 		}
 	}
 	return due, len(a.slots) > 0
 }
 
-// askSlot asks the decider once, and goes by the agent's own share of the limits
-// where it does not answer.
+// askSlot asks the decider once. If the decider does not answer, the agent uses
+// its own share of the limits.
 func (a *Agent) askSlot(ctx context.Context, s *slot) {
-	ctx, stop := context.WithTimeout(ctx, slotTime)
+	ctx, stop := context.WithTimeout(ctx, slotTimeout)
 	defer stop()
 	a.mu.Lock()
 	call := slotCall(s)
@@ -159,32 +167,32 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock.Now()
-	s.busy = false
+	s.asking = false
 	switch {
 	case err != nil || reply.GetNotDecider():
-		a.ownLeave(now, s)
+		a.grantLocally(now, s)
 	case reply.GetGranted():
-		a.localOf(s).Reset()
+		a.localShare(s).Reset()
 		a.grantSlot(now, s, false)
-		s.renewed = now
+		s.lastRenewal = now
 	default:
-		s.next = now.Add(slots.RenewAfter / 4)
+		s.nextAsk = now.Add(slots.RenewAfter / 4)
 	}
 }
 
-func (a *Agent) ownLeave(now time.Time, s *slot) {
+func (a *Agent) grantLocally(now time.Time, s *slot) {
 	if s.granted {
-		s.renewed = now
+		s.lastRenewal = now
 		return
 	}
 	events.Log(events.SlotFallback, "model", s.name, "host", a.Host)
-	own := a.localOf(s)
-	if own.Agents = a.Agents(); own.Agents == 0 {
-		own.Agents = unknownAgents
+	share := a.localShare(s)
+	if share.Agents = a.Agents(); share.Agents == 0 {
+		share.Agents = assumedAgents
 	}
-	at, ok := own.Start(now)
+	at, ok := share.Start(now)
 	if !ok {
-		s.next = at
+		s.nextAsk = at
 		return
 	}
 	a.grantSlot(now, s, true)
@@ -194,7 +202,7 @@
 	if s.granted {
 		return
 	}
-	s.granted, s.local, s.began, s.renewed = true, local, now, now
+	s.granted, s.local, s.grantedAt, s.lastRenewal = true, local, now, now
 	a.schedule(now)
 	a.prewarmGranted(now, s)
 }
--- a/io/agent/tail.go
+++ b/io/agent/tail.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// tailSize is more than the end of any answer that is looked at.
+	// tailSize is how many of an answer's last bytes are kept, more than any
+	// terminator that is checked for.
 	tailSize = 64
 	// doneMark is the last event of an OpenAI stream.
 	doneMark = "data: [DONE]"
 	bodyEnd  = "}"
 )
 
-// tail tells a whole answer of an engine from one that was cut off.
+// tail detects answers of an engine that were cut off.
 //
-// An engine that is told to stop may end its connections in good order midway
-// through an answer. HTTP then shows an end like any other, and the caller would
-// take half an answer, marked done, for the whole. Answers of the OpenAI formats
-// show their own end: a stream by its last event, an object by its brace. The
-// end of a plain service's answer is HTTP's alone.
+// An engine that is being stopped may close its connections properly midway
+// through an answer. HTTP then shows a regular end, and the caller would get half
+// an answer marked as complete. Answers in the OpenAI formats have their own
+// terminator: the last event of a stream, the closing brace of an object. Answers
+// of a plain service have none besides HTTP's.
 type tail struct {
 	want string
 	last []byte
 }
 
-// tailOf returns what an answer must end with.
+// tailOf returns a tail that checks for the terminator of the answer's format.
 func tailOf(answer core.Answer, plain bool) tail {
 	if plain || answer.Status != http.StatusOK {
 		return tail{}
@@ -43,7 +44,7 @@
 	return tail{}
 }
 
-// add takes the answer's next bytes.
+// add appends the answer's next bytes.
 func (t *tail) add(p []byte) {
 	if t.want == "" {
 		return
@@ -52,8 +53,7 @@
 	t.last = append(t.last[:0], t.last[max(0, len(t.last)-tailSize):]...)
 }
 
-// check tells whether the answer that ended is whole; its error is an
-// UnfinishedError.
+// check returns an UnfinishedError if the answer that ended is not complete.
 func (t *tail) check() error {
 	if bytes.HasSuffix(bytes.TrimSpace(t.last), []byte(t.want)) {
 		return nil
@@ -61,7 +61,7 @@
 	return &UnfinishedError{Want: t.want}
 }
 
-// UnfinishedError reports an answer that ended without its format's last mark.
+// UnfinishedError reports an answer that ended without its format's terminator.
 type UnfinishedError struct{ Want string }
 
 // Error implements error.
--- a/io/agent/take.go
+++ b/io/agent/take.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// recordGrace is how long a request without a key is remembered past its
-	// deadline. An entry asks what became of it within seconds of losing contact.
+	// recordGrace is how long the record of a request without a key is kept after
+	// its deadline. An entry that loses contact asks for the outcome within
+	// seconds.
 	recordGrace = time.Minute
-	// keepEnded is how long the answer of a request without a key can be resumed
-	// after its end.
-	keepEnded = 10 * time.Second
-	sweepTime = time.Second
+	// endedRetention is how long the answer of a request without a key can be
+	// resumed after its end.
+	endedRetention = 10 * time.Second
+	sweepInterval  = time.Second
 )
 
-// callOf returns the identity of a handed-over request. One without an
-// idempotency key goes by its request id: the table then protects it, too, from
-// a hand-over that arrives twice, or after its entry has given it up.
+// callOf returns the identity of a request from an entry. A request without an
+// idempotency key is identified by its request id, so that the dedupe table also
+// refuses it if it arrives twice, or after its entry has given it up.
 func (a *Agent) callOf(h *wire.WorkHead) dedupe.Call {
 	c := dedupe.Call{
 		Attempt: h.GetAttempt(), Incarnation: core.Incarnation(h.GetIncarnation()),
@@ -43,9 +44,9 @@
 	return c
 }
 
-// take lets a handed-over request in: it returns the run to read the answer
+// accept accepts a request from an entry and returns the run to read the answer
 // from, which may be one that was started before.
-func (a *Agent) take(h *wire.WorkHead, body []byte) (*run, *core.Refusal) {
+func (a *Agent) accept(h *wire.WorkHead, body []byte) (*run, *core.Refusal) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock.Now()
@@ -62,7 +63,7 @@
 		return nil, verdict.Refusal
 	}
 	if !verdict.Start {
-		return a.found(call)
+		return a.attachReader(call)
 	}
 	r := a.newRun(now, h, body, call)
 	if refusal := a.check(now, r); refusal != nil {
@@ -73,15 +74,16 @@
 	return r, nil
 }
 
-// attach finds the run of an earlier hand-over; it starts nothing.
+// attach returns the run of an earlier hand-over of the request. It starts no
+// run.
 func (a *Agent) attach(now time.Time, call dedupe.Call) (*run, *core.Refusal) {
 	if verdict := a.table.Attach(now, call); verdict.Refusal != nil {
 		return nil, verdict.Refusal
 	}
-	return a.found(call)
+	return a.attachReader(call)
 }
 
-func (a *Agent) found(call dedupe.Call) (*run, *core.Refusal) {
+func (a *Agent) attachReader(call dedupe.Call) (*run, *core.Refusal) {
 	r := a.runs[call.ID]
 	if r == nil || r.call.Attempt != call.Attempt {
 		return nil, &core.Refusal{Code: core.CodeRanElsewhere, Outcome: core.MayHaveRun, Reason: "the answer is no longer held"}
@@ -105,13 +107,13 @@
 	return r
 }
 
-// check refuses what this host may not or should not run.
+// check returns a refusal for a request that this host may not or should not run.
 func (a *Agent) check(now time.Time, r *run) *core.Refusal {
 	if refusal := a.book.Refuse(now, r.call.Fingerprint); refusal != nil {
 		return refusal
 	}
-	if !a.reached {
-		return a.unreached(now)
+	if !a.reachable {
+		return a.unreachableRefusal(now)
 	}
 	if a.Plain {
 		if r.target.Model != "" || r.target.Service != a.Service {
@@ -134,7 +136,7 @@
 	return refusal
 }
 
-// enqueue puts the run into the queue, from which schedule takes it.
+// enqueue adds the run to the queue, from which schedule takes it.
 func (a *Agent) enqueue(now time.Time, r *run) {
 	l := a.lane(r.target)
 	l.waiting++
@@ -145,24 +147,24 @@
 		Cost: max(1, r.head.GetTokens()), Size: core.Bytes(len(r.body)),
 	})
 	for _, gone := range pushed.Displaced {
-		a.refused(now, gone)
+		a.endRefused(now, gone)
 	}
 	if pushed.Refusal != nil {
 		a.end(r, now, pushed.Refusal)
 		return
 	}
 	a.schedule(now)
-	loop.Poke(a.alarm)
+	loop.Poke(a.deadlineWake)
 }
 
-// refused ends a run that the queue has given up.
-func (a *Agent) refused(now time.Time, gone queue.Refused) {
+// endRefused ends a run that the queue has refused.
+func (a *Agent) endRefused(now time.Time, gone queue.Refused) {
 	if r := a.byID[gone.Item.ID]; r != nil {
 		a.end(r, now, gone.Refusal)
 	}
 }
 
-// end gives a run its final answer; a nil refusal is a whole answer.
+// end ends a run. A nil refusal stands for a complete answer.
 func (a *Agent) end(r *run, now time.Time, refusal *core.Refusal) {
 	if !r.ended.IsZero() {
 		return
@@ -179,15 +181,16 @@
 	a.table.Finish(now, r.call.ID, r.call.Attempt, dedupe.End{Refusal: refusal})
 	e := relay.EndOf(refusal)
 	e.Cold = r.cold
-	e.Load = a.load(now, []core.ModelName{r.target.Model, r.target.Base})
+	e.Load = a.loadReport(now, []core.ModelName{r.target.Model, r.target.Base})
 	e.Strikes = relay.StrikesOut(r.strikes)
 	r.spool.End(e)
-	r.trace(refusal, now)
+	r.recordTrace(refusal, now)
 }
 
-// source returns where a reader gets the run's answer from. The answer of a
-// keyed request is kept whole in the table, so that a repeat gets it from its
-// first byte; any other is held only around its reader's offset.
+// source returns the source that a reader reads the run's answer from. The answer
+// of a keyed request is kept whole in the dedupe table, so that a repeated
+// request gets it from its first byte; any other is buffered only around its
+// reader's offset.
 func (a *Agent) source(r *run) relay.Source {
 	if !r.keyed() {
 		return r.spool.Next
@@ -207,17 +210,17 @@
 	}
 }
 
-// left notes that a reader's connection has ended.
-func (a *Agent) left(r *run) {
+// detachReader records that a reader's connection has ended.
+func (a *Agent) detachReader(r *run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r.readers--
 	r.detached = a.Clock.Now()
 }
 
-// Cancel ends a request whose caller has gone. A keyed request, or one that may
-// not be repeated, goes on: its caller comes back for the answer, or wants the
-// call carried out.
+// Cancel ends a request whose caller has closed its connection. A keyed request
+// continues, since its caller may come back for the answer; so does a running
+// request that may not be repeated, since its caller may want it carried out.
 func (a *Agent) Cancel(id core.RequestID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -229,7 +232,7 @@
 func (a *Agent) abandon(r *run, now time.Time) {
 	switch {
 	case !r.ended.IsZero() || r.keyed():
-	case !r.began:
+	case !r.dispatched:
 		a.queue.Remove(r.id)
 		a.end(r, now, core.Refuse(core.CodeCancelled, causeCaller.Error()))
 	case r.head.GetRepeatable():
@@ -237,20 +240,21 @@
 	}
 }
 
-// sweep abandons runs that nobody reads any more and forgets ended ones.
+// sweep abandons runs that have had no reader for orphanGrace and removes ended
+// ones whose answers need not be kept.
 func (a *Agent) sweep(now time.Time) {
-	if now.Before(a.swept.Add(sweepTime)) {
+	if now.Before(a.lastSweep.Add(sweepInterval)) {
 		return
 	}
-	a.swept = now
+	a.lastSweep = now
 	a.table.Expire(now)
 	for id, r := range a.byID {
 		switch {
 		case r.ended.IsZero() && r.readers == 0 && now.After(r.detached.Add(orphanGrace)):
 			a.abandon(r, now)
 		case r.ended.IsZero() || r.readers > 0:
-		case r.keyed() && a.kept(r):
-		case now.After(r.ended.Add(keepEnded)):
+		case r.keyed() && a.answerKept(r):
+		case now.After(r.ended.Add(endedRetention)):
 			delete(a.byID, id)
 			if a.runs[r.call.ID] == r {
 				delete(a.runs, r.call.ID)
@@ -259,7 +263,7 @@
 	}
 }
 
-func (a *Agent) kept(r *run) bool {
+func (a *Agent) answerKept(r *run) bool {
 	_, ok := a.table.Read(r.call.ID, r.call.Attempt, 0)
 	return ok
 }
--- a/io/agent/warm.go
+++ b/io/agent/warm.go
@@ -11,15 +11,15 @@
 	"radishwell/io/meter"
 )
 
-// lookTime is how often idle items are looked at, and prewarmTime how often
-// items are that might be loaded ahead of need.
+// reviewInterval is the time between two reviews of idle items, prewarmInterval
+// the time between two checks for items to load ahead of need.
 const (
-	lookTime    = time.Second
-	prewarmTime = 20 * time.Second
+	reviewInterval  = time.Second
+	prewarmInterval = 20 * time.Second
 )
 
-// learn makes an item known to the policy.
-func (a *Agent) learn(name core.ModelName) {
+// registerItem adds an item to the warm policy, or updates it there.
+func (a *Agent) registerItem(name core.ModelName) {
 	e, ok := a.Snapshot().Model(name)
 	if !ok {
 		return
@@ -31,15 +31,16 @@
 	a.warm.Set(warm.Item{Name: name, Class: e.Class, Accelerators: part})
 }
 
-// useBegins and useEnds tell the policy of uses, an adapter's base with it.
-func (a *Agent) useBegins(now time.Time, t core.Target, class core.Class) {
+// warmBegin records in the warm policy that a request begins to use its model,
+// and the base of an adapter; warmEnd records the end of that use.
+func (a *Agent) warmBegin(now time.Time, t core.Target, class core.Class) {
 	for _, name := range itemsOf(t) {
-		a.learn(name)
+		a.registerItem(name)
 		a.warm.Begin(now, name, class)
 	}
 }
 
-func (a *Agent) useEnds(now time.Time, t core.Target) {
+func (a *Agent) warmEnd(now time.Time, t core.Target) {
 	for _, name := range itemsOf(t) {
 		a.warm.End(now, name)
 	}
@@ -56,44 +57,45 @@
 	}
 }
 
-// look unloads idle items that are not worth their accelerators' time any more,
-// measures how the accelerators are used, and loads ahead of need. The lock is
-// held.
-func (a *Agent) look(now time.Time) {
-	if a.Plain || now.Before(a.looked.Add(lookTime)) {
+// reviewItems unloads idle items that are no longer worth their accelerators'
+// time, measures how the accelerators are used, and loads items ahead of need.
+// The caller holds mu.
+func (a *Agent) reviewItems(now time.Time) {
+	if a.Plain || now.Before(a.lastReview.Add(reviewInterval)) {
 		return
 	}
-	a.measure(now)
-	a.looked = now
+	a.measureAccelerators(now)
+	a.lastReview = now
 	for _, i := range a.ledger.Items() {
-		if i.State != core.Loaded || i.Users > 0 || a.wanted(i.Name) || a.warm.KeepUntil(now, i.Name).After(now) {
+		if i.State != core.Loaded || i.Users > 0 || a.hasWaiting(i.Name) || a.warm.KeepUntil(now, i.Name).After(now) {
 			continue
 		}
-		if !a.known(i.Name) && now.Before(i.Since.Add(orphanKeep)) {
+		if !a.hasLane(i.Name) && now.Before(i.Since.Add(orphanRetention)) {
 			continue
 		}
 		if a.ledger.Unload(now, i.Name) {
 			a.Meter.Unload(meter.UnloadIdle)
-			loop.Poke(a.orders)
+			loop.Poke(a.driveWake)
 		}
 	}
-	if now.After(a.prewarmed.Add(prewarmTime)) {
-		a.prewarmed = now
+	if now.After(a.lastPrewarm.Add(prewarmInterval)) {
+		a.lastPrewarm = now
 		a.prewarm(now)
 	}
 }
 
-// orphanKeep is how long an item stays that this agent found loaded when it
-// started and knows no use of: its predecessor's callers come back meanwhile.
-const orphanKeep = 5 * time.Minute
+// orphanRetention is how long an item stays loaded that this agent found loaded
+// when it started and has had no request for: callers of the agent's earlier
+// process may come back within that time.
+const orphanRetention = 5 * time.Minute
 
-func (a *Agent) known(name core.ModelName) bool {
+func (a *Agent) hasLane(name core.ModelName) bool {
 	_, ok := a.lanes[string(name)]
 	return ok
 }
 
-// wanted tells whether requests wait for an item, or for an adapter on it.
-func (a *Agent) wanted(name core.ModelName) bool {
+// hasWaiting reports whether requests wait for an item, or for an adapter of it.
+func (a *Agent) hasWaiting(name core.ModelName) bool {
 	for _, l := range a.lanes {
 		if l.waiting > 0 && (l.target.Model == name || l.target.Base == name) {
 			return true
@@ -102,9 +104,10 @@
 	return false
 }
 
-// measure books the time since the last look as busy or idle accelerator time.
-func (a *Agent) measure(now time.Time) {
-	if a.looked.IsZero() {
+// measureAccelerators counts the time since the last review as busy or idle
+// accelerator time.
+func (a *Agent) measureAccelerators(now time.Time) {
+	if a.lastReview.IsZero() {
 		return
 	}
 	const (
@@ -128,12 +131,12 @@
 	for _, u := range use {
 		counts[u]++
 	}
-	a.Meter.Accelerators(counts[idle], false, a.looked, now)
-	a.Meter.Accelerators(counts[busy], true, a.looked, now)
+	a.Meter.Accelerators(counts[idle], false, a.lastReview, now)
+	a.Meter.Accelerators(counts[busy], true, a.lastReview, now)
 }
 
-// prewarm asks for loads ahead of need. They wait for their slots like others,
-// in the class that yields to all.
+// prewarm starts loads ahead of need. They wait for slots like other loads, in
+// the lowest class.
 func (a *Agent) prewarm(now time.Time) {
 	loaded := func(name core.ModelName) bool { return a.ledger.Item(name).State != core.Absent }
 	for _, advice := range a.warm.Prewarm(now, loaded) {
@@ -150,18 +153,18 @@
 		return
 	}
 	if base := e.Target.Base; base != "" && a.ledger.Item(base).State != core.Loaded {
-		a.loadItem(now, base, "", core.Overnight, now.Add(prewarmTime))
+		a.loadItem(now, base, "", core.Overnight, now.Add(prewarmInterval))
 		return
 	}
-	if a.loadItem(now, name, e.Target.Base, core.Overnight, now.Add(prewarmTime)) == ledger.Loading {
+	if a.loadItem(now, name, e.Target.Base, core.Overnight, now.Add(prewarmInterval)) == ledger.Loading {
 		events.Log(events.LoadStarted, "model", name, "host", a.Host, "ahead-of-need", true)
-		loop.Poke(a.orders)
+		loop.Poke(a.driveWake)
 	}
 }
 
-// prewarmGranted goes on with a load ahead of need once it may read the store.
+// prewarmGranted continues a load ahead of need once its slot is granted.
 func (a *Agent) prewarmGranted(now time.Time, s *slot) {
-	if !a.wanted(s.name) {
+	if !a.hasWaiting(s.name) {
 		a.prewarmItem(now, s.name)
 	}
 }
