--- a/io/engine/client.go
+++ b/io/engine/client.go
@@ -19,42 +19,44 @@
 )
 
 const (
-	// dialTimeout bounds a connection's set-up; hosts are in the same building.
+	// dialTimeout bounds the set-up of a connection. The hosts are in the same
+	// building.
 	dialTimeout = time.Second
-	// Keep-alive probes find a connection that something between the two ends
-	// has lost track of: three seconds after it went silent it is closed.
+	// TCP keep-alive probes find a connection that a device between the two ends
+	// has dropped: it is closed three seconds after it went silent.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// idleTime is how long an unused connection is kept. It is shorter than
-	// servers usually allow, so that a request is seldom written to a
-	// connection the server is closing.
-	idleTime = 10 * time.Second
-	maxIdle  = 256
+	// idleTimeout is how long an unused connection is kept. It is shorter than
+	// the usual timeout of servers, so that a request is seldom written to a
+	// connection that the server is closing.
+	idleTimeout  = 10 * time.Second
+	maxIdleConns = 256
 )
 
-// Header names of work handed to an engine.
+// Header names of requests to an engine.
 const (
 	headerRequest  = "X-Request-Id"
 	headerPriority = "X-Priority"
 	headerTrace    = "Traceparent"
 )
 
-// Client is a core.Engine over HTTP. Set the exported fields before first use.
+// Client implements core.Engine over HTTP. New makes one; the exported fields are
+// not changed after first use. It is safe for concurrent use.
 type Client struct {
-	// Address is where the upstream listens.
+	// Address is the address that the upstream listens on.
 	Address netip.AddrPort
-	// TLS is used towards the upstream where set.
+	// TLS is the TLS configuration, nil for plain HTTP.
 	TLS *tls.Config
-	// Plain tells that the upstream is a plain service. It has no report to give,
-	// and what is asked of it is a call to it, so it is only dialled.
+	// Plain is set if the upstream is a plain service. It has no state report, and
+	// any request to it is a call that it carries out, so State only dials it.
 	Plain bool
 
 	dialer    *net.Dialer
 	transport *http.Transport
 }
 
-// New returns a client of the upstream at address, over TLS if conf is set.
+// New returns a client of the upstream at address. It uses TLS if conf is not nil.
 func New(address netip.AddrPort, conf *tls.Config) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
@@ -62,8 +64,8 @@
 	return &Client{Address: address, TLS: conf, dialer: dialer, transport: &http.Transport{
 		DialContext:         dialer.DialContext,
 		TLSClientConfig:     conf,
-		MaxIdleConnsPerHost: maxIdle,
-		IdleConnTimeout:     idleTime,
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}}
 }
@@ -71,7 +73,8 @@
 // Close closes connections that are not in use.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// State implements core.Engine.
+// State implements core.Engine. For a plain service it returns an empty state and
+// only checks that the service accepts connections.
 func (c *Client) State(ctx context.Context) (core.EngineState, error) {
 	var st core.EngineState
 	if c.Plain {
@@ -91,7 +94,7 @@
 	return st, nil
 }
 
-// dial finds out whether a plain service takes connections.
+// dial checks whether a plain service accepts connections.
 func (c *Client) dial(ctx context.Context) error {
 	conn, err := c.dialer.DialContext(ctx, "tcp", c.Address.String())
 	if err != nil {
@@ -174,13 +177,14 @@
 	return core.Answer{Status: answer.StatusCode, Header: answer.Header, Body: answer.Body}, nil
 }
 
-// do sends a request once. The error tells whether the upstream can have seen
-// it: EngineUnreached only where no byte of it was written.
+// do sends a request once. Its error is an EngineError. The fault is
+// EngineUnreached only if no byte of the request was written, EngineLost if the
+// upstream may have received it.
 func (c *Client) do(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Response, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		// The hook runs before the head reaches the connection's buffer is
-		// flushed, so "not sent" is never claimed of a request that was.
+		// GotConn runs before any byte of the request is written, so a request
+		// that was written is never reported as not sent.
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
 	req, err := http.NewRequestWithContext(ctx, method, c.base()+path, nil)
@@ -190,7 +194,7 @@
 	if header != nil {
 		req.Header = header
 	}
-	req.Body = once{bytes.NewReader(body)}
+	req.Body = oneShotBody{bytes.NewReader(body)}
 	req.ContentLength = int64(len(body))
 	answer, err := c.transport.RoundTrip(req)
 	if err == nil {
@@ -209,10 +213,10 @@
 	return "http://" + c.Address.String()
 }
 
-// once is a body that net/http cannot rewind, and so cannot send again. The
-// transport repeats a request on a dead connection only if its body is absent
-// or can be had anew.
-type once struct{ io.Reader }
+// oneShotBody is a body that net/http cannot rewind and therefore cannot send
+// again. The transport repeats a request after a connection failure only if it
+// has no body or the body can be read again.
+type oneShotBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (once) Close() error { return nil }
+func (oneShotBody) Close() error { return nil }
--- a/io/engine/client_test.go
+++ b/io/engine/client_test.go
@@ -30,10 +30,10 @@
 	assert.Equal(t, fault.Fault, want)
 }
 
-// A treasurer posts a ledger entry once and finds it twice. The engine's host
-// had closed the kept connection just as the call was written to it; net/http
-// saw no answer, took the Idempotency-Key as leave to repeat, and sent the call
-// again on a new connection. The first one had run.
+// Guards against requests that run twice. If the server closes a reused
+// connection just as a request is written to it, net/http gets no answer and,
+// because of the Idempotency-Key, sends the request again on a new connection,
+// although the first one may have run.
 func TestNeverRepeats(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet} {
 		t.Run(method, func(t *testing.T) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// A plain service must not be asked for a report: whatever is asked of it is a
+// A plain service must not be asked for a state report: any request to it is a
 // call that it carries out.
 func TestPlainIsOnlyDialled(t *testing.T) {
 	var calls atomic.Int64
--- a/io/engine/doc.go
+++ b/io/engine/doc.go
@@ -1,8 +1,8 @@
-// Package engine is the client of one upstream: a model engine, which takes
-// orders beside its OpenAI-style interface, or a plain service.
+// Package engine is the HTTP client of one upstream: a model engine, which takes
+// orders besides its OpenAI-style interface, or a plain service.
 //
-// It never sends a request twice. net/http repeats some requests by itself when
-// a kept connection turns out to be dead, and it does so for every request that
-// carries an Idempotency-Key; the client prevents that, because a call that may
-// not be repeated would otherwise run twice without anybody's decision.
+// The client never sends a request twice. net/http repeats some requests if a
+// reused connection turns out to be dead, and it does so for every request that
+// has an Idempotency-Key. The client prevents that, since otherwise a request
+// that must not be repeated could run twice.
 package engine
