--- a/io/node/agent.go
+++ b/io/node/agent.go
@@ -24,9 +24,9 @@
 	upstream.Plain = s.Engine.Type == core.PlainService
 	a := &agent.Agent{
 		Host: s.Name, Service: s.Engine.Service, Plain: s.Engine.Type == core.PlainService, Incarnation: n.incarnation,
-		Engine: upstream, Clock: n.clock, Meter: n.meter, Tracer: n.tracer, Snapshot: n.world.snapshot,
-		Grant: n.grant, Release: n.release, Revoked: n.revoked, Spread: n.spread, KeptAnswers: s.Limits.KeptAnswers,
-		Slot: n.slot, Agents: func() int { return n.world.agents(s.Engine.Service) }, Worth: warm.DefaultWorth.Times(s.Warm.Worth),
+		Engine: upstream, Clock: n.clock, Meter: n.meter, Tracer: n.tracer, Snapshot: n.fleet.snapshot,
+		Grant: n.grantState, Release: n.releaseGrant, Revoked: n.revokedGrants, Spread: n.broadcastStrikes, KeptAnswers: s.Limits.KeptAnswers,
+		Slot: n.requestSlot, Agents: func() int { return n.fleet.agents(s.Engine.Service) }, Worth: warm.DefaultWorth.Times(s.Warm.Worth),
 		Store: agent.Store{Starts: s.Store.Starts, Parallel: s.Store.Parallel, Adapters: s.Store.Adapters},
 		Rand:  rand.New(rand.NewPCG(n.rand.Uint64(), n.rand.Uint64())),
 	}
@@ -34,8 +34,8 @@
 	n.handler.Probe = func(c *wire.ProbeCall) (*wire.HostLoad, error) { return a.Load(modelNames(c.GetNames())), nil }
 	n.handler.Seal = func(c *wire.SealCall) (*wire.SealReply, error) { return a.Seal(context.Background(), c), nil }
 	n.strikes, n.mergeStrikes = a.Strikes, a.MergeStrikes
-	n.addPart("agent", a.Run)
-	n.world.changed = func(o core.Object) { n.ownHost(a, o) }
+	n.addComponent("agent", a.Run)
+	n.fleet.onObject = func(o core.Object) { n.observeOwnHost(a, o) }
 	n.addServer(&httpd.Server{
 		Address: s.Listen.Work, Handler: a.Handler(), Peers: true, TLS: n.tlsOf([]string{"h2"}, certs.Entry),
 	})
@@ -43,14 +43,14 @@
 		ready: func() bool {
 			select {
 			case <-a.Ready():
-				return n.world.snapshot().Revision() > 0
+				return n.fleet.snapshot().Revision() > 0
 			default:
 				return false
 			}
 		},
 		drain: func(ctx context.Context) {
 			a.Leave()
-			loop.Sleep(ctx, leaveTime)
+			loop.Sleep(ctx, leaveDelay)
 			waitIdle(ctx, a.Idle)
 		},
 		explain: func(subject, name string) []string { return n.explainAgent(a, subject, name) },
@@ -58,11 +58,11 @@
 	return nil
 }
 
-// leaveTime is how long an agent goes on answering that it is leaving: the time
-// in which its mark crosses the fleet. Each request that meets a closed port
-// instead costs its entry a second, and each second here is one in which a
-// service with one host has none.
-const leaveTime = time.Second
+// leaveDelay is how long a stopping agent continues to answer that it is leaving,
+// the time its mark takes to reach the fleet. A request that meets a closed port
+// instead costs its entry a second; on the other hand, a service with one host is
+// unavailable during the delay.
+const leaveDelay = time.Second
 
 func modelNames(list []string) []core.ModelName {
 	out := make([]core.ModelName, len(list))
@@ -72,44 +72,46 @@
 	return out
 }
 
-// ownHost leaves when the platform's list says that this host is leaving: the
-// list lags, but a host may be reclaimed without a signal to its processes.
-func (n *Node) ownHost(a *agent.Agent, o core.Object) {
+// observeOwnHost makes the agent leave when the platform lists this host as
+// leaving. The list lags, but a host may be reclaimed without a signal to its
+// processes.
+func (n *Node) observeOwnHost(a *agent.Agent, o core.Object) {
 	if o.Kind != core.KindHost || o.Name != string(n.Settings.Name) {
 		return
 	}
 	var spec core.HostSpec
 	if json.Unmarshal(o.Spec, &spec) == nil && !o.Deleted && spec.State == core.HostLeaving {
-		n.leave()
+		n.markLeaving()
 		a.Leave()
 	}
 }
 
-// grant returns this host's grant of an item. It is certain only once the
-// platform itself has been read since the start: a peer's copy may be older than
-// a release that this process's predecessor made.
-func (n *Node) grant(name core.ModelName) (core.GrantState, bool) {
+// grantState returns the state of this host's grant for an item. It reports false
+// until the platform itself has been read since the start: a peer's copy may be
+// older than a release that an earlier process of this host made.
+func (n *Node) grantState(name core.ModelName) (core.GrantState, bool) {
 	if !n.store.Confirmed(core.KindGrant) || !n.store.Confirmed(core.KindHost) {
 		return "", false
 	}
-	state, _ := n.world.grantOf(n.Settings.Name, name)
+	state, _ := n.fleet.grantOf(n.Settings.Name, name)
 	return state, true
 }
 
-// revoked lists items whose grant was taken back, once that is certain.
-func (n *Node) revoked() []core.ModelName {
+// revokedGrants lists the items whose grants to this host are revoked. It returns
+// none until grants have been read from the platform itself.
+func (n *Node) revokedGrants() []core.ModelName {
 	if !n.store.Confirmed(core.KindGrant) {
 		return nil
 	}
-	return n.world.revokedOf(n.Settings.Name)
+	return n.fleet.revokedOf(n.Settings.Name)
 }
 
-// release takes this host out of an item's grant.
-func (n *Node) release(ctx context.Context, name core.ModelName) error {
-	ctx, stop := context.WithTimeout(ctx, writeTime)
+// releaseGrant removes this host from an item's grant.
+func (n *Node) releaseGrant(ctx context.Context, name core.ModelName) error {
+	ctx, stop := context.WithTimeout(ctx, writeTimeout)
 	defer stop()
-	g, ok := n.world.grant(name)
-	h, listed := n.world.host(n.Settings.Name)
+	g, ok := n.fleet.grant(name)
+	h, listed := n.fleet.host(n.Settings.Name)
 	if !ok || !listed {
 		return &UnknownHostError{Host: n.Settings.Name}
 	}
@@ -123,8 +125,8 @@
 	}
 	o, err := n.Platform.Update(ctx, core.Object{Kind: core.KindGrant, Name: string(name), Version: g.version, Spec: text})
 	if err != nil {
-		// A lost answer is settled by the watch: it brings the new version, in
-		// which this host is no holder, or the old one stays and this is tried
+		// If only the answer was lost, the watch brings the new version without
+		// this host. Otherwise the grant is still revoked and the release is tried
 		// again.
 		return err
 	}
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// NotRevokedError reports a release of a grant that was not taken back.
+// NotRevokedError reports the release of a grant that is not revoked.
 type NotRevokedError struct{ Model core.ModelName }
 
 // Error implements error.
--- a/io/node/decide.go
+++ b/io/node/decide.go
@@ -16,56 +16,57 @@
 )
 
 const (
-	// roundTime is the time between two looks of the decider, and roundBudget
-	// the most grants it writes in one: 60 writes a second, a sixth of what the
-	// platform takes.
-	roundTime   = 500 * time.Millisecond
-	roundBudget = 30
-	// writersAtOnce bounds the decider's writes in flight.
-	writersAtOnce = 8
-	// relistTime bounds the list of one kind.
-	relistTime = 5 * time.Second
-	// writeTime bounds one call of the platform.
-	writeTime = 2 * time.Second
+	// roundInterval is the time between two rounds of the decider, and
+	// roundBudget the most grants it writes in one: 60 writes a second, a sixth
+	// of what the platform accepts.
+	roundInterval = 500 * time.Millisecond
+	roundBudget   = 30
+	// maxConcurrentWrites bounds the decider's writes in flight.
+	maxConcurrentWrites = 8
+	// listTimeout bounds the list call for one kind.
+	listTimeout = 5 * time.Second
+	// writeTimeout bounds one call to the platform that writes or gets an object.
+	writeTimeout = 2 * time.Second
 	// statusBudget is the most catalogue statuses written in one round.
 	statusBudget = 20
 )
 
-// decider is the part of an entry that may decide for the fleet. Every entry has
-// one and keeps its view; only the holder of the lease writes.
+// decider decides for the fleet which hosts may load which models, in the form of
+// grants. Every entry has one and keeps its state current; only the holder of the
+// lease writes.
 type decider struct {
 	self     core.HostName
 	clock    core.Clock
 	platform core.Platform
-	world    *world
+	fleet    *fleetView
 
 	mu      sync.Mutex
 	lease   lease.Lease
 	planner place.Planner
 	decides bool
-	// demand adds up the entries' reports; the planner hears of all sums again
-	// at retellAt.
-	demand   place.Sums
-	retellAt time.Time
-	poke     chan struct{}
-	// listedAt is the fencing number under which everything was read last. It
-	// belongs to run.
-	listedAt core.Fence
-	// took is told when this entry begins and ends to decide, and whether nobody
-	// has decided before it.
-	took func(in, fresh bool)
+	// demand adds up the entries' reports. All sums are passed to the planner
+	// again at nextFullUpdate.
+	demand         place.Sums
+	nextFullUpdate time.Time
+	wake           chan struct{}
+	// listedFence is the fencing number under which all objects were last listed.
+	// Only run uses it.
+	listedFence core.Fence
+	// onChange is called when this entry begins or ceases to be the decider.
+	// first is set if there was no decider before it. The caller holds mu.
+	onChange func(deciding, first bool)
 }
 
-func newDecider(self core.HostName, incarnation core.Incarnation, clock core.Clock, platform core.Platform, w *world) *decider {
+func newDecider(self core.HostName, incarnation core.Incarnation, clock core.Clock, platform core.Platform, f *fleetView) *decider {
 	return &decider{
-		self: self, clock: clock, platform: platform, world: w,
-		lease: lease.Lease{Host: self, Incarnation: incarnation}, poke: make(chan struct{}, 1),
-		took: func(bool, bool) {},
+		self: self, clock: clock, platform: platform, fleet: f,
+		lease: lease.Lease{Host: self, Incarnation: incarnation}, wake: make(chan struct{}, 1),
+		onChange: func(bool, bool) {},
 	}
 }
 
-// seen takes an object that the process has learnt of.
-func (d *decider) seen(o core.Object) {
+// observe records an object that the process has received.
+func (d *decider) observe(o core.Object) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch o.Kind {
@@ -74,14 +75,14 @@
 			d.lease.ObserveObject(d.clock.Now(), o)
 		}
 	case core.KindHost:
-		d.seenHost(o)
+		d.observeHost(o)
 	case core.KindGrant:
-		d.seenGrant(o)
+		d.observeGrant(o)
 	}
-	loop.Poke(d.poke)
+	loop.Poke(d.wake)
 }
 
-func (d *decider) seenHost(o core.Object) {
+func (d *decider) observeHost(o core.Object) {
 	if o.Deleted {
 		d.planner.RemoveHost(place.HostID{Host: core.HostName(o.Name), UID: o.UID})
 		return
@@ -96,7 +97,7 @@
 	})
 }
 
-func (d *decider) seenGrant(o core.Object) {
+func (d *decider) observeGrant(o core.Object) {
 	name := core.ModelName(o.Name)
 	if o.Deleted {
 		d.planner.DeleteGrant(name, o.Version)
@@ -110,8 +111,8 @@
 	d.planner.SetGrant(name, s, o.Version)
 }
 
-// reported takes changes of the catalogue in force.
-func (d *decider) reported(list []catlog.Report, s *catlog.Snapshot) {
+// applyCatalogue passes changes of the catalogue to the planner.
+func (d *decider) applyCatalogue(list []catlog.Report, s *catlog.Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range list {
@@ -122,12 +123,12 @@
 			d.setOwner(core.OwnerName(r.Name), s)
 		}
 	}
-	loop.Poke(d.poke)
+	loop.Poke(d.wake)
 }
 
-// setEntry tells the planner of a model or adapter. One that is merely pending,
-// since what it refers to is not there yet, keeps its grants: it is not served
-// meanwhile, and comes back at the same version.
+// setEntry passes a model or adapter to the planner. An entry that is pending
+// because an object that it refers to is missing keeps its grants: it is not served
+// in the meantime and comes back at the same version.
 func (d *decider) setEntry(r catlog.Report, s *catlog.Snapshot) {
 	name := core.ModelName(r.Name)
 	e, ok := s.Model(name)
@@ -151,56 +152,58 @@
 	d.planner.SetOwner(name, limit)
 }
 
-// holder returns which entry decides, as far as this one knows.
+// holder returns the entry that holds the lease, as far as this one knows.
 func (d *decider) holder() core.HostName {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lease.Holder()
 }
 
-// deciding tells whether this entry decides at present.
-func (d *decider) deciding() bool {
+// isDeciding reports whether this entry is the decider.
+func (d *decider) isDeciding() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, decides := d.lease.Decides(d.clock.Now())
 	return decides
 }
 
-// run keeps the lease and, while this entry holds it, decides.
+// run acquires or renews the lease and decides while this entry holds it, until ctx
+// ends. It waits until known reports true. fresh reports whether this process itself
+// has read the grants from the platform.
 func (d *decider) run(ctx context.Context, known, fresh func() bool) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-		case <-d.poke:
-			// Changes come in bursts; the next look takes them together.
+		case <-d.wake:
+			// Changes arrive in bursts; one round handles all that have arrived.
 		case <-ctx.Done():
 			d.stepDown()
 			return nil
 		}
-		// A process that has not read everything from the platform could not
-		// decide anything, so it does not ask for the lease either.
+		// A process without a full replica can't decide, so it doesn't ask for
+		// the lease either.
 		if known() {
-			d.listed(fresh())
+			d.updatePriorHolder(fresh())
 			d.keepLease(ctx)
 			d.round(ctx)
 		}
-		timer.Reset(roundTime)
+		timer.Reset(roundInterval)
 	}
 }
 
-// listed tells the lease what the platform holds. Fresh tells that this process
-// itself has read the grants: only then does their absence mean that nobody has
-// decided before.
-func (d *decider) listed(fresh bool) {
-	blank := fresh && d.world.blank()
+// updatePriorHolder records in the lease whether there can have been a decider
+// before. Only if this process itself has read the grants from the platform (fresh)
+// does their absence show that there was none.
+func (d *decider) updatePriorHolder(fresh bool) {
+	none := fresh && d.fleet.noGrants()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lease.NoPriorHolder = blank
+	d.lease.NoPriorHolder = none
 }
 
-// keepLease makes the calls that the lease asks for.
+// keepLease makes the platform calls that core/lease asks for.
 func (d *decider) keepLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.mu.Lock()
@@ -214,11 +217,11 @@
 		d.lease.Answer(d.clock.Now(), leaseReply(o, err))
 		d.mu.Unlock()
 	}
-	d.noteLease()
+	d.recordTerm()
 }
 
 func (d *decider) callLease(ctx context.Context, a lease.Action) (core.Object, error) {
-	ctx, stop := context.WithTimeout(ctx, writeTime)
+	ctx, stop := context.WithTimeout(ctx, writeTimeout)
 	defer stop()
 	switch a.Call {
 	case lease.Create:
@@ -237,8 +240,8 @@
 	return lease.Reply{Failed: true, Fault: faultOf(err)}
 }
 
-// faultOf classes a platform's error; one that is none of its own leaves open
-// whether the call took effect.
+// faultOf returns the fault of a platform call. For an error of another type it
+// returns core.Unknown: the call may have taken effect.
 func faultOf(err error) core.PlatformFault {
 	var known *core.PlatformError
 	if errors.As(err, &known) {
@@ -247,7 +250,9 @@
 	return core.Unknown
 }
 
-func (d *decider) noteLease() {
+// recordTerm records and logs when this entry begins or ceases to be the decider, and
+// calls onChange.
+func (d *decider) recordTerm() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	fence, decides := d.lease.Decides(d.clock.Now())
@@ -255,7 +260,7 @@
 		return
 	}
 	d.decides = decides
-	d.took(decides, d.lease.NoPriorHolder)
+	d.onChange(decides, d.lease.NoPriorHolder)
 	if decides {
 		events.Log(events.LeaseTaken, "host", d.self, "fence", fence)
 		return
@@ -263,7 +268,8 @@
 	events.Log(events.LeaseLost, "host", d.self)
 }
 
-// round writes the grants that are due, and the statuses of catalogue entries.
+// round writes the grants that are due and the statuses of catalogue entries, if
+// this entry is the decider.
 func (d *decider) round(ctx context.Context) {
 	d.mu.Lock()
 	fence, decides := d.lease.Decides(d.clock.Now())
@@ -272,29 +278,29 @@
 		return
 	}
 	d.mu.Unlock()
-	if !d.relist(ctx, fence) {
+	if !d.listAll(ctx, fence) {
 		return
 	}
 	d.mu.Lock()
-	unproven := d.planner.UnknownHolders()
+	unknown := d.planner.UnknownHolders()
 	writes := d.planner.Round(d.clock.Now(), fence, roundBudget)
 	d.mu.Unlock()
-	for _, id := range unproven {
-		d.prove(ctx, id)
+	for _, id := range unknown {
+		d.verifyHolder(ctx, id)
 	}
 	d.writeAll(ctx, writes)
 	d.writeStatuses(ctx)
 }
 
-// relist reads everything from the platform once under each fencing number. What
-// peers have brought may be behind it, and a decision made from an older entry
-// or without the newest grants would have to be taken back.
-func (d *decider) relist(ctx context.Context, fence core.Fence) bool {
-	if d.listedAt == fence {
+// listAll lists all objects from the platform once per fencing number and reports
+// whether that has succeeded. Copies from peers may be outdated, and a decision based
+// on an older catalogue entry or older grants would have to be revoked.
+func (d *decider) listAll(ctx context.Context, fence core.Fence) bool {
+	if d.listedFence == fence {
 		return true
 	}
 	for _, kind := range storedKinds() {
-		call, stop := context.WithTimeout(ctx, relistTime)
+		call, stop := context.WithTimeout(ctx, listTimeout)
 		l, err := d.platform.List(call, kind)
 		stop()
 		if err != nil {
@@ -304,35 +310,36 @@
 		for i := range l.Objects {
 			l.Objects[i].Kind = kind
 		}
-		d.world.apply(l.Objects)
+		d.fleet.apply(l.Objects)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.listedAt = fence
+	d.listedFence = fence
 	d.planner.CatalogueListed()
 	return true
 }
 
-// prove asks the platform whether it still lists a holder's host.
-func (d *decider) prove(ctx context.Context, id place.HostID) {
-	ctx, stop := context.WithTimeout(ctx, writeTime)
+// verifyHolder asks the platform whether it still lists a holder's host, and removes
+// the host from the planner if not.
+func (d *decider) verifyHolder(ctx context.Context, id place.HostID) {
+	ctx, stop := context.WithTimeout(ctx, writeTimeout)
 	defer stop()
 	o, err := d.platform.Get(ctx, core.KindHost, string(id.Host))
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case err == nil && o.UID == id.UID:
-		d.seenHost(o)
+		d.observeHost(o)
 	case err == nil, faultOf(err) == core.NotFound:
 		d.planner.RemoveHost(id)
 	}
 }
 
-// writeStatuses tells operators how their entries stand. One process writes
-// them: the one that decides.
+// writeStatuses writes the statuses of catalogue entries for operators. Only the
+// decider does, so that they have one writer.
 func (d *decider) writeStatuses(ctx context.Context) {
-	for _, o := range d.world.due(statusBudget) {
-		call, stop := context.WithTimeout(ctx, writeTime)
+	for _, o := range d.fleet.dueStatuses(statusBudget) {
+		call, stop := context.WithTimeout(ctx, writeTimeout)
 		_, err := d.platform.UpdateStatus(call, o)
 		stop()
 		if err != nil && faultOf(err) != core.Conflict {
@@ -342,8 +349,8 @@
 	}
 }
 
-// stepDown gives the lease up at a planned stop, so that another entry need not
-// wait for its end.
+// stepDown releases the lease at a planned stop, so that another entry need not wait
+// until it expires.
 func (d *decider) stepDown() {
 	d.mu.Lock()
 	o, ok := d.lease.StepDown()
@@ -351,8 +358,8 @@
 	if !ok {
 		return
 	}
-	ctx, stop := context.WithTimeout(context.Background(), writeTime)
+	ctx, stop := context.WithTimeout(context.Background(), writeTimeout)
 	defer stop()
-	// A lost answer leaves the lease to its term.
+	// If the call fails, the lease expires at the end of its term.
 	_, _ = d.platform.Update(ctx, o)
 }
--- a/io/node/demand.go
+++ b/io/node/demand.go
@@ -8,14 +8,17 @@
 )
 
 const (
-	// demandAge is how long an entry's report counts; it covers two lost ones.
-	demandAge = 7 * time.Second
-	// retellTime bounds how late a changed limit of concurrency changes the need.
-	retellTime = 10 * time.Second
+	// demandLifetime is how long an entry's report counts, which allows for two
+	// lost reports.
+	demandLifetime = 7 * time.Second
+	// fullUpdateInterval bounds the time until a changed concurrency limit has an
+	// effect on the number of hosts needed.
+	fullUpdateInterval = 10 * time.Second
 )
 
-// takeDemand takes one entry's report and tells the planner the sums.
-func (d *decider) takeDemand(c *wire.DemandCall) {
+// recordDemand records one entry's report and passes the changed sums to the planner,
+// in hosts needed.
+func (d *decider) recordDemand(c *wire.DemandCall) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
@@ -23,20 +26,20 @@
 	for _, one := range c.GetDemands() {
 		work[core.ModelName(one.GetName())] = one.GetRequests()
 	}
-	changed := d.demand.SetReport(now, now.Add(demandAge), core.HostName(c.GetEntry()), work)
-	if !now.Before(d.retellAt) {
-		d.retellAt = now.Add(retellTime)
+	changed := d.demand.SetReport(now, now.Add(demandLifetime), core.HostName(c.GetEntry()), work)
+	if !now.Before(d.nextFullUpdate) {
+		d.nextFullUpdate = now.Add(fullUpdateInterval)
 		changed = append(changed, d.demand.Names()...)
 	}
 	for _, model := range changed {
 		per := hostConcurrency
-		if e, ok := d.world.snapshot().Model(model); ok && e.Limits.Concurrency > 0 {
+		if e, ok := d.fleet.snapshot().Model(model); ok && e.Limits.Concurrency > 0 {
 			per = e.Limits.Concurrency
 		}
 		d.planner.SetDemand(now, model, d.demand.Of(model)/float64(per))
 	}
 }
 
-// hostConcurrency is how many requests of one model a host works on at once
-// where the catalogue sets no limit; agents use the same number.
+// hostConcurrency is the number of requests of one model that a host runs at once if
+// the catalogue sets no limit. Package agent's defaultConcurrency is the same.
 const hostConcurrency = 64
--- a/io/node/entry.go
+++ b/io/node/entry.go
@@ -24,65 +24,65 @@
 	"radishwell/wire"
 )
 
-// demandTime is the time between two reports of an entry's demand.
-const demandTime = 2 * time.Second
+// demandInterval is the time between two reports of an entry's demand.
+const demandInterval = 2 * time.Second
 
 // buildEntry builds the entry role.
 func (n *Node) buildEntry(context.Context) error {
 	s := n.Settings
-	d := newDecider(s.Name, n.incarnation, n.clock, n.Platform, n.world)
-	n.meter.Decider(d.deciding)
-	n.world.reports = func(list []catlog.Report) {
-		n.catalogueChanged(list)
-		d.reported(list, n.world.snapshot())
+	d := newDecider(s.Name, n.incarnation, n.clock, n.Platform, n.fleet)
+	n.meter.Decider(d.isDeciding)
+	n.fleet.onReports = func(list []catlog.Report) {
+		n.logCatalogue(list)
+		d.applyCatalogue(list, n.fleet.snapshot())
 	}
-	journals := &entry.Journals{Self: s.Name, Clock: n.clock, Platform: n.Platform, Known: n.catalogueKnown, Entries: n.entryNames, Ask: n.askClaim}
+	journals := &entry.Journals{Self: s.Name, Clock: n.clock, Platform: n.Platform, Known: n.replicasFilled, Entries: n.entryNames, Ask: n.askClaim}
 	journals.Init()
 	e := &entry.Entry{
 		Name: s.Name, DataCentre: s.DataCentre, Clock: n.clock, Meter: n.meter, Tracer: n.tracer,
-		Rand: rand.New(rand.NewPCG(n.rand.Uint64(), n.rand.Uint64())), Snapshot: n.world.snapshot,
-		Hosts: n.hosts, Find: n.find, Share: n.share, OnContact: n.members.note,
+		Rand: rand.New(rand.NewPCG(n.rand.Uint64(), n.rand.Uint64())), Snapshot: n.fleet.snapshot,
+		Hosts: n.servingHosts, Find: n.findHost, Share: n.limitShare, OnContact: n.members.recordContact,
 		Probe: n.probe, Seal: n.seal, Claim: journals.Claim, KeyAge: s.Limits.KeyAge,
-		Relay: &entry.Relay{TLS: n.tlsToAgent()}, BroadcastStrikes: n.spread, SendStrikes: n.tell,
+		Relay: &entry.Relay{TLS: n.tlsToAgent()}, BroadcastStrikes: n.broadcastStrikes, SendStrikes: n.sendStrikes,
 	}
 	e.Init()
-	forgotten := make(chan core.Object, maxForgotten)
-	n.world.changed = func(o core.Object) {
-		d.seen(o)
+	deleted := make(chan core.Object, maxDeletedHosts)
+	n.fleet.onObject = func(o core.Object) {
+		d.observe(o)
 		if o.Kind == core.KindHost && o.Deleted {
-			// The entry's lock must not be taken here: its holder may be waiting
-			// for the world's. What does not fit is forgotten later or never, which
-			// costs some memory.
+			// The entry's mutex must not be locked here, since its holder may be
+			// waiting for the mutex of fleetView. Hosts that don't fit into the
+			// channel stay in the entry's tables, which costs some memory.
 			select {
-			case forgotten <- o:
+			case deleted <- o:
 			default:
 			}
 		}
 	}
-	n.addPart("forget", func(ctx context.Context) error { return forget(ctx, e, forgotten) })
+	n.addComponent("forget", func(ctx context.Context) error { return forgetHosts(ctx, e, deleted) })
 	n.handler.Claim = func(c *wire.ClaimCall) (*wire.ClaimReply, error) {
 		return journals.Serve(context.Background(), c), nil
 	}
-	weights := &store{limits: s.Store, clock: n.clock}
-	d.took = weights.decides
-	n.handler.Slot = func(c *wire.SlotCall) (*wire.SlotReply, error) { return weights.serve(c), nil }
+	slots := &slotServer{limits: s.Store, clock: n.clock}
+	d.onChange = slots.setDeciding
+	n.handler.Slot = func(c *wire.SlotCall) (*wire.SlotReply, error) { return slots.serve(c), nil }
 	n.handler.Demand = func(c *wire.DemandCall) (*wire.Empty, error) {
-		d.takeDemand(c)
+		d.recordDemand(c)
 		return &wire.Empty{}, nil
 	}
 	n.strikes, n.mergeStrikes = e.Strikes, e.MergeStrikes
-	n.addPart("entry", e.Run)
-	n.addPart("journals", journals.Run)
-	n.addPart("members", n.probeSuspects)
-	n.addPart("decider", func(ctx context.Context) error {
-		return d.run(ctx, n.catalogueKnown, func() bool { return n.store.Confirmed(core.KindGrant) })
+	n.addComponent("entry", e.Run)
+	n.addComponent("journals", journals.Run)
+	n.addComponent("members", n.probeSuspects)
+	n.addComponent("decider", func(ctx context.Context) error {
+		return d.run(ctx, n.replicasFilled, func() bool { return n.store.Confirmed(core.KindGrant) })
 	})
-	n.addPart("demand", func(ctx context.Context) error { return n.reportDemand(ctx, e, d) })
+	n.addComponent("demand", func(ctx context.Context) error { return n.reportDemand(ctx, e, d) })
 	n.addServer(n.callersServer(e))
 	n.role = role{
-		ready: func() bool { return n.world.snapshot().Revision() > 0 },
+		ready: func() bool { return n.fleet.snapshot().Revision() > 0 },
 		drain: func(ctx context.Context) {
-			loop.Sleep(ctx, steerTime)
+			loop.Sleep(ctx, drainDelay)
 			waitIdle(ctx, e.Idle)
 		},
 		explain: func(subject, name string) []string { return n.explainEntry(e, d, subject, name) },
@@ -91,17 +91,19 @@
 	return nil
 }
 
-// maxForgotten bounds the hosts that wait to be forgotten: a lost data centre.
-const maxForgotten = 1024
+// maxDeletedHosts bounds the deleted hosts that wait for forgetHosts. It suffices for
+// the loss of a data centre.
+const maxDeletedHosts = 1024
 
-// forget drops what an entry knows of hosts that the platform no longer lists.
-func forget(ctx context.Context, e *entry.Entry, gone <-chan core.Object) error {
+// forgetHosts removes hosts that the platform no longer lists from the entry's
+// tables, until ctx ends.
+func forgetHosts(ctx context.Context, e *entry.Entry, gone <-chan core.Object) error {
 	for {
 		select {
 		case o := <-gone:
 			var spec core.HostSpec
-			// The last specification tells the service; without it only the load
-			// is forgotten.
+			// The last specification names the service. Without it, Forget removes
+			// only the host's load.
 			_ = json.Unmarshal(o.Spec, &spec)
 			e.Forget(spec.Service, core.HostName(o.Name))
 		case <-ctx.Done():
@@ -110,7 +112,7 @@
 	}
 }
 
-// callersServer serves the callers' interface.
+// callersServer returns the server of the callers' interface.
 func (n *Node) callersServer(e *entry.Entry) *httpd.Server {
 	f := &front.Front{
 		Clock: n.clock, Serve: e.Serve, MaxBody: n.Settings.Limits.MaxBody, Deadline: n.Settings.Limits.Deadlines.At,
@@ -118,7 +120,7 @@
 			if !n.role.ready() {
 				return nil
 			}
-			return n.world.snapshot()
+			return n.fleet.snapshot()
 		},
 		Refused: func(id core.RequestID, r *core.Refusal) {
 			n.meter.Request(core.Interactive, r, n.clock.Now(), time.Time{}, n.clock.Now(), false)
@@ -126,16 +128,16 @@
 		},
 		NewID: newIDs(n.Settings.Name, n.incarnation),
 	}
-	out := &httpd.Server{Address: n.Settings.Listen.Callers, Handler: n.steer(f)}
+	out := &httpd.Server{Address: n.Settings.Listen.Callers, Handler: n.closeWhenLeaving(f)}
 	if n.callers != nil {
 		out.TLS = n.callers.Callers([]string{"h2", "http/1.1"})
 	}
 	return out
 }
 
-// steer has callers' connections closed after their answer while the process is
-// leaving, so that their next request goes to another entry.
-func (n *Node) steer(next http.Handler) http.Handler {
+// closeWhenLeaving closes callers' connections after their answer while the process
+// is leaving, so that their next request goes to another entry.
+func (n *Node) closeWhenLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.state.isLeaving() {
 			w.Header().Set("Connection", "close")
@@ -144,8 +146,8 @@
 	})
 }
 
-// newIDs returns a source of request ids: the host, its incarnation and a count,
-// so that none is drawn twice in the fleet.
+// newIDs returns a generator of request ids. An id consists of the host, its
+// incarnation and a counter, so that it is unique in the fleet.
 func newIDs(host core.HostName, life core.Incarnation) func() core.RequestID {
 	var count atomic.Uint64
 	prefix := string(host) + "-" + strconv.FormatUint(uint64(life), 36) + "-"
@@ -154,7 +156,8 @@
 	}
 }
 
-// tlsToAgent returns the configurations for streams from agents.
+// tlsToAgent returns a function that makes the TLS configuration for requests to an
+// agent, or nil without TLS.
 func (n *Node) tlsToAgent() func(core.HostName) *tls.Config {
 	if n.keeper == nil {
 		return nil
@@ -162,9 +165,9 @@
 	return func(host core.HostName) *tls.Config { return n.tlsTo(certs.Agent, host, "h2") }
 }
 
-// entryNames lists the live entries with this one among them, by name.
+// entryNames lists the live entries, including this one, sorted by name.
 func (n *Node) entryNames() []core.HostName {
-	list := n.world.entries()
+	list := n.fleet.entries()
 	if !slices.Contains(list, n.Settings.Name) {
 		list = append(list, n.Settings.Name)
 		slices.Sort(list)
@@ -172,14 +175,14 @@
 	return list
 }
 
-// share is this entry's part of owners' and models' limits.
-func (n *Node) share() admit.Share {
+// limitShare returns this entry's share of the limits of owners and models.
+func (n *Node) limitShare() admit.Share {
 	list := n.entryNames()
 	return admit.Share{Entries: len(list), Rank: slices.Index(list, n.Settings.Name)}
 }
 
 func (n *Node) askClaim(ctx context.Context, host core.HostName, c *wire.ClaimCall) (*wire.ClaimReply, error) {
-	h, ok := n.world.host(host)
+	h, ok := n.fleet.host(host)
 	if !ok {
 		return nil, &UnknownHostError{Host: host}
 	}
@@ -204,9 +207,10 @@
 	return n.client.Seal(ctx, peer.Target{Host: h.Name, Address: h.Control}, c)
 }
 
-// reportDemand tells the decider how much work this entry's models have.
+// reportDemand reports this entry's demand by model to the decider at an interval,
+// until ctx ends.
 func (n *Node) reportDemand(ctx context.Context, e *entry.Entry, d *decider) error {
-	tick := time.NewTicker(demandTime)
+	tick := time.NewTicker(demandInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -217,21 +221,22 @@
 		call := &wire.DemandCall{Entry: string(n.Settings.Name), Demands: e.Demand()}
 		holder := d.holder()
 		if holder == n.Settings.Name || holder == "" {
-			d.takeDemand(call)
+			d.recordDemand(call)
 			continue
 		}
-		h, ok := n.world.host(holder)
+		h, ok := n.fleet.host(holder)
 		if !ok || len(call.GetDemands()) == 0 {
 			continue
 		}
-		to, stop := context.WithTimeout(ctx, demandTime)
-		// A lost report is replaced by the next.
+		to, stop := context.WithTimeout(ctx, demandInterval)
+		// The next report replaces a lost one.
 		_, _ = n.client.Demand(to, peer.Target{Host: holder, Address: h.spec.Control}, call)
 		stop()
 	}
 }
 
-// quarantineRoutes let operators see and clear what is held against requests.
+// quarantineRoutes returns the paths on which operators list and clear the strikes
+// against requests.
 func quarantineRoutes(e *entry.Entry) map[string]operatorRoute {
 	return map[string]operatorRoute{
 		"GET /quarantine": func(w http.ResponseWriter, _ *http.Request) {
--- a/io/node/explain.go
+++ b/io/node/explain.go
@@ -8,14 +8,14 @@
 	"radishwell/io/entry"
 )
 
-// Subjects of explanations.
+// Subjects that operators can ask explanations of.
 const (
 	subjectRequest = "request"
 	subjectModel   = "model"
 	subjectHost    = "host"
 )
 
-// explainEntry answers from what an entry knows.
+// explainEntry explains a subject from an entry's state.
 func (n *Node) explainEntry(e *entry.Entry, d *decider, subject, name string) []string {
 	switch subject {
 	case subjectRequest:
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// explainAgent answers from what an agent knows.
+// explainAgent explains a subject from an agent's state.
 func (n *Node) explainAgent(a *agent.Agent, subject, name string) []string {
 	switch subject {
 	case subjectRequest:
@@ -43,16 +43,15 @@
 	return nil
 }
 
-// explainGrant tells how a model stands in the catalogue and where it may be
-// loaded.
+// explainGrant describes a model's entry in the catalogue and its grants.
 func (n *Node) explainGrant(name core.ModelName, d *decider) []string {
-	entry, ok := n.world.snapshot().Model(name)
+	entry, ok := n.fleet.snapshot().Model(name)
 	if !ok {
 		return []string{"no model or adapter " + string(name) + " is in force"}
 	}
 	lines := []string{fmt.Sprintf("%s of %s in %s, class %s, %s on each accelerator, in force since version %d",
 		entry.Kind, entry.Owner, entry.Target.Service, entry.Class, entry.Memory, entry.Version)}
-	g, ok := n.world.grant(name)
+	g, ok := n.fleet.grant(name)
 	if !ok {
 		return append(lines, "no host may load it yet; the decider is "+string(d.holder()))
 	}
@@ -62,9 +61,9 @@
 	return append(lines, fmt.Sprintf("decided under fence %d from entry version %d; the decider is %s", g.spec.Fence, g.spec.Entry, d.holder()))
 }
 
-// explainListed tells how a host stands in the platform's list.
+// explainListed describes a host as the platform lists it.
 func (n *Node) explainListed(name core.HostName) []string {
-	h, ok := n.world.host(name)
+	h, ok := n.fleet.host(name)
 	if !ok {
 		return []string{"the platform lists no host " + string(name)}
 	}
--- a/io/node/fleet_test.go
+++ b/io/node/fleet_test.go
@@ -49,8 +49,8 @@
 spec: {owner: guild, service: pool, class: interactive, memory: 1GiB, limits: {replicas: 2}}
 `
 
-// fleet is two entries and three agents as whole nodes, with a platform and
-// engines, all on the loopback.
+// fleet runs two entries and three agents as complete nodes, with a fake platform and
+// fake engines, on the loopback interface.
 type fleet struct {
 	t        *testing.T
 	platform *objapi.Client
@@ -58,14 +58,14 @@
 	nodes    map[string]*process
 }
 
-// process is one node that runs, or did.
+// process is one node, which may have been stopped.
 type process struct {
 	settings config.Settings
 	stop     context.CancelFunc
 	ended    chan error
 }
 
-func start(t *testing.T) *fleet {
+func startFleet(t *testing.T) *fleet {
 	t.Helper()
 	events.Discard()
 	list, err := ports.FreeOn(ports.Host(1), 2+2*3+3*4)
@@ -90,7 +90,8 @@
 			peers = append(peers, s.Listen.Control)
 		} else {
 			s.Role, s.Listen.Work = config.Agent, next()
-			// Loads take milliseconds here; what is loaded is to stay for the test.
+			// Loads take milliseconds here. The high worth keeps loaded models for
+			// the whole test.
 			s.Warm.Worth = 1000
 			s.Engine = config.Engine{Address: config.Origin{Addr: next()}, Type: core.EngineService, Service: "pool"}
 		}
@@ -124,7 +125,7 @@
 	return f
 }
 
-// background runs a stand-in until the test has ended.
+// background runs a fake server until the test has ended.
 func (f *fleet) background(run func(context.Context) error) {
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -171,8 +172,9 @@
 	}, poll.WithTimeout(40*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-// ask sends a request through one entry and returns its status.
-func (f *fleet) ask(entry, model string) int {
+// sendRequest sends a request to one entry and returns its status, 0 if there was no
+// answer.
+func (f *fleet) sendRequest(entry, model string) int {
 	body := fmt.Sprintf(`{"model":%q,"max_tokens":2,"messages":[{"role":"user","content":"x"}]}`, model)
 	url := "http://" + f.nodes[entry].settings.Listen.Callers.String() + "/v1/chat/completions"
 	req, err := http.NewRequestWithContext(f.t.Context(), http.MethodPost, url, strings.NewReader(body))
@@ -187,7 +189,8 @@
 	return resp.StatusCode
 }
 
-// explain asks a node's operators' interface.
+// explain returns the explanation of a node's operators' interface, or an empty string
+// if the node can't be reached.
 func (f *fleet) explain(name, subject, what string) string {
 	resp, err := http.Get("http://" + f.nodes[name].settings.Listen.Operators.String() + "/explain/" + subject + "/" + what)
 	if err != nil {
@@ -199,7 +202,7 @@
 	return string(text)
 }
 
-func (f *fleet) outage(down bool) {
+func (f *fleet) setOutage(down bool) {
 	f.t.Helper()
 	state := ""
 	if down {
@@ -226,10 +229,11 @@
 	}
 }
 
-// An operator edits an entry: the change is in force in every entry soon after.
-// A bad edit gets its reason in the entry's status, and what was in force stays.
+// An edit of a catalogue entry takes effect at every entry host. An invalid edit gets
+// its reason in the status of the catalogue entry, and the previous version stays in
+// force.
 func TestEditsInForce(t *testing.T) {
-	f := start(t)
+	f := startFleet(t)
 	f.edit(core.KindModel, "beta", func(spec []byte) []byte { return bytes.Replace(spec, []byte(`"1GiB"`), []byte(`"512MiB"`), 1) })
 	for _, name := range []string{"entry-1", "entry-2"} {
 		f.await("the edit is not in force at "+name, func() bool {
@@ -237,42 +241,40 @@
 		})
 	}
 	f.edit(core.KindModel, "beta", func([]byte) []byte { return []byte(`{"owner":"guild","memory":"much"}`) })
-	f.await("the status does not tell of the bad edit", func() bool {
+	f.await("the status does not report the invalid edit", func() bool {
 		o, err := f.platform.Get(t.Context(), core.KindModel, "beta")
 		status, ok := catlog.ParseStatus(o.Status)
 		return err == nil && ok && status.State == catlog.Rejected && len(status.Faults) > 0
 	})
 	assert.Assert(t, strings.Contains(f.explain("entry-2", "model", "beta"), "512MiB"))
-	assert.Equal(t, f.ask("entry-2", "beta"), http.StatusOK)
+	assert.Equal(t, f.sendRequest("entry-2", "beta"), http.StatusOK)
 }
 
-// The platform goes down. Cold models that have their grants are loaded and
-// served all the same; an entry that is restarted meanwhile has the catalogue
-// from its peers and serves within seconds; a restarted agent serves what its
-// engine holds.
+// During an outage of the platform, cold models with grants are still loaded and
+// served. An entry that is restarted gets the catalogue from its peers and serves
+// within seconds; a restarted agent serves the models that its engine holds.
 func TestPlatformOutage(t *testing.T) {
-	f := start(t)
-	f.await("entry-2 serves", func() bool { return f.ask("entry-2", "alpha") == http.StatusOK })
-	f.outage(true)
-	f.await("a cold model in the outage", func() bool { return f.ask("entry-1", "beta") == http.StatusOK })
+	f := startFleet(t)
+	f.await("entry-2 serves", func() bool { return f.sendRequest("entry-2", "alpha") == http.StatusOK })
+	f.setOutage(true)
+	f.await("a cold model in the outage", func() bool { return f.sendRequest("entry-1", "beta") == http.StatusOK })
 	for _, name := range []string{"entry-2", "agent-1", "agent-2", "agent-3"} {
 		p := f.nodes[name]
 		p.stop()
 		assert.NilError(t, <-p.ended)
 		f.run(p)
 	}
-	f.await("a restarted entry in the outage", func() bool { return f.ask("entry-2", "alpha") == http.StatusOK })
-	f.await("a restarted agent in the outage", func() bool { return f.ask("entry-1", "beta") == http.StatusOK })
-	f.outage(false)
-	f.await("after the outage", func() bool { return f.ask("entry-2", "beta") == http.StatusOK })
+	f.await("a restarted entry in the outage", func() bool { return f.sendRequest("entry-2", "alpha") == http.StatusOK })
+	f.await("a restarted agent in the outage", func() bool { return f.sendRequest("entry-1", "beta") == http.StatusOK })
+	f.setOutage(false)
+	f.await("after the outage", func() bool { return f.sendRequest("entry-2", "beta") == http.StatusOK })
 }
 
-// A host is to be replaced and the platform lists it as leaving. The only
-// replica of a model lies there: its agent lets go, and another host gets the
-// grant and serves.
+// The platform lists a host as leaving that holds the only replica of a model. Its
+// agent releases the grant, and another host gets it and serves the model.
 func TestLeavingHostHandsOver(t *testing.T) {
-	f := start(t)
-	assert.Equal(t, f.ask("entry-1", "alpha"), http.StatusOK)
+	f := startFleet(t)
+	assert.Equal(t, f.sendRequest("entry-1", "alpha"), http.StatusOK)
 	holder := func() string {
 		var spec core.GrantSpec
 		o, err := f.platform.Get(t.Context(), core.KindGrant, "alpha")
@@ -285,10 +287,11 @@
 	assert.Assert(t, old != "")
 	f.edit(core.KindHost, old, func(spec []byte) []byte { return bytes.Replace(spec, []byte(`"live"`), []byte(`"leaving"`), 1) })
 	f.await("the grant has not moved", func() bool { now := holder(); return now != "" && now != old })
-	f.await("the model is not served", func() bool { return f.ask("entry-2", "alpha") == http.StatusOK })
+	f.await("the model is not served", func() bool { return f.sendRequest("entry-2", "alpha") == http.StatusOK })
 }
 
-// metrics returns what a node serves to a scraper.
+// metrics returns a node's metrics page, or an empty string if the node can't be
+// reached.
 func (f *fleet) metrics(name string) string {
 	resp, err := http.Get("http://" + f.nodes[name].settings.Listen.Operators.String() + "/metrics")
 	if err != nil {
@@ -300,22 +303,22 @@
 	return string(text)
 }
 
-// An operator waited for an alarm on a queue that never came: ten metrics stood
-// on the page and nothing fed them. After one request all that a healthy fleet
-// has to tell is there; what counts faults and keyed calls needs those.
-func TestMetricsAreFed(t *testing.T) {
-	f := start(t)
-	f.await("an answer", func() bool { return f.ask("entry-1", "alpha") == http.StatusOK })
-	unfed := map[string]bool{
+// Guards against metrics that are declared but never set, so that an alarm on them
+// never fires; there were ten. After one request all metrics are present but those
+// that count faults or keyed calls.
+func TestMetricsAreExported(t *testing.T) {
+	f := startFleet(t)
+	f.await("an answer", func() bool { return f.sendRequest("entry-1", "alpha") == http.StatusOK })
+	absent := map[string]bool{
 		"radishwell_silent_connections_total": true, "radishwell_strikes_total": true, "radishwell_claims_total": true,
 		"radishwell_retries_total": true, "radishwell_unloads_total": true,
-		// Fed on a managed platform: io/deploy's tests of limits look at them.
+		// Set on a managed platform only; the tests of limits in io/deploy check them.
 		"radishwell_upstream_signal_sends_total": true, "radishwell_limited_upstreams": true,
-		// Sampled each second; the request is shorter.
+		// Sampled once a second; the request is shorter.
 		"radishwell_accelerator_busy_seconds_total": true,
 	}
 	for _, row := range meter.Rows() {
-		if unfed[row.Name] {
+		if absent[row.Name] {
 			continue
 		}
 		f.await(row.Name, func() bool {
--- a/io/node/gauge.go
+++ b/io/node/gauge.go
@@ -2,16 +2,17 @@
 
 import "radishwell/core/catlog"
 
-// showCatalogue has the metrics read how the catalogue stands here.
-func (n *Node) showCatalogue() {
-	n.meter.Revision(func() uint64 { return uint64(n.world.snapshot().Revision()) })
+// registerGauges registers functions that read the catalogue's revision and its
+// entries by state as gauges.
+func (n *Node) registerGauges() {
+	n.meter.Revision(func() uint64 { return uint64(n.fleet.snapshot().Revision()) })
 	for _, state := range []catlog.State{catlog.Accepted, catlog.Pending, catlog.Rejected} {
-		n.meter.Entries(string(state), func() int { return n.world.entriesIn(state) })
+		n.meter.Entries(string(state), func() int { return n.fleet.countEntries(state) })
 	}
 }
 
-func (w *world) entriesIn(state catlog.State) int {
-	w.mu.RLock()
-	defer w.mu.RUnlock()
-	return w.view.Count(state)
+func (f *fleetView) countEntries(state catlog.State) int {
+	f.mu.RLock()
+	defer f.mu.RUnlock()
+	return f.view.Count(state)
 }
--- a/io/node/grants.go
+++ b/io/node/grants.go
@@ -10,7 +10,7 @@
 )
 
 func (d *decider) writeAll(ctx context.Context, writes []place.Write) {
-	slots := make(chan struct{}, writersAtOnce)
+	slots := make(chan struct{}, maxConcurrentWrites)
 	ended := make(chan struct{}, len(writes))
 	for _, w := range writes {
 		slots <- struct{}{}
@@ -25,9 +25,9 @@
 	}
 }
 
-// write sends one grant. The lease is asked again right before: a process that
-// was paused since the round must not go on as the decider. What it sends all
-// the same is caught by the condition on the object's version.
+// write writes one grant. It checks the lease again right before, since a process that
+// was paused after the round may no longer be the decider. A write that is sent in
+// spite of that fails on the condition on the object's version.
 func (d *decider) write(ctx context.Context, w place.Write) {
 	d.mu.Lock()
 	_, decides := d.lease.Decides(d.clock.Now())
@@ -36,7 +36,7 @@
 	var fresh core.Object
 	if decides {
 		var err error
-		if fresh, err = d.send(ctx, w); err != nil {
+		if fresh, err = d.sendWrite(ctx, w); err != nil {
 			outcome = outcomeOf(err)
 			events.Fail(events.DecisionFailed, err, "model", w.Name)
 		} else {
@@ -48,20 +48,20 @@
 	d.mu.Unlock()
 	if outcome == place.Applied {
 		d.logGrant(w)
-		d.learn(w, fresh)
+		d.observeWrite(w, fresh)
 	}
 }
 
-// learn feeds a write's result to this process at once; its watch brings it to
-// the others.
-func (d *decider) learn(w place.Write, o core.Object) {
+// observeWrite applies a write's result to this process at once; other processes get
+// it from the watch.
+func (d *decider) observeWrite(w place.Write, o core.Object) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seenGrant(o)
+	d.observeGrant(o)
 }
 
-func (d *decider) send(ctx context.Context, w place.Write) (core.Object, error) {
-	ctx, stop := context.WithTimeout(ctx, writeTime)
+func (d *decider) sendWrite(ctx context.Context, w place.Write) (core.Object, error) {
+	ctx, stop := context.WithTimeout(ctx, writeTimeout)
 	defer stop()
 	text, err := json.Marshal(w.Spec)
 	if err != nil {
--- a/io/node/member.go
+++ b/io/node/member.go
@@ -15,22 +15,24 @@
 	"radishwell/wire"
 )
 
-// members is core/member with the calls round it.
+// members guards a member.Table, the health of the hosts as this process sees it, and
+// logs changes.
 type members struct {
 	clock core.Clock
 
 	mu    sync.Mutex
 	table member.Table
-	// told is the state of each host that was logged last.
-	told map[core.HostName]member.State
+	// logged is the state of each host that was logged last.
+	logged map[core.HostName]member.State
 }
 
 func newMembers(clock core.Clock, rng *rand.Rand) *members {
-	return &members{clock: clock, table: member.Table{Rand: rng}, told: map[core.HostName]member.State{}}
+	return &members{clock: clock, table: member.Table{Rand: rng}, logged: map[core.HostName]member.State{}}
 }
 
-// seen takes a host from the platform's list.
-func (m *members) seen(name core.HostName, state core.HostState, gone bool) {
+// setListed records a host's state in the platform's list; gone is set if the host is
+// no longer listed.
+func (m *members) setListed(name core.HostName, state core.HostState, gone bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if gone {
@@ -40,22 +42,22 @@
 	m.table.SetListed(name, state)
 }
 
-// note takes a contact with a host.
-func (m *members) note(c member.Contact) {
+// recordContact records the result of a contact with a host.
+func (m *members) recordContact(c member.Contact) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.table.RecordContact(m.clock.Now(), c)
-	m.tell(c.Host)
+	m.logChange(c.Host)
 }
 
-// tell logs a change of a host's state. The lock is held.
-func (m *members) tell(name core.HostName) {
+// logChange logs a change of a host's state. The caller holds mu.
+func (m *members) logChange(name core.HostName) {
 	v := m.table.Judge(m.clock.Now(), name)
-	was := m.told[name]
+	was := m.logged[name]
 	if v.State == was {
 		return
 	}
-	m.told[name] = v.State
+	m.logged[name] = v.State
 	switch v.State {
 	case member.Suspect:
 		events.Log(events.HostSuspected, "host", name, "reason", v.Reason)
@@ -66,12 +68,12 @@
 	}
 }
 
-// markStarted is the mark of a process that has just started. Without it a host
-// that said it was leaving is known to be back only when it is probed next.
+// markStarted is the kind of the mark of a process that has just started. Without it,
+// a host that had marked itself as leaving would count as leaving until its next probe.
 const markStarted = "started"
 
-// marked takes marks of leaving and started hosts from peers.
-func (m *members) marked(list []peer.Mark) {
+// applyMarks applies marks of leaving and started hosts from peers.
+func (m *members) applyMarks(list []peer.Mark) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
@@ -82,12 +84,12 @@
 		case markStarted:
 			m.table.RecordContact(now, member.Contact{Host: one.Host, OK: true, Incarnation: one.Incarnation})
 		}
-		m.tell(one.Host)
+		m.logChange(one.Host)
 	}
 }
 
-// judge puts membership's word on a list of hosts.
-func (m *members) judge(list []entry.Host) []entry.Host {
+// withHealth returns the hosts with their health as membership sees it.
+func (m *members) withHealth(list []entry.Host) []entry.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
@@ -110,23 +112,23 @@
 	}
 }
 
-func (m *members) due() []core.HostName {
+func (m *members) dueProbes() []core.HostName {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.DueProbes(m.clock.Now())
 }
 
 const (
-	// dueTime is how often hosts to be probed are looked for.
-	dueTime = 250 * time.Millisecond
-	// memberProbe bounds a probe of a suspect.
-	memberProbe = 500 * time.Millisecond
+	// probeCheckInterval is the time between two checks for hosts to probe.
+	probeCheckInterval = 250 * time.Millisecond
+	// memberProbeTimeout bounds the probe of a suspect.
+	memberProbeTimeout = 500 * time.Millisecond
 )
 
-// probeSuspects asks suspects for a sign of life, so that they get work again
-// without a request being risked on them.
+// probeSuspects probes suspects until ctx ends, so that they get requests again
+// without one being risked on them.
 func (n *Node) probeSuspects(ctx context.Context) error {
-	tick := time.NewTicker(dueTime)
+	tick := time.NewTicker(probeCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -134,7 +136,7 @@
 		case <-ctx.Done():
 			return nil
 		}
-		due := n.members.due()
+		due := n.members.dueProbes()
 		ended := make(chan struct{}, len(due))
 		for _, name := range due {
 			go func() { n.probeSuspect(ctx, name); ended <- struct{}{} }()
@@ -146,15 +148,15 @@
 }
 
 func (n *Node) probeSuspect(ctx context.Context, name core.HostName) {
-	h, ok := n.world.host(name)
+	h, ok := n.fleet.host(name)
 	if !ok {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, memberProbe)
+	ctx, stop := context.WithTimeout(ctx, memberProbeTimeout)
 	defer stop()
 	asked := n.clock.Now()
 	load, err := n.client.Probe(ctx, peer.Target{Host: name, Address: h.spec.Control}, &wire.ProbeCall{})
-	n.members.note(member.Contact{
+	n.members.recordContact(member.Contact{
 		Host: name, OK: err == nil, Since: asked, Incarnation: core.Incarnation(load.GetIncarnation()), Leaving: load.GetLeaving(),
 	})
 }
--- a/io/node/mesh.go
+++ b/io/node/mesh.go
@@ -24,36 +24,37 @@
 	"radishwell/wire"
 )
 
-// prepareStore sets up the replicas and the calls of other processes.
+// prepareStore sets up the replicas of the platform's objects and the client for
+// calls to other processes.
 func (n *Node) prepareStore() error {
 	if n.Platform == nil {
 		if err := n.preparePlatform(); err != nil {
 			return err
 		}
 	}
-	n.Platform = &measured{Platform: n.Platform, meter: n.meter, clock: n.clock}
-	n.client = &peer.Client{TLS: n.tlsToPeer(), Silent: n.silent, Called: n.meter.Peer}
+	n.Platform = &meteredPlatform{Platform: n.Platform, meter: n.meter, clock: n.clock}
+	n.client = &peer.Client{TLS: n.tlsToPeer(), Silent: n.recordSilence, Called: n.meter.Peer}
 	self := peer.Target{Host: n.Settings.Name, Address: n.Settings.Listen.Control}
 	n.store = &peer.Store{
 		Self: self, Kinds: storedKinds(), Confirm: n.confirmKinds(), Platform: n.Platform, Client: n.client, Clock: n.clock,
-		Peers: n.peers, Seed: uint64(n.incarnation), Changed: n.world.apply, Marked: n.members.marked,
+		Peers: n.peers, Seed: uint64(n.incarnation), Changed: n.fleet.apply, Marked: n.members.applyMarks,
 		Strikes: func() []*wire.Strike { return relay.StrikesOut(n.strikes()) },
-		Struck:  n.struck, Failed: n.failed,
+		Struck:  n.receiveStrikes, Failed: n.logFailure,
 	}
 	stale.Feed(n.meter, n.store)
 	n.handler.Sync, n.handler.Fetch = n.store.Serve, n.store.ServeFetch
-	n.addPart("store", n.store.Run)
+	n.addComponent("store", n.store.Run)
 	return nil
 }
 
-// preparePlatform makes clients of the platform's addresses.
+// preparePlatform makes the platform's clients from the settings, one per address.
 func (n *Node) preparePlatform() error {
 	conf, err := n.platformTLS()
 	if err != nil {
 		return err
 	}
 	tokens := &tokenFile{path: n.Settings.Platform.TokenFile, clock: n.clock}
-	links := &chain{}
+	platforms := &failoverPlatform{}
 	for _, at := range n.Settings.Platform.URLs {
 		c := &objapi.Client{
 			Address: at.Addr, Writes: objapi.Budget{PerSecond: platformWrites, Burst: platformWrites},
@@ -65,14 +66,14 @@
 		if tokens.path != "" {
 			c.TokenSource = tokens.token
 		}
-		links.links = append(links.links, c)
+		platforms.clients = append(platforms.clients, c)
 	}
-	n.Platform = links
+	n.Platform = platforms
 	return nil
 }
 
-// platformTLS checks the platform's certificates against the file of the
-// settings.
+// platformTLS returns the TLS configuration that verifies the platform's certificates
+// with the CA file of the settings, or nil if there is none.
 func (n *Node) platformTLS() (*tls.Config, error) {
 	file := n.Settings.Platform.CA
 	if file == "" {
@@ -89,21 +90,21 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}, nil
 }
 
-// platformWrites and platformReads bound the calls a second of one process: a
-// decider in a wave writes 60 grants and 80 groups of claims.
+// platformWrites and platformReads bound the calls a second of one process. A decider
+// under load writes 60 grants and 80 groups of claims a second.
 const (
 	platformWrites = 150
 	platformReads  = 200
 )
 
-// storedKinds are the kinds that every process keeps a replica of.
+// storedKinds returns the kinds of which every process keeps a replica.
 func storedKinds() []core.Kind {
 	return append(core.CatalogueKinds(), core.KindHost, core.KindGrant, core.KindLease)
 }
 
-// confirmKinds are the kinds that this process reads from the platform itself,
-// whatever its peers have. An agent loads nothing on a peer's word; a decider
-// decides nothing on it.
+// confirmKinds returns the kinds that the store reads from the platform itself, even
+// if peers have them. An agent loads nothing by a peer's copy of the grants. A decider
+// doesn't rely on peers' copies either, but lists all kinds itself in listAll.
 func (n *Node) confirmKinds() []core.Kind {
 	if n.Settings.Role == config.Agent {
 		return []core.Kind{core.KindGrant, core.KindHost}
@@ -111,10 +112,10 @@
 	return nil
 }
 
-// peers lists the other processes: those the platform lists, and those of the
-// settings, which are all that is known when the platform is down at the start.
+// peers lists the other processes: those that the platform lists and those of the
+// settings. The latter are the only ones known if the platform is down at the start.
 func (n *Node) peers() []peer.Target {
-	list := n.world.targets()
+	list := n.fleet.controlTargets()
 	known := map[netip.AddrPort]bool{n.Settings.Listen.Control: true}
 	for _, t := range list {
 		known[t.Address] = true
@@ -127,13 +128,14 @@
 	return list
 }
 
-// tlsToPeer returns the configurations for calls of any own process.
+// tlsToPeer returns a function that makes the TLS configuration for calls to a
+// process of the fleet, or nil without TLS.
 func (n *Node) tlsToPeer() func(core.HostName) *tls.Config {
 	if n.keeper == nil {
 		return nil
 	}
 	return func(host core.HostName) *tls.Config {
-		h, ok := n.world.host(host)
+		h, ok := n.fleet.host(host)
 		switch {
 		case !ok:
 			return n.keeper.AnyClient(nil)
@@ -145,55 +147,58 @@
 	}
 }
 
-// hosts lists the hosts that may serve a target, as membership sees them.
-func (n *Node) hosts(t core.Target) []entry.Host { return n.members.judge(n.world.serving(t)) }
+// servingHosts lists the hosts that may serve a target, with their health.
+func (n *Node) servingHosts(t core.Target) []entry.Host {
+	return n.members.withHealth(n.fleet.serving(t))
+}
 
-// find returns one host as membership sees it.
-func (n *Node) find(name core.HostName) (entry.Host, bool) {
-	h, ok := n.world.entryHost(name)
+// findHost returns one host with its health.
+func (n *Node) findHost(name core.HostName) (entry.Host, bool) {
+	h, ok := n.fleet.entryHost(name)
 	if !ok {
 		return h, false
 	}
-	return n.members.judge([]entry.Host{h})[0], true
+	return n.members.withHealth([]entry.Host{h})[0], true
 }
 
-// markAge is how long a leaving mark counts: the platform's list, which lags by
-// less, has the host as leaving or gone by then.
-const markAge = 5 * time.Minute
+// leavingMarkLifetime is how long a leaving mark counts. The platform's list lags by
+// less and shows the host as leaving or gone by then.
+const leavingMarkLifetime = 5 * time.Minute
 
-// leave tells peers that this process takes no new work.
-func (n *Node) leave() { n.mark(peer.MarkLeaving, markAge) }
+// markLeaving notifies peers that this process accepts no new requests.
+func (n *Node) markLeaving() { n.mark(peer.MarkLeaving, leavingMarkLifetime) }
 
-// startedAge is how long peers pass on that a process has started: longer than a
-// mark takes to cross the fleet.
-const startedAge = 30 * time.Second
+// startedMarkLifetime is how long peers pass on that a process has started. It is
+// longer than a mark takes to reach the whole fleet.
+const startedMarkLifetime = 30 * time.Second
 
-// started tells peers that this process takes work now.
-func (n *Node) started() { n.mark(markStarted, startedAge) }
+// markReady notifies peers that this process accepts requests.
+func (n *Node) markReady() { n.mark(markStarted, startedMarkLifetime) }
 
 func (n *Node) mark(kind string, age time.Duration) {
 	n.store.Mark(peer.Mark{Host: n.Settings.Name, Kind: kind, Incarnation: n.incarnation, Expires: n.clock.Now().Add(age)})
 }
 
 const (
-	// mostTold bounds the entries that are told of strikes one by one. Beyond it
-	// the exchange between peers, which takes a second or two, has to do.
-	mostTold = 32
-	// tellTime bounds one such call. A request that was lost with its engine is
-	// answered after it, so that its repeat meets entries that know.
-	tellTime = 500 * time.Millisecond
+	// maxStrikeCalls bounds the entries that strikes are sent to directly. Others
+	// get them by the exchange between peers, which takes a second or two.
+	maxStrikeCalls = 32
+	// strikeTimeout bounds one such call. A request that was lost in a crash of its
+	// engine is answered only after these calls, so that entries know of the
+	// strike when the caller repeats the request.
+	strikeTimeout = 500 * time.Millisecond
 )
 
-// spread sends strikes to all entries at once, and to the others with the next
-// exchange between peers.
-func (n *Node) spread(list []strike.Record) {
+// broadcastStrikes sends strikes to up to maxStrikeCalls entries and waits for the
+// calls to end. Other processes get the strikes by the next exchange between peers.
+func (n *Node) broadcastStrikes(list []strike.Record) {
 	n.store.Kick()
-	entries := n.world.entries()
-	entries = entries[:min(len(entries), mostTold)]
+	entries := n.fleet.entries()
+	entries = entries[:min(len(entries), maxStrikeCalls)]
 	ended := make(chan struct{}, len(entries))
 	for _, name := range entries {
 		go func() {
-			n.tell(name, list)
+			n.sendStrikes(name, list)
 			ended <- struct{}{}
 		}()
 	}
@@ -202,25 +207,25 @@
 	}
 }
 
-// tell sends strikes to one host.
-func (n *Node) tell(host core.HostName, list []strike.Record) {
-	h, ok := n.world.host(host)
+// sendStrikes sends strikes to one host.
+func (n *Node) sendStrikes(host core.HostName, list []strike.Record) {
+	h, ok := n.fleet.host(host)
 	if !ok {
 		return
 	}
-	ctx, stop := context.WithTimeout(context.Background(), tellTime)
+	ctx, stop := context.WithTimeout(context.Background(), strikeTimeout)
 	defer stop()
-	// A lost call is made up for by the exchange between peers.
+	// If the call fails, the exchange between peers delivers the strikes.
 	_, _ = n.client.Sync(ctx, peer.Target{Host: host, Address: h.spec.Control}, &wire.SyncCall{
 		From: string(n.Settings.Name), Strikes: relay.StrikesOut(list),
 	})
 }
 
-// struck takes peers' strikes and tells whether any was news.
-func (n *Node) struck(list []*wire.Strike) bool { return n.mergeStrikes(relay.StrikesIn(list)) }
+// receiveStrikes merges strikes from peers and reports whether any was new.
+func (n *Node) receiveStrikes(list []*wire.Strike) bool { return n.mergeStrikes(relay.StrikesIn(list)) }
 
-// failed logs calls of platform and peers that failed.
-func (n *Node) failed(err error) {
+// logFailure logs a failed call to the platform or a peer.
+func (n *Node) logFailure(err error) {
 	var platform *core.PlatformError
 	if errors.As(err, &platform) {
 		events.Fail(events.WatchRestarted, err, "kind", platform.Kind)
@@ -229,9 +234,9 @@
 	stale.Failed(err)
 }
 
-// catalogueKnown tells that this process has the whole catalogue, the hosts
-// and the grants, as the platform said to it or to a peer not long ago.
-func (n *Node) catalogueKnown() bool {
+// replicasFilled reports whether this process has replicas of the whole catalogue,
+// the hosts, the grants and the lease, from the platform or from a peer.
+func (n *Node) replicasFilled() bool {
 	for _, k := range storedKinds() {
 		if n.store.Status(k).Through == 0 {
 			return false
@@ -240,8 +245,9 @@
 	return true
 }
 
-// silent notes a control connection that was closed for its silence.
-func (n *Node) silent(to peer.Target) {
+// recordSilence counts and logs a control connection that was closed because it had
+// gone silent.
+func (n *Node) recordSilence(to peer.Target) {
 	n.meter.Silent()
 	events.Log(events.ConnectionSilent, "host", to.Host, "address", to.Address)
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -24,18 +24,18 @@
 	"radishwell/io/spans"
 )
 
-// Clock is the real time.
+// Clock implements core.Clock with the system clock.
 type Clock struct{}
 
 // Now implements core.Clock.
 func (Clock) Now() time.Time { return time.Now() }
 
-// Node is one process. Set the exported fields before Run.
+// Node is one process of the fleet. The exported fields are set before Run.
 type Node struct {
 	Settings config.Settings
-	// Platform is the object API; where nil, a client is made of the settings.
+	// Platform is the object API. If it is nil, Run makes a client from the settings.
 	Platform core.Platform
-	// Ready, if set, is called once the process serves.
+	// Ready, if not nil, is called once when the process is ready to serve.
 	Ready func()
 
 	clock        core.Clock
@@ -45,7 +45,7 @@
 	callers      *certs.Keeper
 	meter        *meter.Meter
 	tracer       *spans.Tracer
-	world        *world
+	fleet        *fleetView
 	store        *peer.Store
 	strikes      func() []strike.Record
 	mergeStrikes func([]strike.Record) bool
@@ -54,25 +54,27 @@
 	control      *peer.Server
 	handler      peer.Handler
 	state        state
-	parts        []*part
+	components   []*component
 	servers      []*httpd.Server
 	role         role
 }
 
-// role is what differs between entry and agent.
+// role holds the functions that differ between entry and agent.
 type role struct {
-	// drain stops the taking of new work and waits until none is in progress.
+	// drain lets requests end before a stop and waits until none is in progress or
+	// ctx ends.
 	drain func(ctx context.Context)
-	// ready tells whether the process can do its work.
+	// ready reports whether the process can serve requests.
 	ready func() bool
-	// explain answers an operator's question.
+	// explain answers an operator's question, one sentence a line; nil if the subject
+	// or name is unknown.
 	explain func(subject, name string) []string
 	// routes adds the role's own paths to the operators' interface.
 	routes map[string]operatorRoute
 }
 
-// Run serves until the context ends, then stops as planned: it takes no new
-// work, ends what is in progress, and returns nil.
+// Run serves until ctx ends, then stops in order: it announces that it is leaving,
+// waits for requests in progress, for at most the settings' StopGrace, and returns nil.
 func (n *Node) Run(ctx context.Context) error {
 	httpd.Quiet()
 	if err := n.prepare(ctx); err != nil {
@@ -83,28 +85,28 @@
 			return err
 		}
 	}
-	// The parts outlive the signal to stop: requests in progress need them.
-	base, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// The components continue after ctx ends, since requests in progress need them.
+	baseCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	list := make([]transport.Server, 0, len(n.servers)+len(n.parts))
-	for _, p := range n.parts {
-		p.begin(base)
-		list = append(list, p)
+	list := make([]transport.Server, 0, len(n.servers)+len(n.components))
+	for _, c := range n.components {
+		c.start(baseCtx)
+		list = append(list, c)
 	}
 	for _, s := range n.servers {
 		list = append(list, s)
 	}
 	app := kratos.New(
 		kratos.Name("radishwell-"+string(n.Settings.Role)), kratos.Server(list...), kratos.Context(context.WithoutCancel(ctx)),
-		// The command line ends ctx at a signal. Without a list kratos would take
-		// every signal for one to stop, those of Go's own scheduler among them;
-		// SIGKILL is never delivered.
+		// The command line ends ctx at a signal. Without a list kratos would stop at
+		// every signal, including those of Go's scheduler. SIGKILL is never
+		// delivered, so kratos handles none.
 		kratos.Signal(syscall.SIGKILL), kratos.StopTimeout(n.Settings.Limits.StopGrace),
 		kratos.BeforeStop(n.beforeStop), kratos.AfterStop(n.afterStop),
 	)
 	ended := make(chan error, 1)
 	go func() { ended <- app.Run() }()
-	go n.announce(ctx)
+	go n.announceReady(ctx)
 	select {
 	case err := <-ended:
 		return err
@@ -116,7 +118,7 @@
 	return <-ended
 }
 
-// prepare builds everything that needs no connection.
+// prepare builds all components and servers of the process.
 func (n *Node) prepare(ctx context.Context) error {
 	n.clock = Clock{}
 	n.rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -132,8 +134,8 @@
 	}
 	events.Log(events.Start, "role", s.Role, "host", s.Name)
 	n.members = newMembers(n.clock, rand.New(rand.NewPCG(n.rand.Uint64(), n.rand.Uint64())))
-	n.world = newWorld(n.members)
-	n.world.reports = n.catalogueChanged
+	n.fleet = newFleetView(n.members)
+	n.fleet.onReports = n.logCatalogue
 	if err := n.prepareStore(); err != nil {
 		return err
 	}
@@ -144,15 +146,15 @@
 	if err := build(ctx); err != nil {
 		return err
 	}
-	n.showCatalogue()
+	n.registerGauges()
 	n.addServer(&httpd.Server{Address: s.Listen.Operators, Handler: n.operators()})
 	return n.prepareControl()
 }
 
 func (n *Node) addServer(s *httpd.Server) { n.servers = append(n.servers, s) }
 
-func (n *Node) addPart(name string, run func(context.Context) error) {
-	n.parts = append(n.parts, &part{name: name, run: run})
+func (n *Node) addComponent(name string, run func(context.Context) error) {
+	n.components = append(n.components, &component{name: name, run: run})
 }
 
 func (n *Node) loadCerts() error {
@@ -163,20 +165,20 @@
 		if err := n.keeper.Load(); err != nil {
 			return oops.In("node").Wrapf(err, "load TLS files")
 		}
-		n.addPart("tls", n.keeper.Run)
+		n.addComponent("tls", n.keeper.Run)
 	}
 	if t.Callers.Cert != "" {
 		n.callers = &certs.Keeper{Files: certs.Files{Cert: t.Callers.Cert, Key: t.Callers.Key}, Clock: n.clock}
 		if err := n.callers.Load(); err != nil {
 			return oops.In("node").Wrapf(err, "load callers' TLS files")
 		}
-		n.addPart("callers-tls", n.callers.Run)
+		n.addComponent("callers-tls", n.callers.Run)
 	}
 	return nil
 }
 
-// tlsTo returns the configuration towards an own process of a role; nil without
-// TLS.
+// tlsTo returns the TLS configuration for connections to a process of the fleet in
+// the given role, or nil without TLS.
 func (n *Node) tlsTo(role certs.Role, host core.HostName, protocols ...string) *tls.Config {
 	if n.keeper == nil {
 		return nil
@@ -184,7 +186,8 @@
 	return n.keeper.Client(protocols, role, host)
 }
 
-// tlsOf returns the configuration of a listener for own processes of some roles.
+// tlsOf returns the TLS configuration of a listener that accepts processes of the
+// fleet in the given roles, or nil without TLS.
 func (n *Node) tlsOf(protocols []string, roles ...certs.Role) *tls.Config {
 	if n.keeper == nil {
 		return nil
@@ -192,7 +195,7 @@
 	return n.keeper.Server(protocols, roles...)
 }
 
-// prepareControl sets up the calls of other processes.
+// prepareControl sets up the server for calls from other processes.
 func (n *Node) prepareControl() error {
 	n.handler.Explain = n.serveExplain
 	n.control = &peer.Server{
@@ -201,13 +204,13 @@
 	if err := n.control.Listen(); err != nil {
 		return oops.In("node").Wrapf(err, "listen for own processes")
 	}
-	n.addPart("control", n.control.Run)
-	n.addPart("traffic", n.countTraffic)
+	n.addComponent("control", n.control.Run)
+	n.addComponent("traffic", n.countTraffic)
 	return nil
 }
 
-// catalogueChanged logs how entries stand after a change.
-func (n *Node) catalogueChanged(list []catlog.Report) {
+// logCatalogue logs the state of catalogue entries after a change.
+func (n *Node) logCatalogue(list []catlog.Report) {
 	for _, r := range list {
 		event := events.CatalogueInForce
 		switch {
@@ -222,12 +225,13 @@
 	}
 }
 
-// readyPoll is the time between two looks at whether the process is ready.
-const readyPoll = 5 * time.Millisecond
+// readyPollInterval is the time between two checks whether the process is ready, or
+// idle.
+const readyPollInterval = 5 * time.Millisecond
 
-// announce tells once that the process is ready.
-func (n *Node) announce(ctx context.Context) {
-	tick := time.NewTicker(readyPoll)
+// announceReady waits until the process is ready, then notifies peers and calls Ready.
+func (n *Node) announceReady(ctx context.Context) {
+	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
 	for !n.role.ready() {
 		select {
@@ -236,22 +240,23 @@
 			return
 		}
 	}
-	n.started()
+	n.markReady()
 	events.Log(events.Ready, "role", n.Settings.Role, "host", n.Settings.Name)
 	if n.Ready != nil {
 		n.Ready()
 	}
 }
 
-// steerTime is how long a stopping process goes on taking work after it has
-// said that it is leaving: the platform's balancer and the entries look at least
-// once in it, so that what they send meets a process that still serves.
-const steerTime = 2 * time.Second
+// drainDelay is how long a stopping entry continues to accept requests after it has
+// announced that it is leaving. In that time the platform's load balancer and the
+// entries check its state at least once, so that none of them sends requests to a
+// process that no longer serves.
+const drainDelay = 2 * time.Second
 
 func (n *Node) beforeStop(ctx context.Context) error {
 	events.Log(events.StopBegun, "host", n.Settings.Name)
 	n.state.leave()
-	n.leave()
+	n.markLeaving()
 	ctx, stop := context.WithTimeout(ctx, n.Settings.Limits.StopGrace)
 	defer stop()
 	n.role.drain(ctx)
@@ -268,9 +273,9 @@
 	return err
 }
 
-// waitIdle waits until a role has nothing in progress.
+// waitIdle waits until idle reports true or ctx ends.
 func waitIdle(ctx context.Context, idle func() bool) {
-	tick := time.NewTicker(readyPoll)
+	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
 	for !idle() {
 		select {
@@ -281,6 +286,6 @@
 	}
 }
 
-// Operators returns where the operators' interface listens, for settings that
-// leave the port open.
+// Operators returns the address that the operators' interface listens on. It serves
+// settings that leave the choice of the port to the system.
 func (n *Node) Operators() netip.AddrPort { return n.servers[len(n.servers)-1].Address }
--- a/io/node/ops.go
+++ b/io/node/ops.go
@@ -8,11 +8,11 @@
 	"radishwell/wire"
 )
 
-// operatorRoute serves one of a role's own paths for operators.
+// operatorRoute handles one of a role's own paths for operators.
 type operatorRoute func(w http.ResponseWriter, r *http.Request)
 
-// operators returns the operators' interface: metrics, health, readiness, and
-// explanations of what the process did.
+// operators returns the handler of the operators' interface: metrics, health,
+// readiness and explanations.
 func (n *Node) operators() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", n.meter.Handler())
@@ -25,8 +25,8 @@
 	return mux
 }
 
-// serveReady tells a balancer whether to send work. A process that is leaving
-// says no before it stops taking any.
+// serveReady answers a load balancer's check whether to send requests. A leaving
+// process reports that it is not ready before it stops accepting requests.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case n.state.isLeaving():
@@ -54,7 +54,7 @@
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	// An error here is the operator's going away.
+	// A write fails only if the operator has closed the connection.
 	_, _ = w.Write([]byte(text + "\n"))
 }
 
--- a/io/node/slots.go
+++ b/io/node/slots.go
@@ -13,40 +13,42 @@
 	"radishwell/wire"
 )
 
-// store hands out the weight store's slots while this entry decides.
-type store struct {
+// slotServer grants the slots of the weight store while this entry is the decider. A
+// slot is the permission to read one model or adapter from the store.
+type slotServer struct {
 	limits config.Store
 	clock  core.Clock
 
 	mu       sync.Mutex
-	in       bool
+	deciding bool
 	models   slots.Pool
 	adapters slots.Pool
 }
 
-// decides begins or ends this entry's term. Fresh tells that nobody has decided
-// before, so that no predecessor's slots can be in use.
-func (s *store) decides(in, fresh bool) {
+// setDeciding begins or ends this entry's time as decider. first is set if there was
+// no decider before it, so that no slots of an earlier decider can be in use.
+func (s *slotServer) setDeciding(deciding, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.in == in {
+	if s.deciding == deciding {
 		return
 	}
-	s.in = in
+	s.deciding = deciding
 	begins := s.clock.Now()
-	if fresh {
+	if first {
 		begins = begins.Add(-slots.Lifetime)
 	}
 	s.models = slots.Pool{Rate: s.limits.Starts, Parallel: s.limits.Parallel, DeciderSince: begins}
 	s.adapters = slots.Pool{Parallel: s.limits.Adapters, DeciderSince: begins}
 }
 
-// serve answers an agent. A slot granted to another load meanwhile is found by
-// its agent when it asks again.
-func (s *store) serve(c *wire.SlotCall) *wire.SlotReply {
+// serve answers an agent's request for a slot, its renewal or its release. If the
+// pool grants slots to other requests in the same step, their agents learn of it
+// when they ask again.
+func (s *slotServer) serve(c *wire.SlotCall) *wire.SlotReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.in {
+	if !s.deciding {
 		return &wire.SlotReply{NotDecider: true}
 	}
 	pool := &s.models
@@ -70,10 +72,10 @@
 	return &wire.SlotReply{AskAgain: pool.Next(now).UnixNano()}
 }
 
-// slot asks the deciding entry for leave to read from the weight store.
-func (n *Node) slot(ctx context.Context, c *wire.SlotCall) (*wire.SlotReply, error) {
-	holder := n.world.decider()
-	h, ok := n.world.host(holder)
+// requestSlot asks the decider for a slot of the weight store.
+func (n *Node) requestSlot(ctx context.Context, c *wire.SlotCall) (*wire.SlotReply, error) {
+	holder := n.fleet.decider()
+	h, ok := n.fleet.host(holder)
 	if !ok {
 		return nil, &UnknownHostError{Host: holder}
 	}
--- a/io/node/state.go
+++ b/io/node/state.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// state is whether the process is leaving.
+// state records whether the process is leaving. It is safe for concurrent use.
 type state struct{ leaving atomic.Bool }
 
 func (s *state) leave() { s.leaving.Store(true) }
--- a/io/node/traffic.go
+++ b/io/node/traffic.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// trafficTime is how often the bytes of control calls are read.
-const trafficTime = time.Second
+// trafficInterval is the time between two reads of the byte counts of control calls.
+const trafficInterval = time.Second
 
-// countTraffic brings the bytes of control calls into the metrics.
+// countTraffic adds the bytes of control calls to the metrics, until ctx ends.
 func (n *Node) countTraffic(ctx context.Context) error {
-	tick := time.NewTicker(trafficTime)
+	tick := time.NewTicker(trafficInterval)
 	defer tick.Stop()
 	var sent, received int64
 	for {
