--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -74,6 +74,7 @@
 	// key.
 	KeptAnswers core.Bytes
 
+	// mu guards the fields from ledger to lastPrewarm.
 	mu     sync.Mutex
 	ledger ledger.Ledger
 	queue  queue.Queue
@@ -82,8 +83,8 @@
 	gate   strike.Gate
 	runs   map[dedupe.KeyID]*run
 	byID   map[core.RequestID]*run
-	// live holds the runs that have not ended. byID also holds ended runs, for
-	// readers that reconnect.
+	// live holds the runs that have not ended. runs and byID also hold ended runs,
+	// for readers that reconnect.
 	live  map[core.RequestID]*run
 	lanes map[string]*lane
 	// trialWaiters are requests taken from the queue that may not start because
@@ -92,7 +93,7 @@
 	// active counts the requests sent to the upstream that have not ended.
 	active int
 	state  core.EngineState
-	// reachable reports whether the upstream answered the last call;
+	// reachable is set if the upstream answered the last state call;
 	// crashedEpoch is the epoch of the engine at its last crash.
 	reachable    bool
 	crashedEpoch uint64
--- a/io/agent/doc.go
+++ b/io/agent/doc.go
@@ -4,5 +4,6 @@
 // An agent accepts requests from entries, queues them, orders the engine to load
 // and unload models within the memory that its ledger accounts for, and relays
 // the answers. The decisions are made in core/ledger, core/queue and core/dedupe;
-// this package guards them with one mutex and carries them out as calls.
+// this package guards them with one mutex and carries them out as calls. An item is
+// a model or an adapter.
 package agent
--- a/io/agent/drive.go
+++ b/io/agent/drive.go
@@ -384,20 +384,20 @@
 	}
 	a.crashedEpoch = r.epoch
 	a.markUnreachable(err)
-	var prints []core.Fingerprint
+	var fingerprints []core.Fingerprint
 	var lost []*run
 	for _, o := range a.live {
 		if o.dispatched && !o.struck && o.epoch == r.epoch {
 			o.struck = true
-			prints = append(prints, o.call.Fingerprint)
+			fingerprints = append(fingerprints, o.call.Fingerprint)
 			lost = append(lost, o)
 		}
 	}
-	records := a.book.RecordCrash(a.Clock.Now(), prints)
+	records := a.book.RecordCrash(a.Clock.Now(), fingerprints)
 	for _, o := range lost {
 		o.strikes = records
 	}
 	a.Meter.Strike()
-	events.Log(events.RequestStruck, "host", a.Host, "in-flight", len(prints))
+	events.Log(events.RequestStruck, "host", a.Host, "in-flight", len(fingerprints))
 	return records
 }
--- a/io/agent/sched.go
+++ b/io/agent/sched.go
@@ -55,8 +55,8 @@
 }
 
 func (a *Agent) expireQueued(now time.Time) {
-	for _, gone := range a.queue.Expire(now) {
-		a.endRefused(now, gone)
+	for _, refused := range a.queue.Expire(now) {
+		a.endRefused(now, refused)
 	}
 }
 
--- a/io/agent/take.go
+++ b/io/agent/take.go
@@ -146,8 +146,8 @@
 		Class: core.Class(r.head.GetClass()), Deadline: relay.Time(r.head.GetDeadline()),
 		Cost: max(1, r.head.GetTokens()), Size: core.Bytes(len(r.body)),
 	})
-	for _, gone := range pushed.Displaced {
-		a.endRefused(now, gone)
+	for _, refused := range pushed.Displaced {
+		a.endRefused(now, refused)
 	}
 	if pushed.Refusal != nil {
 		a.end(r, now, pushed.Refusal)
@@ -158,9 +158,9 @@
 }
 
 // endRefused ends a run that the queue has refused.
-func (a *Agent) endRefused(now time.Time, gone queue.Refused) {
-	if r := a.byID[gone.Item.ID]; r != nil {
-		a.end(r, now, gone.Refusal)
+func (a *Agent) endRefused(now time.Time, refused queue.Refused) {
+	if r := a.byID[refused.Item.ID]; r != nil {
+		a.end(r, now, refused.Refusal)
 	}
 }
 
--- a/io/agent/warm.go
+++ b/io/agent/warm.go
@@ -24,11 +24,11 @@
 	if !ok {
 		return
 	}
-	part := float64(max(1, e.Accelerators))
+	accelerators := float64(max(1, e.Accelerators))
 	if capacity := a.ledger.Capacity(); len(capacity) > 0 && capacity[0] > 0 {
-		part *= float64(e.Memory) / float64(capacity[0])
+		accelerators *= float64(e.Memory) / float64(capacity[0])
 	}
-	a.warm.Set(warm.Item{Name: name, Class: e.Class, Accelerators: part})
+	a.warm.Set(warm.Item{Name: name, Class: e.Class, Accelerators: accelerators})
 }
 
 // warmBegin records in the warm policy that a request begins to use its model,
--- a/io/driver/driver.go
+++ b/io/driver/driver.go
@@ -37,7 +37,7 @@
 	// the goal is dropped, since it was decided on outdated reports.
 	goalTimeout = 5 * time.Second
 	// evictNotice is the time between the notice to entries that a model will be
-	// unloaded and the unload order. From then on the upstream refuses requests for
+	// unloaded and the unload order. After the order the upstream refuses requests for
 	// the model.
 	evictNotice = 60 * time.Millisecond
 	// lostThreshold is the number of consecutive failed reads of the report after
--- a/io/driver/order.go
+++ b/io/driver/order.go
@@ -70,9 +70,9 @@
 			return core.UpstreamOrder{}, false
 		}
 		if g.onlyIfIdle && active[string(m)] > 0 {
-			// The model got a request after the planner's last look at it. The upstream
-			// would finish that request before it unloads, and for a second or two neither
-			// model's callers would be served.
+			// The model got a request that the planner did not know of. The upstream would
+			// finish that request before it unloads the model and would load nothing in
+			// the meantime: for a second or two neither model's callers would be served.
 			events.Log(events.GoalDropped, "load", g.load, "in-use", m, "requests", active[string(m)])
 			d.goal = nil
 			d.notify()
