--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -58,8 +58,8 @@
 	Release func(ctx context.Context, name core.ModelName) error
 	// Revoked lists the items whose grant to this host has been revoked.
 	Revoked func() []core.ModelName
-	// Spread sends strikes to peers without waiting for the next exchange.
-	Spread func([]strike.Record)
+	// BroadcastStrikes sends strikes to peers without waiting for the next exchange.
+	BroadcastStrikes func([]strike.Record)
 	// Slot asks the deciding entry for a slot, the permission to read from the
 	// weight store. Store holds the store's limits; Agents returns the number of
 	// agents that share them, 0 if it is not known.
--- a/io/agent/drive.go
+++ b/io/agent/drive.go
@@ -368,7 +368,7 @@
 	}
 	records := a.strikeAll(r, err)
 	if len(records) > 0 {
-		a.Spread(records)
+		a.BroadcastStrikes(records)
 	}
 }
 
--- a/io/agent/load.go
+++ b/io/agent/load.go
@@ -36,9 +36,9 @@
 	return out
 }
 
-// Load returns this host's load with the items that it holds and those in names.
+// HostLoad returns this host's load with the items that it holds and those in names.
 // It answers probes.
-func (a *Agent) Load(names []core.ModelName) *wire.HostLoad {
+func (a *Agent) HostLoad(names []core.ModelName) *wire.HostLoad {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.loadReport(a.Clock.Now(), names)
--- a/io/agent/sched.go
+++ b/io/agent/sched.go
@@ -309,7 +309,7 @@
 	}
 	if refusal == nil {
 		if record, ok := a.gate.RecordEnd(now, r.call.Fingerprint, r.alone); ok {
-			go a.Spread([]strike.Record{record})
+			go a.BroadcastStrikes([]strike.Record{record})
 		}
 	}
 	a.end(r, now, refusal)
--- a/io/entry/fixture_test.go
+++ b/io/entry/fixture_test.go
@@ -176,10 +176,10 @@
 	h.agent = &agent.Agent{
 		Host: name, Service: service, Plain: isPlain, Incarnation: core.Incarnation(rand.Uint64()), Engine: client,
 		Clock: realClock{}, Meter: meter.New(), Snapshot: f.snapshot, KeptAnswers: core.MiB,
-		Grant:   func(core.ModelName) (core.GrantState, bool) { return core.GrantActive, !h.unsure.Load() },
-		Release: func(context.Context, core.ModelName) error { return nil },
-		Revoked: func() []core.ModelName { return nil },
-		Spread:  f.spread, Agents: func() int { return 1 }, Rand: rand.New(rand.NewPCG(2, 2)), Worth: f.worth,
+		Grant:            func(core.ModelName) (core.GrantState, bool) { return core.GrantActive, !h.unsure.Load() },
+		Release:          func(context.Context, core.ModelName) error { return nil },
+		Revoked:          func() []core.ModelName { return nil },
+		BroadcastStrikes: f.spread, Agents: func() int { return 1 }, Rand: rand.New(rand.NewPCG(2, 2)), Worth: f.worth,
 		Store: agent.Store{Parallel: 100, Adapters: 100},
 		Slot: func(context.Context, *wire.SlotCall) (*wire.SlotReply, error) {
 			return &wire.SlotReply{Granted: true}, nil
@@ -247,7 +247,7 @@
 	if f.cut.Load() {
 		return nil, unreachableError{}
 	}
-	return f.agents[h.Name].agent.Load(names), nil
+	return f.agents[h.Name].agent.HostLoad(names), nil
 }
 
 func (f *fleet) seal(ctx context.Context, h entry.Host, c *wire.SealCall) (*wire.SealReply, error) {
--- a/io/node/agent.go
+++ b/io/node/agent.go
@@ -25,13 +25,13 @@
 	a := &agent.Agent{
 		Host: s.Name, Service: s.Engine.Service, Plain: s.Engine.Type == core.PlainService, Incarnation: n.incarnation,
 		Engine: upstream, Clock: n.clock, Meter: n.meter, Tracer: n.tracer, Snapshot: n.fleet.snapshot,
-		Grant: n.grantState, Release: n.releaseGrant, Revoked: n.revokedGrants, Spread: n.broadcastStrikes, KeptAnswers: s.Limits.KeptAnswers,
+		Grant: n.grantState, Release: n.releaseGrant, Revoked: n.revokedGrants, BroadcastStrikes: n.broadcastStrikes, KeptAnswers: s.Limits.KeptAnswers,
 		Slot: n.requestSlot, Agents: func() int { return n.fleet.agents(s.Engine.Service) }, Worth: warm.DefaultWorth.Times(s.Warm.Worth),
 		Store: agent.Store{Starts: s.Store.Starts, Parallel: s.Store.Parallel, Adapters: s.Store.Adapters},
 		Rand:  rand.New(rand.NewPCG(n.rand.Uint64(), n.rand.Uint64())),
 	}
 	a.Init(context.WithoutCancel(ctx))
-	n.handler.Probe = func(c *wire.ProbeCall) (*wire.HostLoad, error) { return a.Load(modelNames(c.GetNames())), nil }
+	n.handler.Probe = func(c *wire.ProbeCall) (*wire.HostLoad, error) { return a.HostLoad(modelNames(c.GetNames())), nil }
 	n.handler.Seal = func(c *wire.SealCall) (*wire.SealReply, error) { return a.Seal(context.Background(), c), nil }
 	n.strikes, n.mergeStrikes = a.Strikes, a.MergeStrikes
 	n.addComponent("agent", a.Run)
