--- a/io/hosted/commands.go
+++ b/io/hosted/commands.go
@@ -19,23 +19,24 @@
 	"radishwell/io/events"
 )
 
-// Commands are the commands of the binary that managed platforms run. The full one
-// has these and more.
+// Commands are the commands of the binary for managed platforms. The full binary has
+// these and more.
 type Commands struct {
 	Entry   entryCommand     `cmd:"" help:"Take callers' requests on an entry host."`
-	Agent   agentCommand     `cmd:"" help:"Run beside an upstream: queue requests and have models loaded."`
+	Agent   agentCommand     `cmd:"" help:"Run beside an upstream: queue requests and order the loading of models."`
 	Check   checkCommand     `cmd:"" help:"Validate settings and catalogue files: file, line, key and reason of every problem."`
-	Explain explainCommand   `cmd:"" help:"Ask running processes why: a request's way, where a model is, how a host stands."`
+	Explain explainCommand   `cmd:"" help:"Explain the course of a request, where a model is loaded, or the state of a host, from running processes or logs."`
 	Losses  lossesCommand    `cmd:"" help:"Account for requests that were lost or late, by route and cause, from entries' logs."`
 	Version kong.VersionFlag `help:"Print the version and exit." short:"v"`
 	Show    versionCommand   `cmd:"" name:"version" help:"Print the version."`
 }
 
-// Own runs a process on the product's own platform interface.
+// Own runs a process on the product's own platform interface until the context ends. It is
+// nil in the binary for managed platforms.
 type Own func(context.Context, config.Settings) error
 
-// ManagedOnlyError reports settings of the product's own platform interface given
-// to a binary that serves managed platforms only.
+// ManagedOnlyError reports settings for the product's own platform interface that were
+// passed to the binary for managed platforms.
 type ManagedOnlyError struct{ File string }
 
 // Error implements error.
@@ -43,13 +44,13 @@
 	return e.File + ": this binary serves managed platforms only (managed.enabled); the full one serves both"
 }
 
-// Radishwell runs the command line of the binary that managed platforms run, and
-// returns the exit status.
+// Radishwell runs the command line of the binary for managed platforms and returns the
+// exit status.
 func Radishwell(args []string, out, errs io.Writer) int {
 	return Run(&Commands{}, "radishwell", About, args, out, errs, Own(nil))
 }
 
-// About tells what radishwell is.
+// About is the description of radishwell in its help text.
 const About = "A serving system for models that are rarely used."
 
 type versionCommand struct{}
@@ -64,7 +65,7 @@
 	Settings string `arg:"" help:"Settings file (YAML)." type:"existingfile"`
 }
 
-// Run serves until the process is told to stop.
+// Run runs an entry until the process receives a signal to stop.
 func (c *entryCommand) Run(ctx context.Context, own Own) error {
 	return serve(ctx, c.Settings, config.Entry, own)
 }
@@ -73,12 +74,12 @@
 	Settings string `arg:"" help:"Settings file (YAML)." type:"existingfile"`
 }
 
-// Run serves until the process is told to stop.
+// Run runs an agent until the process receives a signal to stop.
 func (c *agentCommand) Run(ctx context.Context, own Own) error {
 	return serve(ctx, c.Settings, config.Agent, own)
 }
 
-// RoleError reports settings of another role than the command's.
+// RoleError reports settings whose role is not that of the command.
 type RoleError struct {
 	File       string
 	Have, Want config.Role
@@ -89,6 +90,7 @@
 	return e.File + " holds the settings of role " + string(e.Have) + ", not " + string(e.Want)
 }
 
+// serve runs a process with the settings in a file, which must have the given role.
 func serve(ctx context.Context, file string, role config.Role, own Own) error {
 	settings, err := config.Load(file)
 	if err != nil {
@@ -119,7 +121,7 @@
 	Files []string `arg:"" help:"Settings and catalogue files." type:"existingfile"`
 }
 
-// Run prints each problem on a line and fails where there is one.
+// Run prints each problem on a line of its own. It fails if there are any.
 func (c *checkCommand) Run(out io.Writer) error {
 	problems := config.Check(c.Files...)
 	for _, p := range problems {
@@ -140,19 +142,20 @@
 	Logs    []string         `type:"path" help:"Log files of processes to read instead; several, with commas."`
 }
 
-// nobodyError reports a question that names neither processes nor logs.
-type nobodyError struct{}
+// noSourceError reports a call of explain without processes and without logs.
+type noSourceError struct{}
 
 // Error implements error.
-func (*nobodyError) Error() string { return "name processes with --at or log files with --logs" }
+func (*noSourceError) Error() string { return "name processes with --at or log files with --logs" }
 
-// explainTime bounds the question to one process.
-const explainTime = 3 * time.Second
+// explainTimeout is the timeout of the query to one process.
+const explainTimeout = 3 * time.Second
 
-// Run asks each process and prints what it knows.
+// Run prints the matching log lines and the answer of each process. It fails if there are
+// none.
 func (c *explainCommand) Run(ctx context.Context, out io.Writer) error {
 	if len(c.At) == 0 && len(c.Logs) == 0 {
-		return &nobodyError{}
+		return &noSourceError{}
 	}
 	known, err := c.read(out)
 	if err != nil {
@@ -178,7 +181,7 @@
 	return nil
 }
 
-// read prints what the logs say, and tells whether they say anything.
+// read prints the log lines that match and reports whether there are any.
 func (c *explainCommand) read(out io.Writer) (known bool, err error) {
 	lines, err := readLogs(c.Logs)
 	if err != nil {
@@ -193,8 +196,10 @@
 	return len(found) > 0, nil
 }
 
+// ask queries one process. It returns an empty text if the process does not know the
+// subject.
 func (c *explainCommand) ask(ctx context.Context, at netip.AddrPort) (string, error) {
-	ctx, stop := context.WithTimeout(ctx, explainTime)
+	ctx, stop := context.WithTimeout(ctx, explainTimeout)
 	defer stop()
 	address := "http://" + at.String() + "/explain/" + c.Subject + "/" + url.PathEscape(c.Name)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
--- a/io/hosted/commands_test.go
+++ b/io/hosted/commands_test.go
@@ -18,9 +18,9 @@
 tls: {ca: ca.crt, cert: a.crt, key: a.key}
 `
 
-// An operator starts the binary for managed platforms with settings of the
-// product's own platform interface, which it does not hold. Started all the same,
-// it would serve nobody; it has to name the file and what to use instead.
+// Guards against starting the binary for managed platforms with settings for the product's
+// own platform interface, which it does not contain. Such a process could serve no
+// requests, so the command must fail and name the file and the binary to use instead.
 func TestOwnPlatformIsRefused(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "entry.yaml")
 	assert.NilError(t, os.WriteFile(file, []byte(entrySettings), 0o600))
@@ -29,7 +29,8 @@
 	assert.Assert(t, strings.Contains(errs.String(), "managed platforms only"), errs.String())
 }
 
-// Hosts of a managed platform keep the commands that operators use there.
+// The binary for managed platforms must have the commands that operators use there, and no
+// demo.
 func TestCommands(t *testing.T) {
 	var out, errs bytes.Buffer
 	assert.Equal(t, Radishwell([]string{"--help"}, &out, &errs), exitOK)
--- a/io/hosted/logs.go
+++ b/io/hosted/logs.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// logStamp is how klog writes the time of a line, without the year.
-	logStamp = "0102 15:04:05.000000"
-	// logBefore is how far before a request's last line the lines about its host
-	// and model are shown: a load from the weight store takes some seconds.
-	logBefore = 15 * time.Second
-	// mostLine bounds a line of a log, in bytes.
-	mostLine = 1 << 20
+	// timeLayout is the layout of klog's timestamps, which have no year.
+	timeLayout = "0102 15:04:05.000000"
+	// contextSpan is the time before a request's last line for which lines about its host and
+	// model are included. It covers a load from the weight store, which takes a few seconds.
+	contextSpan = 15 * time.Second
+	// maxLine is the maximum length of a log line, in bytes.
+	maxLine = 1 << 20
 )
 
 // logLine is one line of a process's log.
@@ -29,10 +29,10 @@
 	text string
 }
 
-// klogLine finds severity and time of a line, whatever stands before them.
-var klogLine = regexp.MustCompile(`(?:^|\s)[IWEF](\d{4} \d{2}:\d{2}:\d{2}\.\d{6})\s`)
+// klogHeader matches the severity and timestamp of a klog line, after any prefix.
+var klogHeader = regexp.MustCompile(`(?:^|\s)[IWEF](\d{4} \d{2}:\d{2}:\d{2}\.\d{6})\s`)
 
-// readLogs reads the lines of log files that klog wrote.
+// readLogs returns the klog lines of log files, sorted by time.
 func readLogs(files []string) ([]logLine, error) {
 	var lines []logLine
 	for _, file := range files {
@@ -41,13 +41,13 @@
 			return nil, oops.Wrapf(err, "read logs")
 		}
 		in := bufio.NewScanner(f)
-		in.Buffer(nil, mostLine)
+		in.Buffer(nil, maxLine)
 		for in.Scan() {
-			found := klogLine.FindStringSubmatch(in.Text())
+			found := klogHeader.FindStringSubmatch(in.Text())
 			if found == nil {
-				continue // a line of another writer
+				continue // not written by klog
 			}
-			if at, err := time.Parse(logStamp, found[1]); err == nil {
+			if at, err := time.Parse(timeLayout, found[1]); err == nil {
 				lines = append(lines, logLine{file: filepath.Base(file), at: at, text: in.Text()})
 			}
 		}
@@ -61,7 +61,7 @@
 	return lines, nil
 }
 
-// value returns the value of a key in a line.
+// value returns the quoted value of a key, empty if the line does not have the key.
 func (l logLine) value(key string) string {
 	_, text, ok := strings.Cut(l.text, " "+key+`="`)
 	if !ok {
@@ -71,7 +71,7 @@
 	return text
 }
 
-// number returns the value of a key that is written without quotes.
+// number returns the unquoted value of a key, empty if the line does not have the key.
 func (l logLine) number(key string) string {
 	_, text, ok := strings.Cut(l.text, " "+key+"=")
 	if !ok {
@@ -81,15 +81,16 @@
 	return text
 }
 
-func (l logLine) names(value string) bool { return strings.Contains(l.text, `"`+value+`"`) }
+// mentions reports whether a quoted value occurs in the line.
+func (l logLine) mentions(value string) bool { return strings.Contains(l.text, `"`+value+`"`) }
 
-// explainLogs returns the lines about a request, and those about the host and the
-// model that it met in the time before; for a model or host, all lines that name
-// it.
+// explainLogs returns the lines that name a model or host. For a request, it returns the
+// lines that name the request, and the preceding lines about the host and model of its last
+// line.
 func explainLogs(lines []logLine, subject, name string) []string {
 	var own []logLine
 	for _, l := range lines {
-		if l.names(name) {
+		if l.mentions(name) {
 			own = append(own, l)
 		}
 	}
@@ -99,8 +100,8 @@
 	last := own[len(own)-1]
 	var around []logLine
 	for _, l := range lines {
-		near := !l.at.After(last.at) && last.at.Sub(l.at) <= logBefore
-		if near && l.value("request") == "" && l.about(last.value("host"), last.value("model")) {
+		near := !l.at.After(last.at) && last.at.Sub(l.at) <= contextSpan
+		if near && l.value("request") == "" && l.mentionsAny(last.value("host"), last.value("model")) {
 			around = append(around, l)
 		}
 	}
@@ -111,10 +112,12 @@
 	return append(out, texts(around)...)
 }
 
-func (l logLine) about(names ...string) bool {
-	return slices.ContainsFunc(names, func(n string) bool { return n != "" && l.names(n) })
+// mentionsAny reports whether any of the names that are not empty occurs in the line.
+func (l logLine) mentionsAny(names ...string) bool {
+	return slices.ContainsFunc(names, func(n string) bool { return n != "" && l.mentions(n) })
 }
 
+// texts returns the lines, each prefixed with the name of its file.
 func texts(lines []logLine) []string {
 	out := make([]string, len(lines))
 	for i, l := range lines {
--- a/io/hosted/logs_test.go
+++ b/io/hosted/logs_test.go
@@ -23,8 +23,8 @@
 I0704 21:06:36.600000   13 order.go:78] "Load of a model or adapter starts" event="RW1301" model="m-2" from="disk"
 `
 
-// An on-call engineer has a request's id and the logs of the processes, which may
-// no longer run.
+// Explaining a request must work with its id and the logs alone, since the processes may no
+// longer be running.
 func TestExplainFromLogs(t *testing.T) {
 	dir := t.TempDir()
 	entry, agent := filepath.Join(dir, "edge-1.log"), filepath.Join(dir, "side-1.log")
@@ -56,8 +56,8 @@
 a line of another writer
 `
 
-// Operators ask why so many requests of a route are late, and have nothing but logs,
-// the last line of which was cut when the process was killed.
+// Lost and late requests must be counted by route and cause from logs alone, including a log
+// whose last line is truncated since the process was killed.
 func TestLossesFromLogs(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "edge-1.log")
 	assert.NilError(t, os.WriteFile(file, []byte(lossesLog), 0o600))
--- a/io/hosted/losses.go
+++ b/io/hosted/losses.go
@@ -18,13 +18,14 @@
 	Logs []string `arg:"" type:"path" help:"Log files of entries."`
 }
 
-// Run prints, by route and cause, what became of the requests in the logs.
+// Run prints how many requests in the logs were served in time, late or lost, by route and
+// cause.
 func (c *lossesCommand) Run(out io.Writer) error {
 	lines, err := readLogs(c.Logs)
 	if err != nil {
 		return err
 	}
-	a := account(lines)
+	a := summarize(lines)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "route\tcause\trequests\tof the route's")
 	for _, route := range a.table.Routes() {
@@ -37,36 +38,37 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "requests without a route %d, lines that could not be read %d, lines that the processes left out %d\n", a.noRoute, a.bad, a.leftOut)
+	_, err = fmt.Fprintf(out, "requests without a route %d, lines that could not be read %d, lines that the processes left out %d\n", a.noRoute, a.invalid, a.suppressed)
 	return err
 }
 
-// accounted is what the lines of logs add up to.
-type accounted struct {
+// summary counts the requests in logs.
+type summary struct {
 	table losses.Table
-	// noRoute counts requests that no route has, bad the lines about requests that
-	// could not be read, and leftOut the lines that processes say they left out.
-	noRoute, bad, leftOut int
+	// noRoute counts requests that match no route, invalid the lines about requests that do
+	// not parse, and suppressed the lines that processes report to have left out.
+	noRoute, invalid, suppressed int
 }
 
-// requestEvents are the events of which each request has one.
-var requestEvents = map[string]bool{
+// endEvents are the events that end a request. Each request logs one of them.
+var endEvents = map[string]bool{
 	events.RequestServed.Info().ID: true, events.RequestRefused.Info().ID: true, events.RequestMayHaveRun.Info().ID: true,
 }
 
-func account(lines []logLine) accounted {
-	var a accounted
+// summarize summarises the lines about ended requests.
+func summarize(lines []logLine) summary {
+	var a summary
 	for _, l := range lines {
-		if !requestEvents[l.value("event")] {
+		if !endEvents[l.value("event")] {
 			continue
 		}
 		if n, err := strconv.Atoi(l.number("left-out")); err == nil {
-			a.leftOut += n
+			a.suppressed += n
 		}
-		r, ok := requestIn(l)
+		r, ok := parseRequest(l)
 		switch {
 		case !ok:
-			a.bad++
+			a.invalid++
 		case r.Route == "":
 			a.noRoute++
 		default:
@@ -76,16 +78,17 @@
 	return a
 }
 
-// requestIn reads a request from its line; false where the line is cut or damaged.
-func requestIn(l logLine) (*losses.Request, bool) {
+// parseRequest parses a request from its log line. It returns false if the line is truncated or
+// damaged.
+func parseRequest(l logLine) (*losses.Request, bool) {
 	r := &losses.Request{
 		Route: l.value("route"), Answered: l.value("event") == events.RequestServed.Info().ID,
 		Spoilt: strings.Contains(l.value("cause"), "spoilt"),
 	}
 	code, _, _ := strings.Cut(l.value("err"), " ")
 	r.Code = core.Code(code)
-	r.Sends, _ = strconv.Atoi(l.number("sends"))  // a cut line fails below, by its time
-	status, _ := strconv.Atoi(l.number("status")) // plain refusals have none
+	r.Sends, _ = strconv.Atoi(l.number("sends"))  // a line truncated before took is rejected below
+	status, _ := strconv.Atoi(l.number("status")) // refused requests have none
 	r.Failed = status >= http.StatusInternalServerError
 	if l.value("request") == "" || l.value("took") == "" || !r.Answered && code == "" {
 		return nil, false
--- a/io/hosted/run.go
+++ b/io/hosted/run.go
@@ -18,12 +18,13 @@
 	exitUsage  = 2
 )
 
-// exitStatus is how kong's own exit (after --help or --version) leaves Parse.
+// exitStatus is the value of the panic by which kong's exit function, called after --help
+// or --version, leaves Parse.
 type exitStatus int
 
-// Run parses a command line and runs the command it names, with a context that
-// ends when the process is told to stop. More is bound to the commands' Run. It
-// returns the exit status.
+// Run parses a command line, runs its command, and returns the exit status. The command's
+// context ends on SIGINT or SIGTERM. The values of more are passed to the Run methods of
+// commands by type.
 func Run(cli any, name, about string, args []string, out, errs io.Writer, more ...any) (status int) {
 	defer func() {
 		switch s := recover().(type) {
@@ -31,7 +32,7 @@
 		case exitStatus:
 			status = int(s)
 		default:
-			// A fault must not end the command as if it had done its work.
+			// Any other panic is a fault; recovering from it would end the command with status 0.
 			panic(s)
 		}
 	}()
@@ -41,7 +42,7 @@
 		kong.BindTo(out, (*io.Writer)(nil)), kong.Bind(more...),
 	)
 	if err != nil {
-		panic(err) // the command line's own definition is wrong
+		panic(err) // the definition of the command line is invalid
 	}
 	parsed, err := parser.Parse(args)
 	if err != nil {
@@ -61,13 +62,15 @@
 	return exitOK
 }
 
-// FoundError ends a command with status 1 after it has printed what it found.
+// FoundError ends a command with exit status 1 if the command has already printed the
+// problems. Run prints no message for it.
 type FoundError struct{}
 
 // Error implements error.
 func (*FoundError) Error() string { return "problems were found" }
 
-// version returns the module's version as the toolchain recorded it.
+// version returns the module's version, the revision and the version of Go, as recorded in
+// the binary.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/io/hosted/run_test.go
+++ b/io/hosted/run_test.go
@@ -19,8 +19,9 @@
 	return nil
 }
 
-// A chart's library panicked at the end of a load test, and the command ended
-// with status 0 and no word: the recovery meant for --help took every panic.
+// Guards against recovering from every panic instead of only from the exit after --help. A
+// panic of a chart library at the end of a load test ended the command with status 0 and no
+// message.
 func TestPanicIsNoSuccess(t *testing.T) {
 	var out, errs bytes.Buffer
 	call := func(args ...string) int { return Run(&brokenCLI{}, "broken", "", args, &out, &errs) }
