--- a/io/deploy/adapters.go
+++ b/io/deploy/adapters.go
@@ -14,26 +14,26 @@
 	"radishwell/wire"
 )
 
-// FetchError reports an adapter that an agent could not have loaded.
+// FetchError reports an adapter that was not loaded.
 type FetchError struct{ Reason string }
 
 // Error implements error.
 func (e *FetchError) Error() string { return "the adapter was not loaded: " + e.Reason }
 
-// Fetch implements core.AdapterLoader.
+// Fetch implements core.AdapterLoader by a call to the host's agent.
 func (l *links) Fetch(ctx context.Context, host core.HostName, model core.ModelName, adapter string) error {
 	h, held, ok := l.host(host)
 	table := l.entry.proxy.Table()
 	if !ok || table == nil || table.Services[h.Service] == nil {
 		return &FetchError{Reason: "the host has left"}
 	}
-	ctx, stop := context.WithTimeout(ctx, fetchTime)
+	ctx, stop := context.WithTimeout(ctx, fetchTimeout)
 	defer stop()
 	in := &wire.AdapterCall{
-		Instance: string(h.ID), Model: string(model), Adapter: adapter, Wait: int64(fetchTime),
+		Instance: string(h.ID), Model: string(model), Adapter: adapter, Wait: int64(fetchTimeout),
 		Limits: limitsOf(table.Services[h.Service], held, model),
 	}
-	reply, err := ordered(l, h, func(to peer.Target, upstream []byte) (*wire.AdapterReply, error) {
+	reply, err := callAgent(l, h, func(to peer.Target, upstream []byte) (*wire.AdapterReply, error) {
 		in.Upstream = upstream
 		return l.entry.client.Adapter(ctx, to, in)
 	})
@@ -46,20 +46,22 @@
 	return nil
 }
 
-// ordered calls whoever orders a host. An entry that orders some engines of a data centre
-// may not order this one, which has an agent that this process does not follow; the agent
-// is called then.
-func ordered[R any](l *links, h fleet.Entry, call func(to peer.Target, upstream []byte) (R, error)) (R, error) {
-	to, upstream := l.agent(h.Address, h.DataCentre)
+// callAgent calls the agent of a host, or the entry that orders the host in place of an agent.
+// An entry that orders some engines of a data centre may not order this one, if it has an
+// agent that this process does not poll. The entry then refuses the call, and callAgent calls
+// the agent.
+func callAgent[R any](l *links, h fleet.Entry, call func(to peer.Target, upstream []byte) (R, error)) (R, error) {
+	to, upstream := l.target(h.Address, h.DataCentre)
 	reply, err := call(to, upstream)
 	var refused rpc.ServerError
 	if upstream != nil && errors.As(err, &refused) {
-		return call(l.beside(h.Address), nil)
+		return call(l.agentTarget(h.Address), nil)
 	}
 	return reply, err
 }
 
-// host returns the registry's entry of a host and what it holds.
+// host returns the registry entry of a host and its loaded models; false if the host is
+// unknown.
 func (l *links) host(id core.HostName) (e fleet.Entry, held []core.HeldModel, ok bool) {
 	l.entry.proxy.Update(func(v *fleet.View, now time.Time) {
 		if h := v.Host(id); h != nil {
@@ -76,7 +78,7 @@
 		l.entry.feed.Used(h.Address, string(model)+"/"+adapter)
 		return
 	}
-	k := l.at(h.Address)
+	k := l.link(h.Address)
 	if k == nil {
 		return
 	}
@@ -85,9 +87,10 @@
 	k.used[string(model)+"/"+adapter] = true
 }
 
-// limitsOf returns what an agent needs to know of a service's models to load some of
-// them on a host: the sizes of these and of what the host holds. In a catalogue of
-// hundreds of models all sizes would be most of what entries send to agents.
+// limitsOf returns the memory limits of a service's upstreams and the sizes of the named
+// models and those that the host holds, which an agent needs to load the named ones. It
+// leaves out other models: in a catalogue of hundreds of models, their sizes would be most
+// of the bytes that entries send to agents.
 func limitsOf(s *rtable.Service, held []core.HeldModel, names ...core.ModelName) *wire.UpstreamLimits {
 	out := &wire.UpstreamLimits{Memory: int64(s.Memory), AdapterPlaces: uint32(s.AdapterPlaces)}
 	for _, m := range held {
--- a/io/deploy/agent.go
+++ b/io/deploy/agent.go
@@ -18,12 +18,12 @@
 	plat "radishwell/platform"
 )
 
-// fencePause is the pause after a try to get a fencing number that failed. The
-// upstream takes no orders before there is one.
-const fencePause = 300 * time.Millisecond
+// fenceRetryPause is the pause after a failed attempt to get a fencing number. The agent cannot
+// order the upstream before it has one.
+const fenceRetryPause = 300 * time.Millisecond
 
-// fence is this agent's fencing number: the store's revision at its start, so
-// that it grows from one start to the next.
+// fence is this agent's fencing number, zero while it has none. It is the store's revision
+// at the agent's start, so it increases from one start to the next.
 type fence struct{ number atomic.Uint64 }
 
 func (f *fence) get() (core.Fence, bool) {
@@ -31,6 +31,7 @@
 	return core.Fence(n), n > 0
 }
 
+// buildAgent sets up the parts of an agent.
 func (p *Process) buildAgent() {
 	f := &fence{}
 	d := &driver.Driver{
@@ -42,16 +43,16 @@
 	p.parts = append(p.parts, d.Run, func(ctx context.Context) error { return p.takeFence(ctx, f) })
 }
 
-// start is the record that an agent leaves in the store when it starts.
-type start struct {
+// startRecord is the record that an agent writes to the store when it starts.
+type startRecord struct {
 	Began time.Time `json:"began"`
-	// Upstream is the engine beside the agent. While the record is there, nobody else
-	// orders that engine.
+	// Upstream is the engine beside the agent. While the record exists, no entry orders that
+	// engine.
 	Upstream netip.AddrPort `json:"upstream"`
 }
 
-// takeFence records the agent's start in the store and takes the revision of
-// that record for its fencing number.
+// takeFence writes the record of the agent's start and uses the record's revision as the
+// fencing number. It retries until it succeeds, and returns when the context ends.
 func (p *Process) takeFence(ctx context.Context, f *fence) error {
 	for {
 		number, err := p.recordStart(ctx)
@@ -65,14 +66,14 @@
 			return nil
 		}
 		events.Fail(events.PlatformUnreachable, err, "kind", core.KindAgent)
-		if !loop.Sleep(ctx, fencePause) {
+		if !loop.Sleep(ctx, fenceRetryPause) {
 			return nil
 		}
 	}
 }
 
-// awaitEntry waits until no entry orders the engine beside this agent, where one of its
-// data centre may have done so before the agent's record was there.
+// awaitEntry waits until no entry orders the engine beside this agent. An entry of its data
+// centre may have done so until the agent's record existed.
 func (p *Process) awaitEntry(ctx context.Context) error {
 	_, err := p.store.Get(ctx, core.KindOrders, string(p.Settings.DataCentre))
 	var failed *core.PlatformError
@@ -86,11 +87,12 @@
 	return nil
 }
 
+// recordStart writes the record of the agent's start and returns its revision.
 func (p *Process) recordStart(ctx context.Context) (uint64, error) {
-	spec, err := json.Marshal(start{Began: p.clock.Now(), Upstream: p.Settings.Managed.Upstream})
+	spec, err := json.Marshal(startRecord{Began: p.clock.Now(), Upstream: p.Settings.Managed.Upstream})
 	if err != nil {
 		return 0, err
 	}
-	made, err := p.put(ctx, core.Object{Kind: core.KindAgent, Name: string(p.Settings.Name), Spec: spec})
+	made, err := p.createOrUpdate(ctx, core.Object{Kind: core.KindAgent, Name: string(p.Settings.Name), Spec: spec})
 	return uint64(made.Version), err
 }
--- a/io/deploy/deploy_test.go
+++ b/io/deploy/deploy_test.go
@@ -28,19 +28,21 @@
 	m.Run()
 }
 
+// patience is how long tests wait for a condition.
 const patience = 30 * time.Second
 
-// fleet is a store, upstreams with their agents, and entries, each host with a
+// fleet is a store, upstreams with their agents, and entries. Each upstream's host has a
 // loopback address of its own.
 type fleet struct {
 	store     *stand.Store
 	storeAt   netip.AddrPort
 	agentPort int
 	peers     []netip.AddrPort
-	// mostDirect is how many agents each entry follows itself.
-	mostDirect int
+	// maxDirect is the number of agents up to which entries poll all agents themselves.
+	maxDirect int
 }
 
+// serve serves a handler on a free port until the test ends.
 func serve(t *testing.T, ip string, h http.Handler) netip.AddrPort {
 	t.Helper()
 	lis, err := net.Listen("tcp", ip+":0")
@@ -53,28 +55,28 @@
 	return netip.MustParseAddrPort(lis.Addr().String())
 }
 
-// entryHost is where entries listen, each with ports of its own.
+// entryHost is the address that all entries listen on, on different ports.
 var entryHost = ports.Host(200)
 
-// given are the ports that freePort has returned.
-var given sync.Map
+// usedPorts are the ports that freePort has returned, so that it returns none twice.
+var usedPorts sync.Map
 
-// freePort returns an address with a port of its own that no outgoing connection takes
-// before a process listens on it.
+// freePort returns an address with an unused port, which outgoing connections do not use.
 func freePort(t *testing.T, host netip.Addr) netip.AddrPort {
 	t.Helper()
 	for {
 		free, err := ports.FreeOn(host, 1)
 		assert.NilError(t, err)
-		if _, taken := given.LoadOrStore(free[0].Port(), true); !taken {
+		if _, taken := usedPorts.LoadOrStore(free[0].Port(), true); !taken {
 			return free[0]
 		}
 	}
 }
 
+// newFleet returns a fleet with a store and a routing table.
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	f := &fleet{store: &stand.Store{}, mostDirect: 64}
+	f := &fleet{store: &stand.Store{}, maxDirect: 64}
 	f.storeAt = serve(t, "127.0.0.1", f.store)
 	f.agentPort = int(freePort(t, ports.Host(1)).Port())
 	f.store.Put("config", "main", `{"version":1,"routes":[
@@ -85,17 +87,18 @@
 	return f
 }
 
+// settings returns the settings of a process without its addresses.
 func (f *fleet) settings(role config.Role, name string) config.Settings {
 	s := config.Defaults()
 	s.Role, s.Name, s.DataCentre = role, core.HostName(name), "dc-1"
 	s.Platform.URLs = []config.Origin{{Addr: f.storeAt}}
 	s.Managed.Enabled, s.Managed.PlainPeers, s.Managed.AgentPort = true, true, f.agentPort
 	s.Managed.StopGrace = 5 * time.Second
-	s.Managed.DirectAgents = f.mostDirect
+	s.Managed.DirectAgents = f.maxDirect
 	return s
 }
 
-// start runs a process until the test or the returned stop ends it.
+// start runs a process until stop is called or the test ends.
 func start(t *testing.T, s config.Settings) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -122,6 +125,7 @@
 	return w
 }
 
+// startEngine is addEngine, and returns the engine's address as well.
 func (f *fleet) startEngine(t *testing.T, n int, held ...stand.Held) (*stand.Worker, netip.AddrPort) {
 	t.Helper()
 	w := &stand.Worker{ID: fmt.Sprintf("i-%d", n), Events: 5, LoadTime: 100 * time.Millisecond}
@@ -143,11 +147,13 @@
 	return w
 }
 
+// running is an entry that runs.
 type running struct {
 	callers, readiness, operators netip.AddrPort
 	stop                          func()
 }
 
+// addEntry starts an entry whose peers are those that were added before it.
 func (f *fleet) addEntry(t *testing.T, name string) running {
 	t.Helper()
 	s := f.settings(config.Entry, name)
@@ -160,6 +166,7 @@
 	return r
 }
 
+// get returns the status and body of a response; status 0 if there is none.
 func get(t *testing.T, at netip.AddrPort, path string) (int, string) {
 	t.Helper()
 	resp, err := http.Get("http://" + at.String() + path)
@@ -172,7 +179,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// until waits for something to hold.
+// until waits until a condition holds, and fails the test after patience.
 func until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -183,7 +190,8 @@
 	t.Fatalf("not within %v: %s", patience, what)
 }
 
-func (r running) ready(t *testing.T) {
+// waitReady waits until the entry is ready.
+func (r running) waitReady(t *testing.T) {
 	t.Helper()
 	until(t, "the entry is ready", func() bool {
 		status, _ := get(t, r.readiness, "/-/readyz")
@@ -191,7 +199,9 @@
 	})
 }
 
-func chat(t *testing.T, r running, id, model string) (int, string) {
+// sendChat sends a request for a model to an entry, and returns the status and body of the
+// response; status 0 if there is none.
+func sendChat(t *testing.T, r running, id, model string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.callers.String()+"/chat/x", strings.NewReader("{}"))
 	assert.NilError(t, err)
@@ -208,20 +218,21 @@
 	return resp.StatusCode, string(body)
 }
 
+// wantChat fails the test unless a request is answered with a whole stream.
 func wantChat(t *testing.T, r running, id, model string) {
 	t.Helper()
-	status, body := chat(t, r, id, model)
+	status, body := sendChat(t, r, id, model)
 	assert.Equal(t, status, http.StatusOK, body)
 	assert.Equal(t, strings.Count(body, "data: event"), 5, body)
 }
 
-// A caller asks for a model that no host holds: it is loaded and the answer
-// streamed, without anybody having written down where it should be.
+// A request for a model that is not loaded anywhere must have the model loaded and be
+// answered.
 func TestModelIsLoadedAndServed(t *testing.T) {
 	f := newFleet(t)
 	w := f.addUpstream(t, 1, stand.Held{Name: "m-1"})
 	e := f.addEntry(t, "edge-1")
-	e.ready(t)
+	e.waitReady(t)
 	wantChat(t, e, "q-1", "m-1")
 	wantChat(t, e, "q-2", "m-2")
 	wantChat(t, e, "q-3", "m-1/a1")
@@ -232,17 +243,17 @@
 	assert.Assert(t, strings.Contains(text, "radishwell_requests_total"), text)
 }
 
-// In a large fleet most entries follow no agent themselves. A caller of one of them asks
-// for a model that no host holds: the entry tells its relay, which plans, and the
-// caller has the answer as in a small fleet, adapters too.
+// In a large fleet most entries poll no agents themselves. A request to such an entry for a
+// model that is not loaded anywhere must still be answered, and have its adapter loaded: the
+// entry reports its demand to a relay, which plans the load.
 func TestModelIsLoadedThroughRelay(t *testing.T) {
 	f := newFleet(t)
-	f.mostDirect = 0
+	f.maxDirect = 0
 	w := f.addUpstream(t, 1, stand.Held{Name: "m-1"})
 	relay := f.addEntry(t, "edge-1")
 	other := f.addEntry(t, "edge-2")
 	for _, e := range []running{relay, other} {
-		e.ready(t)
+		e.waitReady(t)
 	}
 	wantChat(t, other, "q-1", "m-1")
 	wantChat(t, other, "q-2", "m-2")
@@ -250,26 +261,27 @@
 	until(t, "orders for the model and the adapter", func() bool { return len(w.Orders()) == 2 })
 	assert.DeepEqual(t, w.Orders(), []string{"load m-2", "load m-1/a1"})
 	relay.stop()
-	until(t, "the model is loaded again by a word of the other entry", func() bool {
-		status, _ := chat(t, other, "q-4", "m-2")
+	until(t, "the other entry has the model loaded", func() bool {
+		status, _ := sendChat(t, other, "q-4", "m-2")
 		return status == http.StatusOK
 	})
 }
 
-// A fleet's engines have no agents. Callers of a model that none of them holds were held
-// until they left, though the engines were sound; an entry orders them instead.
+// Guards against engines without agents that nobody orders. Requests for a model that was
+// not loaded anywhere then waited until their callers gave up, though the engines worked. An
+// entry has to order such engines.
 func TestEngineWithoutAgentIsOrdered(t *testing.T) {
 	f := newFleet(t)
 	w := f.addEngine(t, 1, stand.Held{Name: "m-1"})
 	entries := []running{f.addEntry(t, "edge-1"), f.addEntry(t, "edge-2")}
 	for _, e := range entries {
-		e.ready(t)
+		e.waitReady(t)
 	}
 	served := func(e running, model string) {
 		n := 0
 		until(t, "a caller of "+model+" is served", func() bool {
 			n++
-			status, _ := chat(t, e, fmt.Sprint(model, n), model)
+			status, _ := sendChat(t, e, fmt.Sprint(model, n), model)
 			return status == http.StatusOK
 		})
 	}
@@ -279,37 +291,37 @@
 	assert.DeepEqual(t, w.Orders(), []string{"load m-2", "load m-1/a1"})
 }
 
-// The store is out. Requests go on; an entry that starts meanwhile has table and
-// hosts from the other one.
+// During an outage of the store, requests must still be served, and an entry that starts must
+// get the routing table and the registry from its peer.
 func TestStoreOutage(t *testing.T) {
 	f := newFleet(t)
 	f.addUpstream(t, 1, stand.Held{Name: "m-1"})
 	first := f.addEntry(t, "edge-1")
-	first.ready(t)
+	first.waitReady(t)
 	wantChat(t, first, "q-1", "m-1")
 	f.store.Set(stand.Down)
 	wantChat(t, first, "q-2", "m-1")
 	second := f.addEntry(t, "edge-2")
-	second.ready(t)
+	second.waitReady(t)
 	wantChat(t, second, "q-3", "m-1")
 	f.store.Set(stand.Fine)
 	f.store.Remove("servers", "i-1")
 	for _, e := range []running{first, second} {
-		until(t, "no entry is ready without hosts", func() bool {
+		until(t, "the entry is not ready without hosts", func() bool {
 			status, _ := get(t, e.readiness, "/-/readyz")
 			return status == http.StatusServiceUnavailable
 		})
 	}
 }
 
-// The table changes: first to one that cannot be read, beside which the last
-// good one stays in force, then to one without the route. Both entries follow.
+// An invalid routing table must leave the last valid one in force, and a valid one must take
+// effect at all entries.
 func TestTableChanges(t *testing.T) {
 	f := newFleet(t)
 	f.addUpstream(t, 1, stand.Held{Name: "m-1"})
 	entries := []running{f.addEntry(t, "edge-1"), f.addEntry(t, "edge-2")}
 	for _, e := range entries {
-		e.ready(t)
+		e.waitReady(t)
 	}
 	f.store.Put("config", "main", `{"version":2,"routes":"unreadable"}`)
 	for i, e := range entries {
@@ -318,23 +330,23 @@
 	f.store.Put("config", "main", `{"version":3,"routes":[],"services":[{"name":"llm"}]}`)
 	for i, e := range entries {
 		until(t, "the route is gone", func() bool {
-			status, _ := chat(t, e, fmt.Sprint("q-", i), "m-1")
+			status, _ := sendChat(t, e, fmt.Sprint("q-", i), "m-1")
 			return status == http.StatusNotFound
 		})
 	}
 }
 
-// An entry is told to stop while it answers a request. The balancer is told at
-// once, the request ends whole, and the process ends in its time.
+// An entry that is stopped during a request must fail the load balancer's health check at
+// once, complete the request, and stop within its grace period.
 func TestPlannedStop(t *testing.T) {
 	f := newFleet(t)
 	w := f.addUpstream(t, 1, stand.Held{Name: "m-1"})
 	w.Gap = 100 * time.Millisecond
 	e := f.addEntry(t, "edge-1")
-	e.ready(t)
+	e.waitReady(t)
 	ended := make(chan string, 1)
 	go func() {
-		_, body := chat(t, e, "q-1", "m-1")
+		_, body := sendChat(t, e, "q-1", "m-1")
 		ended <- body
 	}()
 	until(t, "the request runs", func() bool { return w.Ran("q-1") == 1 })
@@ -343,7 +355,7 @@
 		e.stop()
 		close(stopped)
 	}()
-	until(t, "the balancer is told", func() bool {
+	until(t, "the health check fails", func() bool {
 		status, _ := get(t, e.readiness, "/-/readyz")
 		return status != http.StatusOK
 	})
--- a/io/deploy/entry.go
+++ b/io/deploy/entry.go
@@ -20,26 +20,25 @@
 )
 
 const (
-	// spareShare is the part of the platform's spare retries that all entries
-	// together use. The platform counts them together, and an entry may know fewer
-	// others than there are for some seconds.
-	spareShare = 0.8
-	// leastEntries is how many entries are taken to be there while no agent has
-	// said which there are.
-	leastEntries = 10
-	// ratioShare is the part of the platform's ratio of retries that is used: the
-	// platform's windows do not begin with this process's.
-	ratioShare = 0.8
-	// leaveTime is how long an entry that was told to stop still takes requests:
-	// the platform's balancer needs two failed looks, a second apart, to send new
-	// connections elsewhere.
-	leaveTime = 2500 * time.Millisecond
-	// waitMargin is how long before the end of the process requests that still
-	// wait for a host are refused, so that their callers have the refusal.
+	// spareRetryShare is the fraction of the platform's spare retries that all entries together
+	// use. The platform limits their sum, and for some seconds an entry may know fewer other
+	// entries than there are.
+	spareRetryShare = 0.8
+	// assumedEntries is the assumed number of entries while no other entry is known.
+	assumedEntries = 10
+	// retryRatioShare is the fraction of the platform's retry ratio that is used. The rest is a
+	// margin, since the platform's windows do not start at the same time as this process's.
+	retryRatioShare = 0.8
+	// drainDelay is how long a stopping entry still accepts requests. The platform's load
+	// balancer needs two failed health checks, a second apart, to send new connections
+	// elsewhere.
+	drainDelay = 2500 * time.Millisecond
+	// waitMargin is how long before the end of the process requests that still wait for a
+	// host are refused, so that the refusals reach the callers.
 	waitMargin = time.Second
 )
 
-// entry is the parts of an entry process.
+// entry is an entry process and its parts.
 type entry struct {
 	*Process
 	proxy   *proxy.Proxy
@@ -49,23 +48,25 @@
 	members members
 	feed    *feed.Feed
 	quota   *quota.Quota
-	tender  *tender
-	// ordering tells that this entry orders engines, rewrite is sent on when that has
-	// changed.
-	ordering atomic.Bool
-	rewrite  chan struct{}
-	leaving  atomic.Bool
-	// storeLost tells that the last read of the store failed.
-	storeLost atomic.Bool
+	orderer *orderer
+	// ordersEngines is set while this entry orders engines. A value is sent on recordChanged
+	// when it changes.
+	ordersEngines atomic.Bool
+	recordChanged chan struct{}
+	// leaving is set once the process stops.
+	leaving atomic.Bool
+	// storeFailed is set if the last read of the store failed.
+	storeFailed atomic.Bool
 }
 
+// buildEntry sets up the parts of an entry.
 func (p *Process) buildEntry() {
 	s := p.Settings
-	e := &entry{Process: p, rewrite: make(chan struct{}, 1)}
+	e := &entry{Process: p, recordChanged: make(chan struct{}, 1)}
 	e.buildLinks()
 	e.proxy = &proxy.Proxy{
 		Self: s.Name, DataCentre: s.DataCentre, Clock: p.clock, Protocol: protocol, Adapters: e.links, Meter: p.meter,
-		RetryRatio: s.Managed.RetryRatio * ratioShare, RetrySpare: spareOf(s.Managed.RetrySpare, 0), RetrySpan: s.Managed.RetrySpan,
+		RetryRatio: s.Managed.RetryRatio * retryRatioShare, RetrySpare: spareRetries(s.Managed.RetrySpare, 0), RetrySpan: s.Managed.RetrySpan,
 	}
 	e.proxy.Start()
 	e.planner = &planner{entry: e, parallel: s.Store.Parallel}
@@ -73,28 +74,28 @@
 	p.handler.Plan = e.planner.servePlan
 	e.buildFeed()
 	e.buildQuota()
-	e.buildTender()
-	e.tender.serve()
-	e.prepareState()
+	e.buildOrderer()
+	e.orderer.serve()
+	e.buildState()
 	e.shareSignals()
-	p.parts = append(p.parts, e.proxy.Run, e.links.run, e.planner.run, e.planner.recall, e.feed.Run, e.quota.Run, e.record, e.tender.run)
-	p.serve(&httpd.Server{Address: s.Managed.Readiness, Handler: http.HandlerFunc(e.serveReady)})
-	callers := &httpd.Server{Address: s.Listen.Callers, Handler: e.steer(e.proxy)}
-	p.serve(callers)
-	p.leave = func(ctx context.Context) {
+	p.parts = append(p.parts, e.proxy.Run, e.links.run, e.planner.run, e.planner.loadDemand, e.feed.Run, e.quota.Run, e.maintainRecord, e.orderer.run)
+	p.addServer(&httpd.Server{Address: s.Managed.Readiness, Handler: http.HandlerFunc(e.serveReady)})
+	callers := &httpd.Server{Address: s.Listen.Callers, Handler: e.closeWhileLeaving(e.proxy)}
+	p.addServer(callers)
+	p.drain = func(ctx context.Context) {
 		e.leaving.Store(true)
-		e.tender.leave()
+		e.orderer.stop()
 		if due, ok := ctx.Deadline(); ok {
 			e.proxy.Drain(p.clock.Now().Add(time.Until(due) - waitMargin))
 		}
-		if loop.Sleep(ctx, leaveTime) {
-			// Its error is the deadline's: what is still in progress is cut then.
+		if loop.Sleep(ctx, drainDelay) {
+			// Its error is that of the deadline, at which requests in progress are aborted.
 			_ = callers.Stop(ctx)
 		}
 	}
 }
 
-// buildFeed sets up what this entry knows of other entries and its exchange with them.
+// buildFeed sets up the membership and the exchange of reports and demand between entries.
 func (e *entry) buildFeed() {
 	s := e.Settings
 	self := follow.Member{
@@ -109,36 +110,37 @@
 	}
 	e.feed = &feed.Feed{
 		Self: self, MostDirect: s.Managed.DirectAgents, Clock: e.clock, Proxy: e.proxy, Ask: e.client.Digest, Ping: e.client.Ping,
-		Members: e.members.others, Engines: e.links.centres, Planner: e.links.informAll,
+		Members: e.members.others, Engines: e.links.centres, Planner: e.links.notifyAll,
 	}
 	e.feed.Start()
 	e.handler.Digest = e.feed.Serve
 }
 
-// tableAge is how old the word may be that there is no newer routing table for the one in
-// force to count as the newest.
-const tableAge = 5 * time.Second
+// maxTableAge is how long the routing table in force counts as the newest after the last
+// confirmation that there is no newer one.
+const maxTableAge = 5 * time.Second
 
-// buildQuota sets up the counting of customers' use.
+// buildQuota sets up the enforcement of customers' allowances and upstreams' rate limits.
 func (e *entry) buildQuota() {
 	m := e.Settings.Managed
 	e.quota = &quota.Quota{
 		Self: e.members.self, Clock: e.clock, Seed: rand.Uint64(),
 		Tolerance: admit.Tolerance{Window: m.QuotaWindow, Ratio: m.QuotaRatio, Slack: m.QuotaSlack},
-		Ask:       e.client.Allow, Before: e.members.before, Entries: e.entries,
+		Ask:       e.client.Allow, Before: e.members.predecessors, Entries: e.entryCount,
 		Allowance: e.allowance, Limited: func() bool { return e.proxy.Table().Limited() || e.proxy.LimitedHosts() > 0 },
 	}
 	e.quota.Start()
 	e.handler.Allow = e.quota.Serve
 	e.proxy.Quotas, e.proxy.Pacer = e.quota, e.quota
 	e.proxy.Behind = func() bool {
-		return e.clock.Now().Sub(e.state.Status(core.KindTable).Fresh) > tableAge
+		return e.clock.Now().Sub(e.state.Status(core.KindTable).Fresh) > maxTableAge
 	}
 }
 
-// entries returns the number of entries, a guess while no other is known.
-func (e *entry) entries() int { return cmp.Or(e.members.count(), leastEntries) }
+// entryCount returns the number of entries, or assumedEntries while no other entry is known.
+func (e *entry) entryCount() int { return cmp.Or(e.members.count(), assumedEntries) }
 
+// allowance returns a customer's allowance; false if the customer is unknown.
 func (e *entry) allowance(customer core.OwnerName) (admit.Allowance, bool) {
 	c := e.proxy.Table().Customer(customer)
 	if c == nil {
@@ -147,16 +149,17 @@
 	return c.Allowance, true
 }
 
-// spareOf returns an entry's part of the spare retries, given the number of
-// entries that agents have named, zero where none has.
-func spareOf(all float64, entries int) float64 {
+// spareRetries returns one entry's share of the spare retries; entries is zero if their
+// number is not known.
+func spareRetries(all float64, entries int) float64 {
 	if entries == 0 {
-		entries = leastEntries
+		entries = assumedEntries
 	}
-	return all * spareShare / float64(entries)
+	return all * spareRetryShare / float64(entries)
 }
 
-// serveReady tells the platform's balancer whether to send new connections.
+// serveReady is the health check of the platform's load balancer. It fails while no new
+// connections are wanted.
 func (e *entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	status := http.StatusOK
 	if e.leaving.Load() || !e.proxy.Ready() {
@@ -165,9 +168,9 @@
 	w.WriteHeader(status)
 }
 
-// steer has callers' connections closed after their answer while the process is
-// leaving, so that their next request goes to another entry.
-func (e *entry) steer(next http.Handler) http.Handler {
+// closeWhileLeaving closes callers' connections after the response while the process is
+// stopping, so that their next requests go to another entry.
+func (e *entry) closeWhileLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.leaving.Load() {
 			w.Header().Set("Connection", "close")
--- a/io/deploy/leave_test.go
+++ b/io/deploy/leave_test.go
@@ -12,7 +12,8 @@
 	"radishwell/platform/stand"
 )
 
-// addPlain starts an upstream of a plain service and makes that the only one of the table.
+// addPlain starts an upstream of a service without models, which becomes the only service
+// in the routing table.
 func (f *fleet) addPlain(t *testing.T, n int) *stand.Worker {
 	t.Helper()
 	w := &stand.Worker{ID: fmt.Sprintf("i-%d", n), Plain: true}
@@ -24,22 +25,22 @@
 	return w
 }
 
-// Guards against an entry that learns by its own requests alone that an upstream leaves,
-// while others know it and the registry does not.
+// Guards against entries that do not tell each other of an upstream that announces in a
+// response that it is leaving. The registry does not show it.
 func TestOthersHearOfLeaving(t *testing.T) {
 	f := newFleet(t)
 	w := f.addPlain(t, 1)
 	first, second := f.addEntry(t, "edge-1"), f.addEntry(t, "edge-2")
-	first.ready(t)
-	second.ready(t)
+	first.waitReady(t)
+	second.waitReady(t)
 	w.Leave()
-	status, _ := chat(t, first, "q-1", "")
+	status, _ := sendChat(t, first, "q-1", "")
 	assert.Equal(t, status, http.StatusOK)
-	w.Set(stand.Lost) // no answer tells the second entry
+	w.Set(stand.Lost) // so that no response announces it to the second entry
 	n := 0
 	until(t, "the second entry knows", func() bool {
 		n++
-		status, body := chat(t, second, fmt.Sprint("q-2-", n), "")
+		status, body := sendChat(t, second, fmt.Sprint("q-2-", n), "")
 		return status == http.StatusServiceUnavailable && strings.Contains(body, "no-host")
 	})
 }
--- a/io/deploy/limit_test.go
+++ b/io/deploy/limit_test.go
@@ -13,9 +13,9 @@
 	"radishwell/platform/stand"
 )
 
-// press has every entry asked for a model at a pace, until a time, and returns how many
-// requests were served.
-func press(t *testing.T, entries []running, model string, pace time.Duration, until time.Time) (served int) {
+// sendLoad sends requests for a model to the entries in turn, one per pace, until a time, and
+// returns how many were served.
+func sendLoad(t *testing.T, entries []running, model string, pace time.Duration, until time.Time) (served int) {
 	t.Helper()
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -24,7 +24,7 @@
 	for n := 0; time.Now().Before(until); n++ {
 		<-ticker.C
 		all.Go(func() {
-			status, body := chat(t, entries[n%len(entries)], fmt.Sprint("pressed-", n), model)
+			status, body := sendChat(t, entries[n%len(entries)], fmt.Sprint("load-", n), model)
 			mu.Lock()
 			defer mu.Unlock()
 			if status == http.StatusOK {
@@ -38,7 +38,7 @@
 	return served
 }
 
-// mostWithin returns the most of the times, which are in order, that lie within a span.
+// mostWithin returns the maximum number of the times, which are in order, within any span.
 func mostWithin(times []time.Time, span time.Duration) (most int) {
 	first := 0
 	for i, at := range times {
@@ -50,8 +50,7 @@
 	return most
 }
 
-// Guards against an upstream that gets more than the rate that it names, summed over all
-// entries.
+// Guards against entries that together exceed an upstream's rate limit.
 func TestLimitHoldsOverEntries(t *testing.T) {
 	const (
 		rate = 1.0
@@ -63,28 +62,28 @@
 	var entries []running
 	for _, name := range []string{"edge-1", "edge-2", "edge-3"} {
 		e := f.addEntry(t, name)
-		e.ready(t)
+		e.waitReady(t)
 		entries = append(entries, e)
 	}
 	limit := rate
 	w.NameLimit(&limit)
 	for i, e := range entries {
-		until(t, "the entry was told", func() bool {
-			status, _ := chat(t, e, fmt.Sprint("told-", i), "m-1")
+		until(t, "the entry has learned the limit", func() bool {
+			status, _ := sendChat(t, e, fmt.Sprint("learn-", i), "m-1")
 			return status == http.StatusOK
 		})
 	}
 	before := len(w.Arrivals())
-	served := press(t, entries, "m-1", 80*time.Millisecond, time.Now().Add(span+time.Second))
+	served := sendLoad(t, entries, "m-1", 80*time.Millisecond, time.Now().Add(span+time.Second))
 	got := mostWithin(w.Arrivals()[before:], span)
 	assert.Assert(t, got <= most, "%d requests in %v", got, span)
 	assert.Assert(t, served >= 2, "%d were served", served)
-	t.Run("until it names none", func(t *testing.T) {
+	t.Run("the limit is removed", func(t *testing.T) {
 		w.NameLimit(nil)
 		for i, e := range entries {
-			until(t, "the entry knows that the limit is gone", func() bool {
+			until(t, "the entry has learned that there is no limit", func() bool {
 				for n := range 5 {
-					if status, _ := chat(t, e, fmt.Sprint("free-", i, "-", n), "m-1"); status != http.StatusOK {
+					if status, _ := sendChat(t, e, fmt.Sprint("free-", i, "-", n), "m-1"); status != http.StatusOK {
 						return false
 					}
 				}
@@ -94,14 +93,13 @@
 	})
 }
 
-// Guards against an entry that learns of a limit by its own requests alone, while others
-// know it.
+// Guards against entries that do not tell each other of upstreams' rate limits.
 func TestOthersHearOfLimit(t *testing.T) {
 	f := newFleet(t)
 	w := f.addUpstream(t, 1, stand.Held{Name: "m-1"})
 	first, second := f.addEntry(t, "edge-1"), f.addEntry(t, "edge-2")
-	first.ready(t)
-	second.ready(t)
+	first.waitReady(t)
+	second.waitReady(t)
 	knows := func(e running, n int) {
 		until(t, fmt.Sprint("the entry knows of limited upstreams: ", n), func() bool {
 			_, text := get(t, e.operators, "/metrics")
--- a/io/deploy/link.go
+++ b/io/deploy/link.go
@@ -20,72 +20,81 @@
 	stop    context.CancelFunc
 
 	mu sync.Mutex
-	// planner is the entry that the agent follows; heard is when it said so.
+	// planner is the entry that the agent follows, whose goals it accepts, and lastReport the
+	// time of the agent's last report.
 	planner, plannerControl string
-	heard                   time.Time
-	others                  []*wire.EntryDemand
-	othersAt                time.Time
-	used                    map[string]bool
-	seenEntries             uint64
-	renewEntries            time.Time
-	// life is the one that the agent was told of last.
+	lastReport              time.Time
+	// others are the demands of other entries that the agent forwarded, and othersReceived when
+	// they arrived.
+	others         []*wire.EntryDemand
+	othersReceived time.Time
+	// used are the adapters used since the last call, as MODEL/NAME.
+	used map[string]bool
+	// entriesVersion is the version of the agent's list of entries that this entry has, and
+	// entriesExpire when it next requests the whole list.
+	entriesVersion uint64
+	entriesExpire  time.Time
+	// life is the life of the upstream that was last sent to the agent. A life is the time
+	// from one start of the upstream to the next.
 	life   fleet.Life
 	centre core.DataCentre
-	// heardAgent tells that an agent has answered, tryAgent that it is asked next though an
-	// entry orders the engines without one.
-	heardAgent, tryAgent bool
+	// agentAnswered is set once an agent has answered. tryAgent is set if the next call goes to
+	// the agent even though an entry orders the engines without one.
+	agentAnswered, tryAgent bool
 }
 
-// isNews tells whether the agent should hear of a life before its answer to the
-// question in progress, which may be held back for half a second: until it knows
-// the life it orders nothing.
-func (k *link) isNews(life fleet.Life) bool {
+// isNewLife reports whether a life differs from the one last sent to the agent. The agent must
+// then be notified without waiting for the call in progress, whose reply it may delay for
+// half a second: until it knows the life, it sends no orders.
+func (k *link) isNewLife(life fleet.Life) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return life.ID != "" && life != k.life
 }
 
-// inform tells an agent at once what the registry names.
-func (l *links) inform(ctx context.Context, k *link) {
-	reply, err := l.ask(ctx, k, 0, 0)
+// notify sends the current state, such as the upstream's life and the planner, to an agent
+// without waiting for the next poll.
+func (l *links) notify(ctx context.Context, k *link) {
+	reply, err := l.call(ctx, k, 0, 0)
 	if err != nil {
-		// The agent hears of it with the next question instead.
+		// The next poll sends it instead.
 		events.Fail(events.PeerUnreachable, err, "address", k.address)
 		return
 	}
-	l.take(k, reply)
+	l.applyReply(k, reply)
 }
 
-// noteAnswer notes who answered a question, or that nobody did: then the other of agent
-// and entry is asked next.
-func (k *link) noteAnswer(beside, ok bool) {
+// recordAnswer records whether a call was answered, and whether it went to the agent. After a
+// failure the next call goes to the other of agent and entry.
+func (k *link) recordAnswer(beside, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.heardAgent = k.heardAgent || ok && beside
+	k.agentAnswered = k.agentAnswered || ok && beside
 	if !ok {
 		k.tryAgent = !k.tryAgent
 	}
 }
 
-// follow asks one agent again and again until the context ends.
-func (l *links) follow(ctx context.Context, k *link) {
+// poll calls one agent repeatedly until the context ends.
+func (l *links) poll(ctx context.Context, k *link) {
 	seen := uint64(0)
 	for ctx.Err() == nil {
-		reply, err := l.ask(ctx, k, seen, linkWait)
+		reply, err := l.call(ctx, k, seen, reportWait)
 		if err != nil {
 			seen = 0
 			events.Fail(events.PeerUnreachable, err, "address", k.address)
-			loop.Sleep(ctx, linkPause)
+			loop.Sleep(ctx, reportRetryPause)
 			continue
 		}
 		seen = reply.GetChange()
-		l.take(k, reply)
+		l.applyReply(k, reply)
 	}
 }
 
-// ask puts one question to an agent, which may hold back its answer for wait.
-func (l *links) ask(ctx context.Context, k *link, seen uint64, wait time.Duration) (*wire.UpstreamReply, error) {
-	ctx, stop := context.WithTimeout(ctx, linkTime)
+// call calls an agent once, to get its report. The agent may delay its reply for wait while
+// nothing changes after the change number seen.
+func (l *links) call(ctx context.Context, k *link, seen uint64, wait time.Duration) (*wire.UpstreamReply, error) {
+	ctx, stop := context.WithTimeout(ctx, reportTimeout)
 	defer stop()
 	in := &wire.UpstreamCall{
 		Entry: string(l.entry.Settings.Name), Control: l.entry.Settings.Listen.Control.String(),
@@ -93,11 +102,11 @@
 	}
 	direct := l.entry.feed.Direct()
 	if direct {
-		in.Demands, in.Others = demandsOut(l.entry.proxy.Demands()), l.entry.planner.leads()
+		in.Demands, in.Others = encodeDemands(l.entry.proxy.Demands()), l.entry.planner.leads()
 	} else {
-		l.askAsRelay(k, in)
+		l.addRelayed(k, in)
 	}
-	// The zero life, where the registry names none there, tells nothing.
+	// The life is zero if the registry lists no upstream at the address.
 	var life fleet.Life
 	l.entry.proxy.Update(func(v *fleet.View, _ time.Time) {
 		life = v.Newest(k.address)
@@ -112,40 +121,42 @@
 		in.Used = append(in.Used, name)
 	}
 	clear(k.used)
-	in.SeenEntries = k.seenEntries
-	if now := l.entry.clock.Now(); now.After(k.renewEntries) {
-		// Entries that are named no more are forgotten; the others are named again.
-		k.renewEntries = now.Add(namedAge / 3)
+	in.SeenEntries = k.entriesVersion
+	if now := l.entry.clock.Now(); now.After(k.entriesExpire) {
+		// Names of entries expire after maxNamedAge unless the agent sends them again.
+		k.entriesExpire = now.Add(maxNamedAge / 3)
 		in.SeenEntries = 0
 	}
 	k.mu.Unlock()
-	to, upstream := l.agent(k.address, k.centre)
+	to, upstream := l.target(k.address, k.centre)
 	in.Upstream = upstream
 	reply, err := l.entry.client.Upstream(ctx, to, in)
-	k.noteAnswer(upstream == nil, err == nil)
+	k.recordAnswer(upstream == nil, err == nil)
 	return reply, err
 }
 
-// askAsRelay adds to a question what a relay tells an agent for other entries.
-func (l *links) askAsRelay(k *link, in *wire.UpstreamCall) {
+// addRelayed adds the planner and the use of the upstream by other entries to a call, for
+// which a relay is responsible.
+func (l *links) addRelayed(k *link, in *wire.UpstreamCall) {
 	planner := l.entry.feed.Plans()
 	in.Planner, in.PlannerControl = string(planner.Name), planner.Control.String()
 	in.Active = feed.CountsOut(l.entry.feed.Active(k.address))
 	in.Used = l.entry.feed.TakeUsed(k.address)
 }
 
-func (l *links) take(k *link, reply *wire.UpstreamReply) {
+// applyReply applies an agent's reply.
+func (l *links) applyReply(k *link, reply *wire.UpstreamReply) {
 	now := l.entry.clock.Now()
 	k.mu.Lock()
-	k.planner, k.plannerControl, k.heard = reply.GetPlanner(), reply.GetPlannerControl(), now
-	k.seenEntries = reply.GetEntriesVersion()
+	k.planner, k.plannerControl, k.lastReport = reply.GetPlanner(), reply.GetPlannerControl(), now
+	k.entriesVersion = reply.GetEntriesVersion()
 	if len(reply.GetOthers()) > 0 {
-		k.others, k.othersAt = reply.GetOthers(), now
+		k.others, k.othersReceived = reply.GetOthers(), now
 	}
 	k.mu.Unlock()
 	for _, e := range reply.GetEntries() {
 		if at, err := netip.ParseAddrPort(e.GetControl()); err == nil && e.GetName() != string(l.entry.Settings.Name) {
-			l.entry.members.add(core.HostName(e.GetName()), at)
+			l.entry.members.addNamed(core.HostName(e.GetName()), at)
 		}
 	}
 	h := feed.HostIn(k.address, reply.GetReport(), now)
--- a/io/deploy/links.go
+++ b/io/deploy/links.go
@@ -16,46 +16,47 @@
 )
 
 const (
-	// linkWait is how long an agent holds back its answer when nothing has
-	// changed, and so how old an entry's view of a host gets.
-	linkWait = 500 * time.Millisecond
-	// linkTime bounds a question to an agent.
-	linkTime = 1500 * time.Millisecond
-	// linkPause is the pause after one that failed.
-	linkPause = 250 * time.Millisecond
-	// linkRenew is how often the links are held against the registry.
-	linkRenew = 200 * time.Millisecond
-	// fetchTime bounds the loading of an adapter, which takes some ten
-	// milliseconds from an idle store and longer while many are fetched.
-	fetchTime = 1500 * time.Millisecond
+	// reportWait is how long an agent delays its reply while nothing changes, and so the
+	// maximum age of an entry's view of a host.
+	reportWait = 500 * time.Millisecond
+	// reportTimeout is the timeout of a call to an agent.
+	reportTimeout = 1500 * time.Millisecond
+	// reportRetryPause is the pause after a failed call.
+	reportRetryPause = 250 * time.Millisecond
+	// linkInterval is the interval at which the links are reconciled with the registry.
+	linkInterval = 200 * time.Millisecond
+	// fetchTimeout is the timeout for loading an adapter. A load takes some ten milliseconds
+	// from an idle store, and longer while many adapters are being fetched.
+	fetchTimeout = 1500 * time.Millisecond
 )
 
-// links are the exchanges with all agents.
+// links are the exchanges with all agents that this entry polls.
 type links struct {
 	entry *entry
 	mu    sync.Mutex
-	all   map[netip.AddrPort]*link
+	// all has the links by the upstream's address.
+	all map[netip.AddrPort]*link
 }
 
-// buildLinks makes the links before anything runs: their map is read by the planner,
-// which starts at the same time as they do. Made by run, it was written while the
-// planner read it.
+// buildLinks creates the links. It is called before any goroutine starts: the planner reads
+// the map and starts at the same time as links.run, so creating the map in run is a data
+// race.
 func (e *entry) buildLinks() { e.links = &links{entry: e, all: map[netip.AddrPort]*link{}} }
 
-// run holds the links against the registry until the context ends.
+// run reconciles the links with the registry until the context ends.
 func (l *links) run(ctx context.Context) error {
 	for {
-		l.renew(ctx)
-		l.entry.proxy.ShareRetries(spareOf(l.entry.Settings.Managed.RetrySpare, l.entry.members.count()))
-		if !loop.Sleep(ctx, linkRenew) {
+		l.reconcile(ctx)
+		l.entry.proxy.ShareRetries(spareRetries(l.entry.Settings.Managed.RetrySpare, l.entry.members.count()))
+		if !loop.Sleep(ctx, linkInterval) {
 			return nil
 		}
 	}
 }
 
-// renew starts links to agents of hosts that are new and ends those of hosts
-// that are gone.
-func (l *links) renew(ctx context.Context) {
+// reconcile starts links to the agents of new hosts, ends those of removed hosts, and notifies
+// agents whose upstream has restarted.
+func (l *links) reconcile(ctx context.Context) {
 	wanted := l.engines()
 	for address, e := range wanted {
 		if !l.entry.feed.Follows(e.centre) {
@@ -77,21 +78,21 @@
 			own, stop := context.WithCancel(ctx)
 			k = &link{address: address, centre: e.centre, stop: stop, used: map[string]bool{}, life: life}
 			l.all[address] = k
-			go l.follow(own, k)
+			go l.poll(own, k)
 		}
-		if k.isNews(life) {
-			go l.inform(ctx, k)
+		if k.isNewLife(life) {
+			go l.notify(ctx, k)
 		}
 	}
 }
 
-// engine is a model engine that the registry lists, with an agent beside it.
+// engine is an upstream of a service with models, as the registry lists it.
 type engine struct {
 	centre core.DataCentre
 	life   fleet.Life
 }
 
-// engines returns the model engines by their addresses.
+// engines returns the upstreams of services with models, by address.
 func (l *links) engines() map[netip.AddrPort]engine {
 	out := map[netip.AddrPort]engine{}
 	table := l.entry.proxy.Table()
@@ -108,7 +109,7 @@
 	return out
 }
 
-// centres returns the model engines' data centres by their addresses.
+// centres returns the data centres of the upstreams of services with models, by address.
 func (l *links) centres() map[netip.AddrPort]core.DataCentre {
 	out := map[netip.AddrPort]core.DataCentre{}
 	for address, e := range l.engines() {
@@ -117,42 +118,44 @@
 	return out
 }
 
-// informAll tells all agents that this entry follows at once who plans. Until they know,
-// they take no goals of the one that took over.
-func (l *links) informAll() {
+// notifyAll sends the name of the planner to all agents that this entry polls, without
+// waiting for the next poll. Agents reject the goals of a new planner until they know it.
+func (l *links) notifyAll() {
 	l.mu.Lock()
 	all := slices.Collect(maps.Values(l.all))
 	l.mu.Unlock()
 	for _, k := range all {
-		go l.inform(context.Background(), k)
+		go l.notify(context.Background(), k)
 	}
 }
 
-// at returns the link to an upstream's agent, nil where this entry follows none there.
-func (l *links) at(address netip.AddrPort) *link {
+// link returns the link to the agent of an upstream, nil if this entry does not poll it.
+func (l *links) link(address netip.AddrPort) *link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all[address]
 }
 
-// beside returns where the agent beside an upstream takes calls.
-func (l *links) beside(address netip.AddrPort) peer.Target {
+// agentTarget returns the target of calls to the agent beside an upstream.
+func (l *links) agentTarget(address netip.AddrPort) peer.Target {
 	return peer.Target{Address: netip.AddrPortFrom(address.Addr(), uint16(l.entry.Settings.Managed.AgentPort))}
 }
 
-// agent returns where calls for the agent beside an upstream go. Where no agent was ever
-// heard of there, an entry may order the upstream; then upstream names it to that entry.
-func (l *links) agent(address netip.AddrPort, dc core.DataCentre) (to peer.Target, upstream []byte) {
-	beside := l.beside(address)
-	if k := l.at(address); k != nil {
+// target returns the target of calls to the agent of an upstream. If no agent has ever
+// answered there and an entry orders upstreams of the data centre, the target is that entry,
+// and upstream is the encoded address that identifies the upstream in the call. Otherwise
+// upstream is nil.
+func (l *links) target(address netip.AddrPort, dc core.DataCentre) (to peer.Target, upstream []byte) {
+	beside := l.agentTarget(address)
+	if k := l.link(address); k != nil {
 		k.mu.Lock()
-		direct := k.heardAgent || k.tryAgent
+		direct := k.agentAnswered || k.tryAgent
 		k.mu.Unlock()
 		if direct {
 			return beside, nil
 		}
 	}
-	holder, ok := l.entry.members.holder(dc)
+	holder, ok := l.entry.members.ordererOf(dc)
 	if !ok {
 		return beside, nil
 	}
@@ -164,25 +167,25 @@
 	return holder, upstream
 }
 
-// heardAgent tells whether an agent has ever answered beside an upstream.
-func (l *links) heardAgent(address netip.AddrPort) bool {
-	k := l.at(address)
+// agentAnswered reports whether an agent beside an upstream has ever answered this entry.
+func (l *links) agentAnswered(address netip.AddrPort) bool {
+	k := l.link(address)
 	if k == nil {
 		return false
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.heardAgent
+	return k.agentAnswered
 }
 
-// list returns the links whose agents were heard of lately.
-func (l *links) list(now time.Time) []*link {
+// active returns the links whose agents reported within reportTimeout.
+func (l *links) active(now time.Time) []*link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []*link
 	for _, k := range l.all {
 		k.mu.Lock()
-		if !k.heard.IsZero() && now.Sub(k.heard) < linkTime {
+		if !k.lastReport.IsZero() && now.Sub(k.lastReport) < reportTimeout {
 			out = append(out, k)
 		}
 		k.mu.Unlock()
--- a/io/deploy/links_test.go
+++ b/io/deploy/links_test.go
@@ -15,9 +15,9 @@
 	"radishwell/wire"
 )
 
-// An entry starts on a busy machine. Its planner asks for the links while their own
-// goroutine begins to run, which then made the map that the planner read; the race
-// detector ended one start in some dozens so.
+// Guards against a data race at the start of an entry: the planner read the map of links
+// while the goroutine of the links created it. On a busy machine the race detector aborted
+// one start in some dozens.
 func TestLinksAreThereBeforeTheyRun(t *testing.T) {
 	e := &entry{Process: &Process{clock: Clock{start: time.Now()}}, proxy: &proxy.Proxy{Clock: Clock{start: time.Now()}}}
 	e.proxy.Start()
@@ -26,13 +26,13 @@
 	ended := make(chan error, 1)
 	go func() { ended <- e.links.run(ctx) }()
 	for range 100 {
-		assert.Equal(t, len(e.links.list(e.clock.Now())), 0)
+		assert.Equal(t, len(e.links.active(e.clock.Now())), 0)
 	}
 	stop()
 	assert.NilError(t, <-ended)
 }
 
-// serveCalls takes calls on the loopback until the test ends.
+// serveCalls serves a handler on a loopback address until the test ends.
 func serveCalls(t *testing.T, h *peer.Handler) netip.AddrPort {
 	t.Helper()
 	s := &peer.Server{Address: netip.MustParseAddrPort("127.0.0.1:0"), Handler: h}
@@ -47,9 +47,9 @@
 	return s.Address
 }
 
-// In a large fleet one engine of a data centre has no agent, and an entry orders it. The
-// entries that follow no agent themselves asked that entry for the adapters of all engines
-// there, and had none loaded where agents are.
+// Guards against sending all calls for a data centre to the entry that orders some of its
+// engines. If one engine had no agent, entries that poll no agents called that entry for the
+// adapters of all engines there, and no adapters were loaded on engines with agents.
 func TestAgentIsCalledBesideEngineOfAnEntry(t *testing.T) {
 	holder := serveCalls(t, &peer.Handler{Adapter: func(*wire.AdapterCall) (*wire.AdapterReply, error) { return nil, &NotHeldError{} }})
 	agent := serveCalls(t, &peer.Handler{Adapter: func(c *wire.AdapterCall) (*wire.AdapterReply, error) {
@@ -60,7 +60,7 @@
 	e.buildLinks()
 	e.members.ordering = map[core.DataCentre]ordering{"dc-1": {name: "edge-1", control: holder}}
 	host := fleet.Entry{Address: netip.AddrPortFrom(agent.Addr(), 9), DataCentre: "dc-1"}
-	reply, err := ordered(e.links, host, func(to peer.Target, upstream []byte) (*wire.AdapterReply, error) {
+	reply, err := callAgent(e.links, host, func(to peer.Target, upstream []byte) (*wire.AdapterReply, error) {
 		return e.client.Adapter(t.Context(), to, &wire.AdapterCall{Upstream: upstream})
 	})
 	assert.NilError(t, err)
--- a/io/deploy/members.go
+++ b/io/deploy/members.go
@@ -16,71 +16,74 @@
 	"radishwell/io/peer"
 )
 
-// recordPause is the pause after a try to record this entry that failed: the store is
-// out, and whoever does not read of this entry finds it when it calls.
-const recordPause = 2 * time.Second
+// recordRetryPause is the pause after a failed write of this entry's record. The store is out
+// then; other entries learn of this one when it calls them.
+const recordRetryPause = 2 * time.Second
 
-// recordLook is how often an entry looks whether the records have been listed.
-const recordLook = 50 * time.Millisecond
+// listedPollInterval is the interval at which an entry checks whether the records have been
+// listed.
+const listedPollInterval = 50 * time.Millisecond
 
-// recordWait is how long a watch of the records waits. They change when an entry is added
-// or moved, and other entries tell of that too.
-const recordWait = 15 * time.Second
+// recordWatchWait is the maximum wait of a poll for changes of the records. They change only
+// when an entry is added or moved, which other entries report as well.
+const recordWatchWait = 15 * time.Second
 
 // memberJSON is an entry's record in the store.
 type memberJSON struct {
 	Control    netip.AddrPort  `json:"control"`
 	DataCentre core.DataCentre `json:"data-centre"`
 	Capacity   float64         `json:"capacity"`
-	// Orders tells that the entry orders the engines of its data centre that have no
+	// Orders is set if the entry orders engines, those of its data centre that have no
 	// agent.
 	Orders bool `json:"orders,omitempty"`
 }
 
-// members are the other entries: those of the settings, those that the store lists, and
-// those that agents name, which in a small fleet is sooner.
+// members are the other entries: those in the settings, those with a record in the store,
+// and those that agents name. In a small fleet agents name an entry before its record
+// arrives.
 type members struct {
 	clock core.Clock
 	self  follow.Member
+	// seeds are the addresses in the settings.
 	seeds []netip.AddrPort
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// listed are the entries with a record, and ranked the same by data centre and rank.
 	listed map[core.HostName]follow.Member
 	ranked follow.Ranked
-	// ahead are those that go before this entry by rank, the first first.
-	ahead []follow.Member
-	// own is this entry's record as the store lists it, zero where there is none.
+	// preceding are the entries that precede this one by rank, in order.
+	preceding []follow.Member
+	// own is this entry's record in the store, zero if there is none.
 	own memberJSON
-	// ordering are the entries that order engines, by data centre, with the version of
-	// the record that says so: the latest counts.
+	// ordering are the entries that order engines, by data centre. The latest record counts.
 	ordering map[core.DataCentre]ordering
-	named    map[netip.AddrPort]core.HostName
-	// heard is when an agent last named an entry.
-	heard map[netip.AddrPort]time.Time
+	// named are the entries that agents named, and namedAt when an agent last did so.
+	named   map[netip.AddrPort]core.HostName
+	namedAt map[netip.AddrPort]time.Time
 }
 
-// ordering is an entry that orders engines.
+// ordering is an entry that orders engines, and the version of its record.
 type ordering struct {
 	name    core.HostName
 	control netip.AddrPort
 	version core.Version
 }
 
-// namedAge is how long an entry counts as there after an agent named it.
-const namedAge = 10 * time.Second
+// maxNamedAge is how long an entry is kept after an agent last named it.
+const maxNamedAge = 10 * time.Second
 
-// add notes an entry that an agent named.
-func (m *members) add(name core.HostName, control netip.AddrPort) {
+// addNamed records an entry that an agent named.
+func (m *members) addNamed(name core.HostName, control netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.named == nil {
-		m.named, m.heard = map[netip.AddrPort]core.HostName{}, map[netip.AddrPort]time.Time{}
+		m.named, m.namedAt = map[netip.AddrPort]core.HostName{}, map[netip.AddrPort]time.Time{}
 	}
-	m.named[control], m.heard[control] = name, m.clock.Now()
+	m.named[control], m.namedAt[control] = name, m.clock.Now()
 }
 
-// take takes in an entry's record.
-func (m *members) take(o core.Object) {
+// apply updates the members from an entry's record in the store.
+func (m *members) apply(o core.Object) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	name := core.HostName(o.Name)
@@ -88,11 +91,11 @@
 	if !o.Deleted {
 		if err := json.Unmarshal(o.Spec, &record); err != nil {
 			events.Fail(events.RegistryEntryUnusable, err, "name", o.Name, "revision", o.Version)
-			o.Deleted = true // it names no entry
+			o.Deleted = true // an invalid record counts as none
 		}
 	}
 	if !o.Deleted {
-		m.takeOrders(name, record, o.Version)
+		m.applyOrders(name, record, o.Version)
 	}
 	if name == m.self.Name {
 		m.own = record
@@ -107,12 +110,12 @@
 	}
 	all := slices.Collect(maps.Values(m.listed))
 	m.ranked = follow.Rank(all)
-	m.ahead = slices.DeleteFunc(all, func(o follow.Member) bool { return !o.Before(m.self) })
-	follow.Sort(m.ahead)
+	m.preceding = slices.DeleteFunc(all, func(o follow.Member) bool { return !o.Before(m.self) })
+	follow.Sort(m.preceding)
 }
 
-// takeOrders takes in whether an entry orders engines. The caller holds mu.
-func (m *members) takeOrders(name core.HostName, record memberJSON, version core.Version) {
+// applyOrders records whether an entry orders engines. The caller holds mu.
+func (m *members) applyOrders(name core.HostName, record memberJSON, version core.Version) {
 	old := m.ordering[record.DataCentre]
 	switch {
 	case record.Orders && version >= old.version:
@@ -125,37 +128,38 @@
 	}
 }
 
-// says tells whether the store listed this record of this entry.
-func (m *members) says(record memberJSON) bool {
+// isListed reports whether the record of this entry in the store equals the given one.
+func (m *members) isListed(record memberJSON) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.own == record
 }
 
-// holder returns the entry that orders the engines without agents of a data centre.
-func (m *members) holder(dc core.DataCentre) (peer.Target, bool) {
+// ordererOf returns the entry that orders the engines without agents in a data centre; false if
+// there is none.
+func (m *members) ordererOf(dc core.DataCentre) (peer.Target, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	o, ok := m.ordering[dc]
 	return peer.Target{Host: o.name, Address: o.control}, ok
 }
 
-// others returns the entries that the store lists, without this one.
+// others returns the other entries with a record in the store.
 func (m *members) others() follow.Ranked {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ranked
 }
 
-// before returns the other entries that go before this one by rank, the first first;
-// false while none is listed.
-func (m *members) before() ([]follow.Member, bool) {
+// predecessors returns the other entries that precede this one by rank, in order; false while no
+// records are known.
+func (m *members) predecessors() ([]follow.Member, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ahead, m.listed != nil
+	return m.preceding, m.listed != nil
 }
 
-// count returns the number of entries, this one included; zero while no other is known.
+// count returns the number of entries, including this one; zero while no other is known.
 func (m *members) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,16 +170,17 @@
 	return n + 1
 }
 
-// peers returns the other entries as peers to exchange state with.
+// peers returns the other entries for the exchange of state. It drops those that no agent
+// has named for longer than maxNamedAge.
 func (m *members) peers() []peer.Target {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
 	known := map[netip.AddrPort]core.HostName{}
 	for control, name := range m.named {
-		if now.Sub(m.heard[control]) > namedAge {
+		if now.Sub(m.namedAt[control]) > maxNamedAge {
 			delete(m.named, control)
-			delete(m.heard, control)
+			delete(m.namedAt, control)
 			continue
 		}
 		known[control] = name
@@ -185,8 +190,8 @@
 	}
 	for _, at := range m.seeds {
 		if _, ok := known[at]; !ok {
-			// Its name is not known before the store or an agent tells it; the address tells
-			// entries apart as well.
+			// The name is unknown until a record or an agent gives it; the address
+			// identifies the entry until then.
 			known[at] = core.HostName(at.String())
 		}
 	}
@@ -197,34 +202,36 @@
 	return out
 }
 
-// isNear tells whether a peer is in this entry's data centre.
+// isNear reports whether a peer is in this entry's data centre.
 func (m *members) isNear(t peer.Target) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listed[t.Host].DataCentre == m.self.DataCentre
 }
 
-// setOrders notes whether this entry orders engines, for its record.
+// setOrders sets whether this entry orders engines, and has its record rewritten on a
+// change.
 func (e *entry) setOrders(now bool) {
-	if e.ordering.Swap(now) != now {
-		loop.Poke(e.rewrite)
+	if e.ordersEngines.Swap(now) != now {
+		loop.Poke(e.recordChanged)
 	}
 }
 
-// record writes this entry's record, so that others find it. After a restart the store
-// has it already, as the list of all records shows. A change is always written: the list
-// may not have shown the one before yet.
-func (e *entry) record(ctx context.Context) error {
+// maintainRecord writes this entry's record, by which others find it, and keeps it up to date
+// until the context ends. The first write is skipped if the store has the same record, as
+// after a restart. Changes are always written, since the replica of the records may not show
+// the previous change yet.
+func (e *entry) maintainRecord(ctx context.Context) error {
 	for !e.state.Confirmed(core.KindEntry) {
-		if !loop.Sleep(ctx, recordLook) {
+		if !loop.Sleep(ctx, listedPollInterval) {
 			return nil
 		}
 	}
-	listed := e.members.says(e.ownRecord())
+	listed := e.members.isListed(e.ownRecord())
 	for {
 		if err := e.writeRecord(ctx, listed); err != nil {
 			events.Fail(events.PlatformUnreachable, err, "kind", core.KindEntry)
-			if !loop.Sleep(ctx, recordPause) {
+			if !loop.Sleep(ctx, recordRetryPause) {
 				return nil
 			}
 			continue
@@ -233,18 +240,18 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-e.rewrite:
+		case <-e.recordChanged:
 		}
 	}
 }
 
-// ownRecord returns what this entry's record has to say.
+// ownRecord returns the current content of this entry's record.
 func (e *entry) ownRecord() memberJSON {
 	self := e.members.self
-	return memberJSON{Control: self.Control, DataCentre: self.DataCentre, Capacity: self.Capacity, Orders: e.ordering.Load()}
+	return memberJSON{Control: self.Control, DataCentre: self.DataCentre, Capacity: self.Capacity, Orders: e.ordersEngines.Load()}
 }
 
-// writeRecord writes this entry's record, unless it is listed as it is.
+// writeRecord writes this entry's record, unless listed reports that the store has it.
 func (e *entry) writeRecord(ctx context.Context, listed bool) error {
 	if listed {
 		return nil
@@ -253,6 +260,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = e.put(ctx, core.Object{Kind: core.KindEntry, Name: string(e.members.self.Name), Spec: spec})
+	_, err = e.createOrUpdate(ctx, core.Object{Kind: core.KindEntry, Name: string(e.members.self.Name), Spec: spec})
 	return err
 }
--- a/io/deploy/members_test.go
+++ b/io/deploy/members_test.go
@@ -19,24 +19,24 @@
 	"radishwell/platform/stand"
 )
 
-// An entry takes engines without agents on and gives them up again, before the replica of
-// the records has shown it that it had said so. Its record went on to name it as the one
-// that orders them, since by the replica nothing was to be written.
+// Guards against comparing a changed record with the replica of the records. An entry started
+// and stopped ordering engines before the replica showed its first write. By the replica
+// nothing had changed, so its record still named it as the entry that orders the engines.
 func TestRecordFollowsOrders(t *testing.T) {
 	srv := httptest.NewServer(&stand.Store{})
 	t.Cleanup(srv.Close)
 	store := &plat.Store{Address: netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://")), Client: http.DefaultClient}
-	e := &entry{Process: &Process{store: store}, rewrite: make(chan struct{}, 1)}
+	e := &entry{Process: &Process{store: store}, recordChanged: make(chan struct{}, 1)}
 	e.members.self = follow.Member{Name: "edge-1", Control: netip.MustParseAddrPort("10.0.0.1:1"), DataCentre: "dc-1", Capacity: 1}
 	spec, err := json.Marshal(memberJSON{Control: e.members.self.Control, DataCentre: "dc-1", Capacity: 1})
 	assert.NilError(t, err)
-	e.members.take(core.Object{Kind: core.KindEntry, Name: "edge-1", Spec: spec})
+	e.members.apply(core.Object{Kind: core.KindEntry, Name: "edge-1", Spec: spec})
 	kinds := []core.Kind{core.KindEntry}
 	e.state = &peer.Store{Kinds: kinds, Confirm: kinds, Platform: store, Client: &peer.Client{}}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 2)
 	go func() { ended <- e.state.Run(ctx) }()
-	go func() { ended <- e.record(ctx) }()
+	go func() { ended <- e.maintainRecord(ctx) }()
 	for _, orders := range []bool{true, false} {
 		e.setOrders(orders)
 		wantOrders(t, store, orders)
@@ -46,8 +46,7 @@
 	assert.NilError(t, <-ended)
 }
 
-// wantOrders waits until the store has a record that says whether the entry orders
-// engines.
+// wantOrders waits until the entry's record in the store has the given value of Orders.
 func wantOrders(t *testing.T, store *plat.Store, orders bool) {
 	t.Helper()
 	const patience = 10 * time.Second
--- a/io/deploy/outage_test.go
+++ b/io/deploy/outage_test.go
@@ -13,10 +13,10 @@
 	"radishwell/wire"
 )
 
-// afterFailedRead returns the host that an entry still counts on after a failed read of the
-// store and the end of the host's registry entry, nil for none. Heard tells whether another
-// entry has just had word of the store.
-func afterFailedRead(t *testing.T, heard bool) *fleet.Host {
+// afterFailedRead returns the host that an entry still uses after a failed read of the store
+// and the deletion of the host's registry entry, nil if it uses none. If reported is set,
+// another entry has just reported a response of the store.
+func afterFailedRead(t *testing.T, reported bool) *fleet.Host {
 	t.Helper()
 	clock := Clock{start: time.Now()}
 	e := &entry{
@@ -24,7 +24,7 @@
 		state: &peer.Store{Kinds: []core.Kind{core.KindRegistry}, Clock: clock},
 	}
 	e.proxy.Start()
-	if heard {
+	if reported {
 		_, err := e.state.Serve(&wire.SyncCall{Through: []*wire.Through{{Kind: string(core.KindRegistry)}}})
 		assert.NilError(t, err)
 	}
@@ -34,18 +34,18 @@
 	}
 	gone := core.Object{Kind: core.KindRegistry, Name: "i-1", Version: 2, Deleted: true}
 	var left *fleet.Host
-	e.proxy.Update(func(v *fleet.View, now time.Time) { takeHost(v, now, host) })
-	e.stateFailed(&core.PlatformError{Fault: core.Unknown})
+	e.proxy.Update(func(v *fleet.View, now time.Time) { applyHost(v, now, host) })
+	e.readFailed(&core.PlatformError{Fault: core.Unknown})
 	e.proxy.Update(func(v *fleet.View, now time.Time) {
-		takeHost(v, now, gone)
+		applyHost(v, now, gone)
 		left = v.Host("i-1")
 	})
 	return left
 }
 
-// Guards against an entry that takes a failed read of its own for an outage of the store, and
-// goes on sending requests to a host that is gone.
+// Guards against taking a single entry's failed read for an outage of the store, which makes
+// the entry send requests to a host that has been removed.
 func TestOwnFailedReadIsNoOutage(t *testing.T) {
-	t.Run("others hear the store", func(t *testing.T) { assert.Assert(t, afterFailedRead(t, true) == nil) })
-	t.Run("nobody does", func(t *testing.T) { assert.Assert(t, afterFailedRead(t, false) != nil) })
+	t.Run("other entries reach the store", func(t *testing.T) { assert.Assert(t, afterFailedRead(t, true) == nil) })
+	t.Run("no entry reaches the store", func(t *testing.T) { assert.Assert(t, afterFailedRead(t, false) != nil) })
 }
--- a/io/deploy/planner.go
+++ b/io/deploy/planner.go
@@ -19,53 +19,59 @@
 )
 
 const (
-	// planEvery is how often the planner decides; a request that begins to wait
-	// has it decide at once.
-	planEvery = 250 * time.Millisecond
-	// planRest is how many times as long as a decision the pause after it is, so that
-	// decisions take a sixth of the processor at most.
-	planRest = 5
-	// planTime bounds calls between entries and of agents about plans.
-	planTime = time.Second
-	// demandAge is how old another entry's word on its demand may be.
-	demandAge = 5 * time.Second
+	// planInterval is the interval between decisions. A request that begins to wait triggers a
+	// decision at once.
+	planInterval = 250 * time.Millisecond
+	// planPauseFactor is the ratio of the pause after a decision to the duration of the
+	// decision. It limits decisions of up to 50 ms to a sixth of one processor; planInterval
+	// caps the pause after longer ones.
+	planPauseFactor = 5
+	// planTimeout is the timeout of calls to other entries and agents about plans.
+	planTimeout = time.Second
+	// maxDemandAge is the age after which another entry's demand is dropped.
+	maxDemandAge = 5 * time.Second
 )
 
-// told is another entry's demand.
-type told struct {
+// reportedDemand is the demand that another entry reported, by model.
+type reportedDemand struct {
 	at      time.Time
 	demands map[core.ModelName]copies.Demand
 }
 
-// planner decides which hosts hold which models while agents follow this entry,
-// and otherwise tells the entry that they follow what is waited for here.
+// planner decides which hosts load which models. It does so while agents follow this entry,
+// that is, accept its goals. Otherwise it reports this entry's demand to the planner that
+// they follow.
 type planner struct {
 	entry    *entry
 	parallel int
-	// took is how long the last decision took; it belongs to run.
-	took time.Duration
+	// planDuration is the duration of the last decision. Only run and what it calls use it.
+	planDuration time.Duration
 
 	mu       sync.Mutex
 	services map[core.ServiceName]*copies.Planner
-	told     map[string]told
-	leading  bool
-	past     past
+	// reported are the demands of other entries, by entry.
+	reported map[string]reportedDemand
+	// leading is set while this entry plans.
+	leading bool
+	saved   savedDemand
 }
 
+// start initialises the planner. It is called before all other methods.
 func (p *planner) start() {
 	p.services = map[core.ServiceName]*copies.Planner{}
-	p.told = map[string]told{}
+	p.reported = map[string]reportedDemand{}
 }
 
-// leads tells whether any agent follows this entry.
+// leads reports whether this entry plans.
 func (p *planner) leads() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.leading
 }
 
+// run decides at intervals, and when a request begins to wait, until the context ends.
 func (p *planner) run(ctx context.Context) error {
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -75,57 +81,58 @@
 		case <-p.entry.proxy.Waiting():
 		}
 		p.decide(ctx)
-		// In a large fleet some request begins to wait at any moment.
-		loop.Sleep(ctx, restAfter(p.took))
-		p.took = 0
+		// In a large fleet requests begin to wait all the time, so the pause bounds the load.
+		loop.Sleep(ctx, pauseAfter(p.planDuration))
+		p.planDuration = 0
 	}
 }
 
-// restAfter returns the pause after a decision that took a time. The work alone counts,
-// not the time that a call to another entry takes: one that has died takes a second to
-// find out, and the entry that takes its place would rest before it plans.
-func restAfter(took time.Duration) time.Duration { return min(planEvery, planRest*took) }
+// pauseAfter returns the pause after a decision that took the given time. Callers count the
+// planning only, not calls to other entries: a call to an entry that has died takes a second
+// to fail, and the entry that replaces it as the planner would pause before it plans.
+func pauseAfter(took time.Duration) time.Duration { return min(planInterval, planPauseFactor*took) }
 
-// decide plans, or tells the entry that does.
+// decide plans if agents follow this entry; otherwise it reports the demand to the planner.
 func (p *planner) decide(ctx context.Context) {
 	now := p.entry.clock.Now()
 	if !p.entry.feed.Direct() {
-		p.decideByRelays(ctx, now)
+		p.decideWithRelays(ctx, now)
 		return
 	}
 	followers := map[netip.AddrPort]bool{}
 	others := map[string]int{}
-	for _, k := range p.entry.links.list(now) {
+	for _, k := range p.entry.links.active(now) {
 		k.mu.Lock()
 		if k.planner == string(p.entry.Settings.Name) {
 			followers[k.address] = true
 		} else {
 			others[k.plannerControl]++
 		}
-		p.hear(k, now)
+		p.recordForwarded(k, now)
 		k.mu.Unlock()
 	}
 	if len(followers)+len(others) > 0 {
 		p.entry.proxy.NoteLoader()
 	}
-	p.lead(len(followers) > 0)
+	p.setLeading(len(followers) > 0)
 	if len(followers) > 0 {
 		p.plan(ctx, now, followers)
 		return
 	}
-	p.tell(ctx, most(others))
+	p.reportDemand(ctx, mostCounted(others))
 }
 
-// decideByRelays plans where the relays call this entry the planner. Otherwise it has
-// them told at once what is waited for.
-func (p *planner) decideByRelays(ctx context.Context, now time.Time) {
+// decideWithRelays is decide for fleets with relays, the entries that poll agents for others.
+// It plans if this entry is the planner by the relays' information. Otherwise, if requests
+// wait, it reports the demand to the relays at once.
+func (p *planner) decideWithRelays(ctx context.Context, now time.Time) {
 	plans := p.entry.feed.Plans().Name == p.entry.Settings.Name
-	p.lead(plans)
-	if p.entry.feed.HasFollowers(linkTime) {
+	p.setLeading(plans)
+	if p.entry.feed.HasFollowers(reportTimeout) {
 		p.entry.proxy.NoteLoader()
 	}
 	if plans {
-		p.plan(ctx, now, p.entry.feed.Followers(linkTime))
+		p.plan(ctx, now, p.entry.feed.Followers(reportTimeout))
 		return
 	}
 	if len(p.entry.proxy.WaitingFor()) > 0 {
@@ -133,7 +140,9 @@
 	}
 }
 
-func most(counts map[string]int) string {
+// mostCounted returns the name with the highest count, the first in order among equals;
+// empty if there are none.
+func mostCounted(counts map[string]int) string {
 	best := ""
 	for name, n := range counts {
 		if best == "" || n > counts[best] || n == counts[best] && name < best {
@@ -143,25 +152,27 @@
 	return best
 }
 
-// hear takes in what an agent passed on of other entries. The caller holds the
-// link's mu.
-func (p *planner) hear(k *link, now time.Time) {
+// recordForwarded records the demands of other entries that an agent forwarded. The caller
+// holds the link's mu.
+func (p *planner) recordForwarded(k *link, now time.Time) {
 	for _, o := range k.others {
-		p.take(o.GetEntry(), k.othersAt.Add(-time.Duration(o.GetAge())), o.GetDemands())
+		p.recordDemand(o.GetEntry(), k.othersReceived.Add(-time.Duration(o.GetAge())), o.GetDemands())
 	}
 	k.others = nil
 }
 
-func (p *planner) take(entry string, at time.Time, demands []*wire.ModelDemand) {
+// recordDemand records the demand that another entry had at a time, unless a later one is known.
+func (p *planner) recordDemand(entry string, at time.Time, demands []*wire.ModelDemand) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if old, ok := p.told[entry]; ok && old.at.After(at) {
+	if old, ok := p.reported[entry]; ok && old.at.After(at) {
 		return
 	}
-	p.told[entry] = told{at: at, demands: demandsIn(demands)}
+	p.reported[entry] = reportedDemand{at: at, demands: decodeDemands(demands)}
 }
 
-func (p *planner) lead(now bool) {
+// setLeading records whether this entry plans.
+func (p *planner) setLeading(now bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now && !p.leading {
@@ -170,41 +181,41 @@
 	p.leading = now
 }
 
-// demand sums what all entries are asked for.
-func (p *planner) demand(now time.Time) map[core.ModelName]copies.Demand {
+// totalDemand returns the sum of the demands of all entries.
+func (p *planner) totalDemand(now time.Time) map[core.ModelName]copies.Demand {
 	if !p.entry.feed.Direct() {
 		sum := p.entry.feed.Demand()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.past.fill(now, sum)
+		p.saved.raise(now, sum)
 		return sum
 	}
 	sum := p.entry.proxy.Demands()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for entry, t := range p.told {
-		if now.Sub(t.at) > demandAge {
-			delete(p.told, entry)
+	for entry, t := range p.reported {
+		if now.Sub(t.at) > maxDemandAge {
+			delete(p.reported, entry)
 			continue
 		}
 		for name, d := range t.demands {
 			sum[name] = sum[name].Add(d)
 		}
 	}
-	p.past.fill(now, sum)
+	p.saved.raise(now, sum)
 	return sum
 }
 
-// plan decides on moves and sends them to the agents.
+// plan decides on moves, that is, loads and evictions, and sends them as goals to the agents.
 func (p *planner) plan(ctx context.Context, now time.Time, followers map[netip.AddrPort]bool) {
 	table := p.entry.proxy.Table()
 	if table == nil {
 		return
 	}
 	began := time.Now()
-	defer func() { p.took = time.Since(began) }()
-	demand := p.demand(now)
-	p.keep(ctx, now, demand)
+	defer func() { p.planDuration = time.Since(began) }()
+	demand := p.totalDemand(now)
+	p.saveDemand(ctx, now, demand)
 	ready := map[core.ModelName]time.Time{}
 	for _, s := range table.Services {
 		if !s.HasModels() {
@@ -215,7 +226,7 @@
 		c := p.services[s.Name]
 		if c == nil {
 			c = &copies.Planner{Parallel: p.parallel}
-			c.Learn(p.past.width)
+			c.Learn(p.saved.width)
 			p.services[s.Name] = c
 		}
 		moves := c.Plan(now, s, hosts, demand)
@@ -226,14 +237,15 @@
 		}
 		p.mu.Unlock()
 		for _, m := range moves {
-			go p.send(ctx, s, entries[m.Host], m)
+			go p.sendGoal(ctx, s, entries[m.Host], m)
 		}
 	}
 	p.entry.proxy.SetForecasts(ready)
 	p.entry.feed.Foresee(ready)
 }
 
-// hosts returns a service's hosts as the planner of copies sees them.
+// hosts returns the running hosts of a service as copies.Planner takes them, and their
+// registry entries.
 func (p *planner) hosts(s *rtable.Service, followers map[netip.AddrPort]bool) ([]*copies.Host, map[core.HostName]fleet.Entry) {
 	var hosts []*copies.Host
 	entries := map[core.HostName]fleet.Entry{}
@@ -243,13 +255,15 @@
 				continue
 			}
 			entries[h.ID] = h.Entry
-			hosts = append(hosts, viewHost(h, s, now, followers[h.Address]))
+			hosts = append(hosts, plannerHost(h, s, now, followers[h.Address]))
 		}
 	})
 	return hosts, entries
 }
 
-func viewHost(h *fleet.Host, s *rtable.Service, now time.Time, follows bool) *copies.Host {
+// plannerHost converts a host for copies.Planner; follows is set if its agent accepts goals of
+// this entry.
+func plannerHost(h *fleet.Host, s *rtable.Service, now time.Time, follows bool) *copies.Host {
 	out := &copies.Host{
 		ID: h.ID, Open: follows && h.Fresh(now) && !h.Report.Busy && !h.IsLeaving(now), Leaving: h.IsLeaving(now),
 		Seen: h.Report.Taken, Memory: s.Memory, Active: map[core.ModelName]int{},
@@ -264,8 +278,9 @@
 	return out
 }
 
-func (p *planner) send(ctx context.Context, s *rtable.Service, h fleet.Entry, m copies.Move) {
-	ctx, stop := context.WithTimeout(ctx, planTime)
+// sendGoal sends a move as a goal to the agent of a host.
+func (p *planner) sendGoal(ctx context.Context, s *rtable.Service, h fleet.Entry, m copies.Move) {
+	ctx, stop := context.WithTimeout(ctx, planTimeout)
 	defer stop()
 	_, held, _ := p.entry.links.host(h.ID)
 	in := &wire.GoalCall{
@@ -273,7 +288,7 @@
 		Limits: limitsOf(s, held, append(slices.Clone(m.Evict), m.Load)...),
 		Takes:  int64(m.By.Sub(p.entry.clock.Now())), Idle: m.Idle,
 	}
-	reply, err := ordered(p.entry.links, h, func(to peer.Target, upstream []byte) (*wire.GoalReply, error) {
+	reply, err := callAgent(p.entry.links, h, func(to peer.Target, upstream []byte) (*wire.GoalReply, error) {
 		in.Upstream = upstream
 		return p.entry.client.Goal(ctx, to, in)
 	})
@@ -288,14 +303,15 @@
 	)
 }
 
-// round cuts a figure for the log to thousandths.
+// round rounds a number to three decimal places for the log.
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
 
-// tell sends this entry's demand to the one that plans, while requests wait.
-func (p *planner) tell(ctx context.Context, control string) {
+// reportDemand reports this entry's demand to the planner if requests wait, and takes over its
+// forecasts.
+func (p *planner) reportDemand(ctx context.Context, control string) {
 	at, err := netip.ParseAddrPort(control)
 	if err != nil {
-		return // no agent follows anybody yet
+		return // no agent follows an entry yet
 	}
 	demands := p.entry.proxy.Demands()
 	waiting := false
@@ -305,10 +321,10 @@
 	if !waiting {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, planTime)
+	ctx, stop := context.WithTimeout(ctx, planTimeout)
 	defer stop()
 	reply, err := p.entry.client.Plan(ctx, peer.Target{Address: at}, &wire.PlanCall{
-		Entry: string(p.entry.Settings.Name), Demands: demandsOut(demands),
+		Entry: string(p.entry.Settings.Name), Demands: encodeDemands(demands),
 	})
 	if err != nil {
 		events.Fail(events.PeerUnreachable, err, "address", at)
@@ -322,10 +338,11 @@
 	p.entry.proxy.SetForecasts(ready)
 }
 
-// servePlan takes another entry's demand.
+// servePlan handles another entry's demand. It returns forecasts of when the models are
+// loaded.
 func (p *planner) servePlan(c *wire.PlanCall) (*wire.PlanReply, error) {
 	now := p.entry.clock.Now()
-	p.take(c.GetEntry(), now, c.GetDemands())
+	p.recordDemand(c.GetEntry(), now, c.GetDemands())
 	p.entry.proxy.Kick()
 	out := &wire.PlanReply{}
 	p.mu.Lock()
@@ -340,7 +357,8 @@
 	return out, nil
 }
 
-func demandsOut(demands map[core.ModelName]copies.Demand) []*wire.ModelDemand {
+// encodeDemands returns demands as they are sent to other processes.
+func encodeDemands(demands map[core.ModelName]copies.Demand) []*wire.ModelDemand {
 	out := make([]*wire.ModelDemand, 0, len(demands))
 	for name, d := range demands {
 		out = append(out, &wire.ModelDemand{Model: string(name), Rate: d.Rate, Hasty: d.Hasty, Work: d.Work, Waiting: uint32(max(0, d.Waiting))})
@@ -348,7 +366,8 @@
 	return out
 }
 
-func demandsIn(demands []*wire.ModelDemand) map[core.ModelName]copies.Demand {
+// decodeDemands is the inverse of encodeDemands.
+func decodeDemands(demands []*wire.ModelDemand) map[core.ModelName]copies.Demand {
 	out := make(map[core.ModelName]copies.Demand, len(demands))
 	for _, d := range demands {
 		out[core.ModelName(d.GetModel())] = copies.Demand{
--- a/io/deploy/process.go
+++ b/io/deploy/process.go
@@ -23,13 +23,13 @@
 	plat "radishwell/platform"
 )
 
-// memoryShare is the part of the memory limit that the Go runtime keeps to; the
-// rest is for stacks, the C library and bytes that wait in sockets.
+// memoryShare is the fraction of the memory setting that is the Go runtime's memory limit.
+// The rest is for stacks, the C library and socket buffers.
 const memoryShare = 0.7
 
-// Clock is the time since the process started, counted from the time of day at
-// its start. It does not follow later steps of the time of day, which would end
-// or prolong everything that is counted.
+// Clock is a monotonic clock that starts at the wall-clock time of the process start. It
+// does not follow later steps of the wall clock, which would shorten or extend all
+// timeouts.
 type Clock struct{ start time.Time }
 
 // Now implements core.Clock.
@@ -39,7 +39,7 @@
 // Run.
 type Process struct {
 	Settings config.Settings
-	// File is where the settings came from, to be read again at SIGHUP.
+	// File is the settings file, which is reloaded on SIGHUP.
 	File string
 
 	clock   Clock
@@ -49,12 +49,12 @@
 	client  *peer.Client
 	parts   []func(context.Context) error
 	servers []*httpd.Server
-	// leave stops the taking of new work and waits for what is in progress, until
-	// a deadline at most.
-	leave func(ctx context.Context)
+	// drain stops accepting work and waits for the work in progress, until ctx ends.
+	drain func(ctx context.Context)
 }
 
-// Run serves until the context ends, then stops as planned.
+// Run serves until the context ends, then shuts down gracefully. It returns an error if the
+// process cannot listen or if a part of it fails.
 func (p *Process) Run(ctx context.Context) error {
 	httpd.Quiet()
 	p.prepare()
@@ -64,7 +64,7 @@
 	} else {
 		p.buildAgent()
 	}
-	p.serve(&httpd.Server{Address: p.Settings.Listen.Operators, Handler: p.operators()})
+	p.addServer(&httpd.Server{Address: p.Settings.Listen.Operators, Handler: p.operators()})
 	control := &peer.Server{Address: p.Settings.Listen.Control, Handler: &p.handler}
 	if err := control.Listen(); err != nil {
 		return oops.In("deploy").With("address", control.Address).Wrapf(err, "listen")
@@ -78,6 +78,8 @@
 	return p.run(ctx)
 }
 
+// prepare sets the limits of the Go runtime and builds what entries and agents have in
+// common.
 func (p *Process) prepare() {
 	p.clock = Clock{start: time.Now()}
 	p.meter = meter.New()
@@ -86,7 +88,7 @@
 	debug.SetMemoryLimit(int64(float64(m.Memory) * memoryShare))
 	p.store = &plat.Store{
 		Address: p.Settings.Platform.URLs[0].Addr, Client: &http.Client{Transport: objapi.Transport(nil)},
-		WatchWaits: map[core.Kind]time.Duration{core.KindEntry: recordWait},
+		WatchWaits: map[core.Kind]time.Duration{core.KindEntry: recordWatchWait},
 	}
 	p.client = &peer.Client{
 		Called: p.meter.Peer,
@@ -94,10 +96,10 @@
 	}
 }
 
-// put writes an object whether it is there or not. It is tried as an update first: when
-// all processes have been killed, their records are there, and each writes at the same
-// moment to a store that takes a few hundred writes a second.
-func (p *Process) put(ctx context.Context, o core.Object) (core.Object, error) {
+// createOrUpdate creates or updates an object. It tries an update first: after all processes
+// have been killed, their records exist, and all processes write at the same time to a store
+// that handles a few hundred writes per second.
+func (p *Process) createOrUpdate(ctx context.Context, o core.Object) (core.Object, error) {
 	made, err := p.store.Update(ctx, o)
 	var failed *core.PlatformError
 	if errors.As(err, &failed) && failed.Fault == core.NotFound {
@@ -106,8 +108,10 @@
 	return made, err
 }
 
-func (p *Process) serve(s *httpd.Server) { p.servers = append(p.servers, s) }
+// addServer adds a server, which Run starts.
+func (p *Process) addServer(s *httpd.Server) { p.servers = append(p.servers, s) }
 
+// operators returns the handler of the operators' address.
 func (p *Process) operators() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", p.meter.Handler())
@@ -116,7 +120,7 @@
 
 // run runs the parts until the context ends or one of them fails.
 func (p *Process) run(ctx context.Context) error {
-	// The parts outlive the signal to stop: requests in progress need them.
+	// The parts keep running after ctx ends, since requests in progress need them.
 	base, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	ended := make(chan error, len(p.parts)+len(p.servers))
@@ -139,20 +143,21 @@
 	return nil
 }
 
-// stopMargin is how long before the platform ends the process it is done.
+// stopMargin is how long before the end of the platform's grace period the process is to
+// have stopped.
 const stopMargin = 500 * time.Millisecond
 
 func (p *Process) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), p.Settings.Managed.StopGrace-stopMargin)
 	defer cancel()
-	if p.leave != nil {
-		p.leave(ctx)
+	if p.drain != nil {
+		p.drain(ctx)
 	}
 }
 
-// reload reads the settings again at SIGHUP. What is fixed at the start of a
-// process, such as its addresses, stays as it is; a file that cannot be used is
-// reported and changes nothing.
+// reload reloads the settings on SIGHUP. Only the log verbosity takes effect; addresses and
+// the like are fixed at the start of a process. An invalid file is logged and changes
+// nothing.
 func (p *Process) reload(ctx context.Context) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/io/deploy/share_test.go
+++ b/io/deploy/share_test.go
@@ -7,21 +7,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// Twenty-eight entries retry at once while an upstream fails. The platform counts
-// their retries together: with a tenth of the spare ones for each, they made three
-// times what it allows.
+// Guards against entries that together exceed the platform's limit of spare retries while an
+// upstream fails. With a tenth of the spare retries for each, 28 entries made three times as
+// many as the platform allows.
 func TestSpareRetriesAreShared(t *testing.T) {
 	for _, entries := range []int{1, 5, 28, 400} {
-		sum := spareOf(96, entries) * float64(entries)
+		sum := spareRetries(96, entries) * float64(entries)
 		assert.Assert(t, sum <= 96 && sum > 70, "%d entries: %v", entries, sum)
 	}
-	assert.Assert(t, spareOf(96, 0) < 10, "few while nothing is known of others")
+	assert.Assert(t, spareRetries(96, 0) < 10, "a small share while the number of entries is unknown")
 }
 
-// The planner dies. The entry that takes its place finds that out by a call that takes a
-// second; resting for a multiple of that, it would have no model loaded for seconds.
-func TestPlannerRestsForItsWorkOnly(t *testing.T) {
-	assert.Equal(t, restAfter(0), time.Duration(0))
-	assert.Equal(t, restAfter(10*time.Millisecond), 50*time.Millisecond)
-	assert.Equal(t, restAfter(time.Second), planEvery)
+// Guards against counting a failed call to a dead planner in the duration of a decision. The
+// call takes a second, so the entry that replaces the planner would pause for seconds before
+// it has any model loaded.
+func TestPauseCountsPlanningOnly(t *testing.T) {
+	assert.Equal(t, pauseAfter(0), time.Duration(0))
+	assert.Equal(t, pauseAfter(10*time.Millisecond), 50*time.Millisecond)
+	assert.Equal(t, pauseAfter(time.Second), planInterval)
 }
--- a/io/deploy/signal.go
+++ b/io/deploy/signal.go
@@ -8,33 +8,33 @@
 	"radishwell/io/peer"
 )
 
-// shareSignals has this entry and the others tell each other what upstreams say of
-// themselves in answers. One that sends an upstream little hears of it late, and what all
-// entries send counts there.
+// shareSignals sets up the exchange between entries of rate limits and announcements of
+// leaving in upstreams' responses. An entry with few requests for an upstream would learn of
+// them late, and the limits apply to the requests of all entries together.
 func (e *entry) shareSignals() {
-	e.proxy.OnRateLimit, e.proxy.OnLeaving = e.spreadLimit, e.spreadLeaving
-	e.state.Marked = e.takeMarks
+	e.proxy.OnRateLimit, e.proxy.OnLeaving = e.broadcastLimit, e.broadcastLeaving
+	e.state.Marked = e.applyMarks
 	e.meter.LimitedUpstreams(e.proxy.LimitedHosts)
 }
 
-// spreadLimit tells other entries of the rate limit that an upstream names.
-func (e *entry) spreadLimit(life fleet.Life, limit core.RateLimit) {
+// broadcastLimit sends the rate limit that an upstream stated to other entries.
+func (e *entry) broadcastLimit(life fleet.Life, limit core.RateLimit) {
 	e.state.Mark(peer.Mark{
 		Host: life.ID, Incarnation: core.Incarnation(life.Born), Kind: peer.MarkLimited, Rate: limit.Rate,
 		Expires: e.clock.Now().Add(fleet.LimitAge),
 	})
 }
 
-// spreadLeaving tells other entries of an upstream that leaves.
-func (e *entry) spreadLeaving(life fleet.Life) {
+// broadcastLeaving notifies other entries that an upstream is leaving.
+func (e *entry) broadcastLeaving(life fleet.Life) {
 	e.state.Mark(peer.Mark{
 		Host: life.ID, Incarnation: core.Incarnation(life.Born), Kind: peer.MarkLeaving,
 		Expires: e.clock.Now().Add(fleet.LeaveAge),
 	})
 }
 
-// takeMarks takes in what other entries have heard.
-func (e *entry) takeMarks(marks []peer.Mark) {
+// applyMarks applies the signals that other entries sent.
+func (e *entry) applyMarks(marks []peer.Mark) {
 	e.proxy.Update(func(v *fleet.View, now time.Time) {
 		for _, m := range marks {
 			life := fleet.Life{ID: m.Host, Born: int64(m.Incarnation)}
--- a/io/deploy/watch.go
+++ b/io/deploy/watch.go
@@ -13,66 +13,66 @@
 	plat "radishwell/platform"
 )
 
-// protocol is how the platform's callers and upstreams name things.
+// protocol encodes and decodes the header fields of the platform's callers and upstreams.
 var protocol core.Protocol = plat.Headers{}
 
-// storeRetry bounds the pause after a failed read of the store: a store that is
-// back is read again within it, and each try costs a call.
-const storeRetry = 500 * time.Millisecond
+// maxStoreRetry is the maximum pause after a failed read of the store. A shorter one detects
+// the store's recovery sooner, but costs more calls.
+const maxStoreRetry = 500 * time.Millisecond
 
-// watchers is how many entries watch each kind: enough that some reach the store while
-// it turns a third of them away, few enough that the calls do not grow with the fleet.
+// watchers is the number of entries that watch each kind. It is large enough that some
+// reach the store while it rejects a third of the calls, and fixed, so that the number of
+// calls does not grow with the fleet.
 const watchers = 8
 
-// prepareState sets up the replicas of the routing table, the registry and the entries'
-// records. They
-// are fed by the store and by other entries: one that starts while the store is
-// out, or that the store alone turns away, has them from its peers.
-func (e *entry) prepareState() {
+// buildState sets up the replicas of the routing table, the registry and the entries'
+// records. They receive updates from the store and from other entries. An entry that starts
+// during an outage of the store, or whose calls the store rejects, gets them from its peers.
+func (e *entry) buildState() {
 	s := e.Settings
 	kinds := []core.Kind{core.KindTable, core.KindRegistry, core.KindEntry}
 	e.state = &peer.Store{
 		Self: peer.Target{Host: s.Name, Address: s.Listen.Control},
-		// All are listed at once, without the wait for a first exchange with peers:
-		// after all have been killed, none of these answers.
+		// All kinds are listed from the store at once, without waiting for a first exchange
+		// with peers: after all processes have been killed, no peer answers.
 		Kinds: kinds, Confirm: kinds, Platform: e.store, Client: e.client, Clock: e.clock,
-		Peers: e.members.peers, Near: e.members.isNear, Watchers: watchers, Seed: rand.Uint64(), MaxRetry: storeRetry,
-		Changed: e.changed, Reached: e.platformBack, Failed: e.stateFailed,
+		Peers: e.members.peers, Near: e.members.isNear, Watchers: watchers, Seed: rand.Uint64(), MaxRetry: maxStoreRetry,
+		Changed: e.applyChanges, Reached: e.storeReached, Failed: e.readFailed,
 	}
 	stale.Feed(e.meter, e.state)
 	e.handler.Sync, e.handler.Fetch = e.state.Serve, e.state.ServeFetch
 	e.parts = append(e.parts, e.state.Run)
 }
 
-// changed takes in objects whose replicas changed.
-func (e *entry) changed(objects []core.Object) {
+// applyChanges applies objects that changed in the replicas.
+func (e *entry) applyChanges(objects []core.Object) {
 	for _, o := range objects {
 		switch o.Kind {
 		case core.KindTable:
-			e.takeTable(o)
+			e.applyTable(o)
 		case core.KindEntry:
-			e.members.take(o)
+			e.members.apply(o)
 		}
 	}
 	e.proxy.Update(func(v *fleet.View, now time.Time) {
 		for _, o := range objects {
 			if o.Kind == core.KindRegistry {
-				takeHost(v, now, o)
+				applyHost(v, now, o)
 			}
 		}
 	})
 	e.feed.Listed()
 }
 
-// takeHost applies a registry entry, and logs one after which its host gets no new work.
-func takeHost(v *fleet.View, now time.Time, o core.Object) {
+// applyHost applies a registry entry. It logs a change after which the host gets no new work.
+func applyHost(v *fleet.View, now time.Time, o core.Object) {
 	id := core.HostName(o.Name)
 	known := v.Host(id)
 	open := known != nil && !known.IsLeaving(now)
 	if o.Deleted {
 		v.Remove(now, id)
 	} else {
-		v.Apply(readHost(o))
+		v.Apply(decodeHost(o))
 	}
 	if !open {
 		return
@@ -87,7 +87,8 @@
 	}
 }
 
-func (e *entry) takeTable(o core.Object) {
+// applyTable applies a routing table. An invalid one is logged and changes nothing.
+func (e *entry) applyTable(o core.Object) {
 	if o.Name != plat.MainTable || o.Deleted {
 		return
 	}
@@ -101,7 +102,8 @@
 	e.proxy.Offer(table)
 }
 
-func readHost(o core.Object) fleet.Entry {
+// decodeHost decodes a registry entry. An invalid one is logged and is not Usable.
+func decodeHost(o core.Object) fleet.Entry {
 	host, err := plat.Host(o.Name, o.Spec)
 	if err != nil {
 		events.Fail(events.RegistryEntryUnusable, err, "name", o.Name, "revision", o.Version)
@@ -110,8 +112,8 @@
 	return host
 }
 
-// stateFailed notes a failed read of the store or of a peer.
-func (e *entry) stateFailed(err error) {
+// readFailed handles a failed read of the store or of a peer.
+func (e *entry) readFailed(err error) {
 	var failed *core.PlatformError
 	switch {
 	case !errors.As(err, &failed):
@@ -119,7 +121,7 @@
 	case failed.Fault == core.Gone:
 		events.Log(events.WatchRestarted, "kind", failed.Kind, "cause", "history dropped")
 	default:
-		if e.storeLost.CompareAndSwap(false, true) {
+		if e.storeFailed.CompareAndSwap(false, true) {
 			events.Fail(events.PlatformUnreachable, err)
 		}
 		if e.storeOut() {
@@ -128,19 +130,21 @@
 	}
 }
 
-// wordAge is the age of the store's last answer to any entry from which on a failed read
+// outageAge is the age of the store's last response to any entry above which a failed read
 // counts as an outage.
-const wordAge = 2 * time.Second
+const outageAge = 2 * time.Second
 
-// storeOut reports whether the store may be out for upstreams too. A single entry's reads also
-// fail for local reasons, such as a full link, and the registry stays reliable then.
+// storeOut reports whether the store may be out for upstreams as well. The reads of a single
+// entry may also fail for local reasons, such as a saturated link. The registry is reliable
+// then.
 func (e *entry) storeOut() bool {
 	age := stale.Age(e.state, core.KindRegistry)
-	return age < 0 || age > wordAge
+	return age < 0 || age > outageAge
 }
 
-func (e *entry) platformBack() {
-	if e.storeLost.CompareAndSwap(true, false) {
+// storeReached logs that the store answers again after a failed read.
+func (e *entry) storeReached() {
+	if e.storeFailed.CompareAndSwap(true, false) {
 		events.Log(events.PlatformBack)
 	}
 }
--- a/io/hosted/run.go
+++ b/io/hosted/run.go
@@ -32,7 +32,8 @@
 		case exitStatus:
 			status = int(s)
 		default:
-			// Any other panic is a fault; recovering from it would end the command with status 0.
+			// Any other panic is a fault; recovering from it would end the command with status
+			// 0.
 			panic(s)
 		}
 	}()
