--- a/io/deploy/deploy_test.go
+++ b/io/deploy/deploy_test.go
@@ -129,7 +129,7 @@
 func (f *fleet) startEngine(t *testing.T, n int, held ...stand.Held) (*stand.Worker, netip.AddrPort) {
 	t.Helper()
 	w := &stand.Worker{ID: fmt.Sprintf("i-%d", n), Events: 5, LoadTime: 100 * time.Millisecond}
-	w.Hold(held...)
+	w.SetModels(held...)
 	at := serve(t, ports.Host(n).String(), w)
 	f.store.Put("servers", w.ID, fmt.Sprintf(`{"service":"llm","address":%q,"zone":"dc-1","slots":64,"state":"ready","sequence":0}`, at))
 	return w, at
@@ -299,12 +299,12 @@
 	first := f.addEntry(t, "edge-1")
 	first.waitReady(t)
 	wantChat(t, first, "q-1", "m-1")
-	f.store.Set(stand.Down)
+	f.store.SetFault(stand.Down)
 	wantChat(t, first, "q-2", "m-1")
 	second := f.addEntry(t, "edge-2")
 	second.waitReady(t)
 	wantChat(t, second, "q-3", "m-1")
-	f.store.Set(stand.Fine)
+	f.store.SetFault(stand.Fine)
 	f.store.Remove("servers", "i-1")
 	for _, e := range []running{first, second} {
 		until(t, "the entry is not ready without hosts", func() bool {
--- a/io/deploy/leave_test.go
+++ b/io/deploy/leave_test.go
@@ -33,10 +33,10 @@
 	first, second := f.addEntry(t, "edge-1"), f.addEntry(t, "edge-2")
 	first.waitReady(t)
 	second.waitReady(t)
-	w.Leave()
+	w.AnnounceLeaving()
 	status, _ := sendChat(t, first, "q-1", "")
 	assert.Equal(t, status, http.StatusOK)
-	w.Set(stand.Lost) // so that no response announces it to the second entry
+	w.SetFault(stand.NoResponse) // so that no response announces it to the second entry
 	n := 0
 	until(t, "the second entry knows", func() bool {
 		n++
--- a/io/deploy/limit_test.go
+++ b/io/deploy/limit_test.go
@@ -66,7 +66,7 @@
 		entries = append(entries, e)
 	}
 	limit := rate
-	w.NameLimit(&limit)
+	w.SetRateLimit(&limit)
 	for i, e := range entries {
 		until(t, "the entry has learned the limit", func() bool {
 			status, _ := sendChat(t, e, fmt.Sprint("learn-", i), "m-1")
@@ -79,7 +79,7 @@
 	assert.Assert(t, got <= most, "%d requests in %v", got, span)
 	assert.Assert(t, served >= 2, "%d were served", served)
 	t.Run("the limit is removed", func(t *testing.T) {
-		w.NameLimit(nil)
+		w.SetRateLimit(nil)
 		for i, e := range entries {
 			until(t, "the entry has learned that there is no limit", func() bool {
 				for n := range 5 {
@@ -107,13 +107,13 @@
 		})
 	}
 	limit := 100.0
-	w.NameLimit(&limit)
+	w.SetRateLimit(&limit)
 	wantChat(t, first, "q-1", "m-1")
 	knows(second, 1)
 	wantChat(t, second, "q-signal", "m-1")
 	_, text := get(t, second.operators, "/metrics")
 	assert.Assert(t, strings.Contains(text, `radishwell_upstream_signal_sends_total{signal="limited"} 1`), text)
-	w.NameLimit(nil)
+	w.SetRateLimit(nil)
 	wantChat(t, first, "q-2", "m-1")
 	knows(second, 0)
 }
--- a/io/proxy/backoff_test.go
+++ b/io/proxy/backoff_test.go
@@ -20,8 +20,8 @@
 		t.Helper()
 		r := newRig(t)
 		w := plain(t, r, "p-1")[0]
-		w.Set(stand.Shed)
-		w.BackOff(backoff)
+		w.SetFault(stand.Shed)
+		w.SetBackoff(backoff)
 		wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "first")), http.StatusServiceUnavailable)
 		return r, w
 	}
@@ -48,14 +48,14 @@
 	t.Run("a request waits for the end of a short time", func(t *testing.T) {
 		r := newRig(t)
 		w := plain(t, r, "p-1")[0]
-		w.Set(stand.Shed)
-		w.BackOff(300 * time.Millisecond)
+		w.SetFault(stand.Shed)
+		w.SetBackoff(300 * time.Millisecond)
 		got := make(chan answer, 1)
 		go func() { got <- do(t, r.ask(t, http.MethodPost, "/once/x", "q")) }()
 		for len(w.Arrivals()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		w.Set(stand.Honest)
+		w.SetFault(stand.NoFault)
 		wantStatus(t, <-got, http.StatusOK)
 		came := w.Arrivals()
 		assert.Equal(t, len(came), 2)
@@ -64,8 +64,8 @@
 	t.Run("and of a model too", func(t *testing.T) {
 		r := newRig(t)
 		w := r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 2})
-		w.Set(stand.Shed)
-		w.BackOff(time.Hour)
+		w.SetFault(stand.Shed)
+		w.SetBackoff(time.Hour)
 		for i := range 5 {
 			a := do(t, r.ask(t, http.MethodPost, "/stream/x", fmt.Sprint("q-", i), "X-Radishwell-Model", "m"))
 			wantStatus(t, a, http.StatusServiceUnavailable)
--- a/io/proxy/customer_test.go
+++ b/io/proxy/customer_test.go
@@ -82,7 +82,7 @@
 	return r, plain(t, r, "p-1")[0], quota
 }
 
-func last(t *testing.T, w *stand.Worker) stand.Seen {
+func last(t *testing.T, w *stand.Worker) stand.ReceivedRequest {
 	t.Helper()
 	seen := w.Requests()
 	assert.Assert(t, len(seen) > 0)
@@ -169,13 +169,13 @@
 	})
 	t.Run("and not where the upstream says that it did not run", func(t *testing.T) {
 		r, w, quota := keyedRig(t)
-		w.Set(stand.Shed)
+		w.SetFault(stand.Shed)
 		wantStatus(t, send(t, r, "q", "300,50"), http.StatusServiceUnavailable)
 		assert.Equal(t, quota.remaining(), 1000.0)
 	})
 	t.Run("but where it may have run", func(t *testing.T) {
 		r, w, quota := keyedRig(t)
-		w.Set(stand.Lost)
+		w.SetFault(stand.NoResponse)
 		wantStatus(t, send(t, r, "q", "300,50"), http.StatusBadGateway)
 		assert.Equal(t, quota.remaining(), 650.0)
 	})
--- a/io/proxy/leave_test.go
+++ b/io/proxy/leave_test.go
@@ -16,7 +16,7 @@
 func TestLeavingUpstreamGetsNoMore(t *testing.T) {
 	// settled makes p-1 state that it is leaving in the answer to a first request, to
 	// which the trick applies, and returns a rig that has another upstream.
-	settled := func(t *testing.T, trick stand.Trick, path string) (*rig, *stand.Worker) {
+	settled := func(t *testing.T, trick stand.WorkerFault, path string) (*rig, *stand.Worker) {
 		t.Helper()
 		r := newRig(t)
 		service, more := "plain", []string{}
@@ -24,19 +24,19 @@
 			service, more = "llm", []string{"X-Radishwell-Model", "m"}
 		}
 		w := r.add(t, core.ServiceName(service), &stand.Worker{ID: "p-1", Events: 4})
-		w.Set(trick)
-		w.Leave()
+		w.SetFault(trick)
+		w.AnnounceLeaving()
 		r.add(t, core.ServiceName(service), &stand.Worker{ID: "p-2", Events: 4})
 		for n := 0; len(w.Requests()) == 0; n++ {
 			do(t, r.ask(t, http.MethodPost, path+"x", fmt.Sprint("first-", n), more...))
 		}
-		w.Set(stand.Honest)
+		w.SetFault(stand.NoFault)
 		return r, w
 	}
 	for _, path := range []string{"/once/", "/again/", "/stream/", "/resumed/"} {
-		for name, trick := range map[string]stand.Trick{
-			"whole": stand.Honest, "turned away": stand.Shed, "failed": stand.Failing, "not signed": stand.Unsigned,
-			"without a word on whether it ran": stand.Vague, "cut after its head": stand.Crash, "cut in the middle": stand.Short,
+		for name, trick := range map[string]stand.WorkerFault{
+			"whole": stand.NoFault, "turned away": stand.Shed, "failed": stand.ServerError, "not signed": stand.Unsigned,
+			"without a word on whether it ran": stand.Ambiguous, "cut after its head": stand.HeaderOnly, "cut in the middle": stand.Truncated,
 		} {
 			t.Run(path+" "+name, func(t *testing.T) {
 				r, w := settled(t, trick, path)
@@ -51,7 +51,7 @@
 	t.Run("without another its callers are refused at once", func(t *testing.T) {
 		r := newRig(t)
 		w := plain(t, r, "p-1")[0]
-		w.Leave()
+		w.AnnounceLeaving()
 		wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "first")), http.StatusOK)
 		a := do(t, r.ask(t, http.MethodPost, "/once/x", "q"))
 		wantStatus(t, a, http.StatusServiceUnavailable)
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -104,7 +104,7 @@
 	at := netip.MustParseAddrPort(srv.Listener.Addr().String())
 	e := fleet.Entry{ID: core.HostName(w.ID), Service: service, Address: at, Usable: true, DataCentre: "dc-1", Slots: 6}
 	if service == "llm" {
-		w.Hold(stand.Held{Name: "m"})
+		w.SetModels(stand.Held{Name: "m"})
 		e.Models = []core.HeldModel{{Model: "m"}}
 	}
 	r.Update(func(v *fleet.View, _ time.Time) { v.Apply(e) })
@@ -212,12 +212,12 @@
 // answer to its first run was lost.
 func TestLostAnswers(t *testing.T) {
 	t.Run("a request that may run once", func(t *testing.T) {
-		for _, trick := range []stand.Trick{stand.Lost, stand.Foreign, stand.Unsigned, stand.Vague, stand.Short} {
+		for _, trick := range []stand.WorkerFault{stand.NoResponse, stand.WrongID, stand.Unsigned, stand.Ambiguous, stand.Truncated} {
 			t.Run(fmt.Sprint(trick), func(t *testing.T) {
 				r := newRig(t)
 				ws := plain(t, r, "p-1", "p-2", "p-3")
 				for _, w := range ws {
-					w.Set(trick)
+					w.SetFault(trick)
 				}
 				for _, method := range []string{http.MethodGet, http.MethodPost} {
 					id := "q-" + method
@@ -232,7 +232,7 @@
 	t.Run("a repeatable request goes to another host", func(t *testing.T) {
 		r := newRig(t)
 		ws := plain(t, r, "p-1", "p-2")
-		ws[0].Set(stand.Lost)
+		ws[0].SetFault(stand.NoResponse)
 		for i := range 6 {
 			id := fmt.Sprint("q-", i)
 			wantStatus(t, do(t, r.ask(t, http.MethodGet, "/again/x", id)), http.StatusOK)
@@ -243,7 +243,7 @@
 		r := newRig(t)
 		ws := plain(t, r, "p-1", "p-2", "p-3", "p-4")
 		for _, w := range ws {
-			w.Set(stand.Lost)
+			w.SetFault(stand.NoResponse)
 		}
 		wantStatus(t, do(t, r.ask(t, http.MethodGet, "/again/x", "q")), http.StatusBadGateway)
 		assert.Equal(t, totalRuns(ws, "q"), 2)
@@ -254,15 +254,15 @@
 	t.Run("another host takes it", func(t *testing.T) {
 		r := newRig(t)
 		ws := plain(t, r, "p-1", "p-2")
-		ws[0].Set(stand.Shed)
+		ws[0].SetFault(stand.Shed)
 		wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "q")), http.StatusOK)
 		assert.Equal(t, ws[1].Ran("q"), 1)
 	})
 	t.Run("all turn it away: not run, and when to come back", func(t *testing.T) {
 		r := newRig(t)
 		ws := plain(t, r, "p-1", "p-2")
-		ws[0].Set(stand.Shed)
-		ws[1].Set(stand.Shed)
+		ws[0].SetFault(stand.Shed)
+		ws[1].SetFault(stand.Shed)
 		a := do(t, r.ask(t, http.MethodPost, "/once/x", "q", "X-Radishwell-Deadline-Ms", "900"))
 		wantStatus(t, a, http.StatusServiceUnavailable)
 		assert.Assert(t, a.header.Get("Retry-After") != "")
@@ -283,7 +283,7 @@
 	r := newRig(t)
 	ws := plain(t, r, "p-1", "p-2")
 	for _, w := range ws {
-		w.Set(stand.Lost)
+		w.SetFault(stand.NoResponse)
 	}
 	const requests = 50
 	for i := range requests {
@@ -299,7 +299,7 @@
 func TestOwnFailureIsPassedOn(t *testing.T) {
 	r := newRig(t)
 	w := plain(t, r, "p-1")[0]
-	w.Set(stand.Failing)
+	w.SetFault(stand.ServerError)
 	a := do(t, r.ask(t, http.MethodPost, "/once/x", "q"))
 	wantStatus(t, a, http.StatusInternalServerError)
 	assert.Equal(t, a.header.Get("X-Radishwell-Server-Signature"), "signed-by-p-1")
@@ -310,14 +310,14 @@
 func TestFailedLookupRunsAgain(t *testing.T) {
 	r := newRig(t)
 	ws := plain(t, r, "p-1", "p-2")
-	ws[0].Set(stand.Failing)
+	ws[0].SetFault(stand.ServerError)
 	for i := range 4 {
 		id := fmt.Sprint("q-", i)
 		wantStatus(t, do(t, r.ask(t, http.MethodGet, "/again/x", id)), http.StatusOK)
 		assert.Assert(t, ws[0].Ran(id) <= 1 && ws[1].Ran(id) == 1)
 	}
 	t.Run("and the service's failure is the answer where all fail", func(t *testing.T) {
-		ws[1].Set(stand.Failing)
+		ws[1].SetFault(stand.ServerError)
 		a := do(t, r.ask(t, http.MethodGet, "/again/x", "q"))
 		wantStatus(t, a, http.StatusInternalServerError)
 		assert.Assert(t, strings.HasPrefix(a.header.Get("X-Radishwell-Server-Signature"), "signed-by-p-"))
@@ -328,15 +328,15 @@
 		// failure that is not written before the caller leaves.
 		r := newRig(t)
 		ws := plain(t, r, "p-1", "p-2")
-		ws[0].Set(stand.Failing)
-		ws[1].Set(stand.Hang)
+		ws[0].SetFault(stand.ServerError)
+		ws[1].SetFault(stand.Hang)
 		a := do(t, r.ask(t, http.MethodGet, "/again/x", "q", "X-Radishwell-Deadline-Ms", "1000"))
 		wantStatus(t, a, http.StatusInternalServerError)
 	})
 	t.Run("or where no other host is there", func(t *testing.T) {
 		r := newRig(t)
 		w := plain(t, r, "p-1")[0]
-		w.Set(stand.Failing)
+		w.SetFault(stand.ServerError)
 		a := do(t, r.ask(t, http.MethodGet, "/again/x", "q", "X-Radishwell-Deadline-Ms", "700"))
 		wantStatus(t, a, http.StatusInternalServerError)
 		assert.Equal(t, w.Ran("q"), 1)
@@ -354,8 +354,8 @@
 func TestSilentHostIsLeft(t *testing.T) {
 	r := newRig(t)
 	ws := plain(t, r, "p-1", "p-2")
-	ws[0].Set(stand.Hang)
-	ws[1].Set(stand.Honest)
+	ws[0].SetFault(stand.Hang)
+	ws[1].SetFault(stand.NoFault)
 	for i := range 3 {
 		id := fmt.Sprint("q-", i)
 		a := do(t, r.ask(t, http.MethodGet, "/again/x", id, "X-Radishwell-Deadline-Ms", "1000"))
@@ -369,7 +369,7 @@
 func TestSecondAnswerIsNobodys(t *testing.T) {
 	r := newRig(t)
 	w := plain(t, r, "p-1")[0]
-	w.Set(stand.Double)
+	w.SetFault(stand.ExtraResponse)
 	for i := range 10 {
 		id := fmt.Sprint("q-", i)
 		a := do(t, r.ask(t, http.MethodGet, "/again/x", id))
@@ -386,8 +386,8 @@
 	r := newRig(t)
 	r.Offer(func() *rtable.Table { t := routes(150 * time.Millisecond); t.Version = 2; return t }())
 	w := plain(t, r, "p-1")[0]
-	w.Set(stand.Hang)
-	left := w.Left()
+	w.SetFault(stand.Hang)
+	left := w.Disconnected()
 	wantStatus(t, do(t, r.ask(t, http.MethodGet, "/once/x", "q")), http.StatusGatewayTimeout)
 	<-left
 }
@@ -396,8 +396,8 @@
 func TestCallerLeaves(t *testing.T) {
 	r := newRig(t)
 	w := plain(t, r, "p-1")[0]
-	w.Set(stand.Hang)
-	left := w.Left()
+	w.SetFault(stand.Hang)
+	left := w.Disconnected()
 	ctx, leave := context.WithCancel(context.Background())
 	req := r.ask(t, http.MethodGet, "/once/x", "q").WithContext(ctx)
 	ended := make(chan error, 1)
@@ -435,8 +435,8 @@
 		// after it would look complete to the caller.
 		r := newRig(t)
 		w := r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8})
-		r.add(t, "llm", &stand.Worker{ID: "i-2", Events: 8}).Set(stand.Short)
-		w.Set(stand.Short)
+		r.add(t, "llm", &stand.Worker{ID: "i-2", Events: 8}).SetFault(stand.Truncated)
+		w.SetFault(stand.Truncated)
 		a := do(t, r.ask(t, http.MethodPost, "/stream/x", "q", "X-Radishwell-Model", "m"))
 		assert.Assert(t, a.cut)
 		assert.Equal(t, a.body, eventsOf(4), "no part of an event is passed on")
@@ -445,7 +445,7 @@
 		// The upstream answers with 200 and crashes before the first event. Guards
 		// against an empty, unsigned answer with status 200 that looks complete.
 		r := newRig(t)
-		r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8}).Set(stand.Crash)
+		r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8}).SetFault(stand.HeaderOnly)
 		a := do(t, r.ask(t, http.MethodPost, "/stream/x", "q", "X-Radishwell-Model", "m"))
 		wantStatus(t, a, http.StatusBadGateway)
 	})
@@ -454,15 +454,15 @@
 		ws := []*stand.Worker{
 			r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8}), r.add(t, "llm", &stand.Worker{ID: "i-2", Events: 8}),
 		}
-		ws[0].Set(stand.Short)
-		ws[1].Set(stand.Short)
+		ws[0].SetFault(stand.Truncated)
+		ws[1].SetFault(stand.Truncated)
 		for i := range 2 {
 			// Both runs break off at the same event; the second starts after it.
 			a := do(t, r.ask(t, http.MethodPost, "/resumed/x", fmt.Sprint("q-", i), "X-Radishwell-Model", "m"))
 			assert.Assert(t, a.cut)
 			assert.Equal(t, a.body, eventsOf(4))
 		}
-		ws[1].Set(stand.Honest)
+		ws[1].SetFault(stand.NoFault)
 		a := do(t, r.ask(t, http.MethodPost, "/resumed/x", "q", "X-Radishwell-Model", "m"))
 		wantStatus(t, a, http.StatusOK)
 		assert.Equal(t, a.body, eventsOf(8))
@@ -472,7 +472,7 @@
 		// against aborting the answer at once, although the model is loaded elsewhere
 		// within a second.
 		r := newRig(t)
-		r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8}).Set(stand.Short)
+		r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8}).SetFault(stand.Truncated)
 		got := make(chan answer, 1)
 		req := r.ask(t, http.MethodPost, "/resumed/x", "q", "X-Radishwell-Model", "m")
 		go func() { got <- do(t, req) }()
--- a/io/proxy/reserve_test.go
+++ b/io/proxy/reserve_test.go
@@ -64,7 +64,7 @@
 	r.Pacer = p
 	w := plain(t, r, "p-1")[0]
 	rate := 1.0
-	w.NameLimit(&rate)
+	w.SetRateLimit(&rate)
 	wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "told")), http.StatusOK)
 	return r, p, w
 }
@@ -109,7 +109,7 @@
 	})
 	t.Run("no longer once it names none", func(t *testing.T) {
 		r, p, w := limitedRig(t, 1)
-		w.NameLimit(nil)
+		w.SetRateLimit(nil)
 		wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "q-1")), http.StatusOK)
 		for i := range 5 {
 			wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "free-"+strconv.Itoa(i))), http.StatusOK)
@@ -133,7 +133,7 @@
 func TestFailureIsNotHeldForLimitedUpstream(t *testing.T) {
 	r, p, _ := limitedRig(t, 0)
 	w := plain(t, r, "p-2")[0]
-	w.Set(stand.Failing)
+	w.SetFault(stand.ServerError)
 	wantStatus(t, do(t, r.ask(t, http.MethodGet, "/again/x", "q", "X-Radishwell-Deadline-Ms", "3000")), http.StatusInternalServerError)
 	assert.Equal(t, p.refusals(), 1)
 	assert.Equal(t, len(w.Requests()), 1)
--- a/io/soak/check.go
+++ b/io/soak/check.go
@@ -124,7 +124,7 @@
 
 // misnamed finds requests that upstreams got with a key, or in another customer's name
 // than their key's.
-func misnamed(results []Result, seen []stand.Seen) []Breach {
+func misnamed(results []Result, seen []stand.ReceivedRequest) []Breach {
 	holders := map[core.RequestID]string{}
 	for _, r := range results {
 		holders[core.RequestID(r.ID)] = r.Customer
--- a/io/soak/check_test.go
+++ b/io/soak/check_test.go
@@ -108,7 +108,7 @@
 
 func TestMisnamed(t *testing.T) {
 	results := []Result{{ID: "q", Customer: "free"}, {ID: "n"}}
-	seen := func(id, customer, key string) stand.Seen {
+	seen := func(id, customer, key string) stand.ReceivedRequest {
 		h := http.Header{"X-Radishwell-Request-Id": {id}}
 		if customer != "" {
 			h.Set("X-Radishwell-Tenant", customer)
@@ -116,10 +116,10 @@
 		if key != "" {
 			h.Set("Authorization", key)
 		}
-		return stand.Seen{Header: h}
+		return stand.ReceivedRequest{Header: h}
 	}
 	for name, c := range map[string]struct {
-		seen   stand.Seen
+		seen   stand.ReceivedRequest
 		broken int
 	}{
 		"in its customer's name":  {seen("q", "free", ""), 0},
@@ -130,7 +130,7 @@
 		"one without key or name": {seen("n", "", ""), 0},
 		"one that took on a name": {seen("n", "free", ""), 1},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, len(misnamed(results, []stand.Seen{c.seen})), c.broken) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, len(misnamed(results, []stand.ReceivedRequest{c.seen})), c.broken) })
 	}
 }
 
--- a/io/soak/signal.go
+++ b/io/soak/signal.go
@@ -26,7 +26,7 @@
 
 // arrival is a request as an upstream and its caller saw it, by the time of the run.
 type arrival struct {
-	*stand.Seen
+	*stand.ReceivedRequest
 	result *Result
 	at     time.Duration
 	// told is when the entry surely knew what the answer says of the upstream; negative
@@ -42,7 +42,7 @@
 }
 
 // check finds the requests that one upstream got against its signals.
-func (w *signals) check(upstream string, seen []stand.Seen) []Breach {
+func (w *signals) check(upstream string, seen []stand.ReceivedRequest) []Breach {
 	lives := map[int64][]*arrival{}
 	for i := range seen {
 		s := &seen[i]
@@ -79,8 +79,8 @@
 	return out
 }
 
-func (w *signals) arrival(upstream string, s *stand.Seen, r *Result) *arrival {
-	a := &arrival{Seen: s, result: r, at: s.At.Sub(w.start), told: -1}
+func (w *signals) arrival(upstream string, s *stand.ReceivedRequest, r *Result) *arrival {
+	a := &arrival{ReceivedRequest: s, result: r, at: s.At.Sub(w.start), told: -1}
 	if r.Status == 200 && r.Whole && r.Signer == "signed-by-"+upstream {
 		a.told = r.Ended
 	}
--- a/io/soak/signal_test.go
+++ b/io/soak/signal_test.go
@@ -14,7 +14,7 @@
 // heard is a run in which one upstream was sent requests.
 type heard struct {
 	signals
-	seen []stand.Seen
+	seen []stand.ReceivedRequest
 }
 
 func newHeard(steps ...Step) *heard {
@@ -27,7 +27,7 @@
 	h.results[id] = &Result{
 		ID: id, Entry: entry, Began: at, Ended: at + 10*time.Millisecond, Status: 200, Whole: true, Signer: "signed-by-i-1",
 	}
-	h.seen = append(h.seen, stand.Seen{Header: http.Header{"X-Radishwell-Request-Id": {id}}, At: h.start.Add(at), Signals: given})
+	h.seen = append(h.seen, stand.ReceivedRequest{Header: http.Header{"X-Radishwell-Request-Id": {id}}, At: h.start.Add(at), Signals: given})
 }
 
 func (h *heard) breaches() int { return len(h.check("i-1", h.seen)) }
--- a/io/soak/strike.go
+++ b/io/soak/strike.go
@@ -56,11 +56,11 @@
 	case StoreCompact:
 		w.store.Compact()
 	case SpoilAnswers:
-		return trick(host, []stand.Trick{stand.Foreign, stand.Unsigned, stand.Short, stand.Double, stand.Crash}[s.Variant%5])
+		return trick(host, []stand.WorkerFault{stand.WrongID, stand.Unsigned, stand.Truncated, stand.ExtraResponse, stand.HeaderOnly}[s.Variant%5])
 	case LoseAnswers:
-		return trick(host, stand.Lost)
+		return trick(host, stand.NoResponse)
 	case FailAnswers:
-		return trick(host, []stand.Trick{stand.Failing, stand.Vague}[s.Variant%2])
+		return trick(host, []stand.WorkerFault{stand.ServerError, stand.Ambiguous}[s.Variant%2])
 	case ShedRequests:
 		return trick(host, stand.Shed)
 	case HangRequests:
@@ -71,13 +71,13 @@
 		w.newTable()
 	case LimitUpstream:
 		rate := []float64{0.5, 1, 2, 4}[s.Variant%4]
-		host.NameLimit(&rate)
-		return func() { host.NameLimit(nil) }
+		host.SetRateLimit(&rate)
+		return func() { host.SetRateLimit(nil) }
 	case LeaveUpstream:
-		host.Leave()
+		host.AnnounceLeaving()
 		return func() { w.restart(host) }
 	case BackoffUpstream:
-		host.BackOff(time.Duration(500+s.Variant%2500) * time.Millisecond)
+		host.SetBackoff(time.Duration(500+s.Variant%2500) * time.Millisecond)
 		return trick(host, stand.Shed)
 	case ResizeTable:
 		w.resizeTable()
@@ -103,8 +103,8 @@
 }
 
 func (w *world) failStore(f stand.Fault) func() {
-	w.store.Set(f)
-	return func() { w.store.Set(stand.Fine) }
+	w.store.SetFault(f)
+	return func() { w.store.SetFault(stand.Fine) }
 }
 
 // restart has an upstream start again under its id, with nothing.
@@ -131,7 +131,7 @@
 	return l.Heal
 }
 
-func trick(u *upstream, t stand.Trick) func() {
-	u.Set(t)
-	return func() { u.Set(stand.Honest) }
+func trick(u *upstream, t stand.WorkerFault) func() {
+	u.SetFault(t)
+	return func() { u.SetFault(stand.NoFault) }
 }
--- a/io/soak/world.go
+++ b/io/soak/world.go
@@ -179,7 +179,7 @@
 	u.Restart(u.born)
 	if !u.Plain {
 		u.Events, u.Gap = streamEvents, eventGap
-		u.Hold(stand.Held{Name: fmt.Sprintf("m-%d", 1+i%2), Version: 1})
+		u.SetModels(stand.Held{Name: fmt.Sprintf("m-%d", 1+i%2), Version: 1})
 	}
 	var err error
 	if u.at, err = w.serve(u.ip+":0", u.Worker); err != nil {
