--- a/io/cmds/bench.go
+++ b/io/cmds/bench.go
@@ -55,7 +55,7 @@
 		return err
 	}
 	if len(report.Faults()) > 0 || c.AllDone && !report.AllDone() {
-		return &hosted.FoundError{}
+		return &hosted.ReportedError{}
 	}
 	return nil
 }
--- a/io/cmds/radishwell.go
+++ b/io/cmds/radishwell.go
@@ -23,7 +23,7 @@
 
 // Radishwell runs radishwell's command line and returns the exit status.
 func Radishwell(args []string, out, errs io.Writer) int {
-	own := hosted.Own(func(ctx context.Context, s config.Settings) error { return (&node.Node{Settings: s}).Run(ctx) })
+	own := hosted.OwnRunner(func(ctx context.Context, s config.Settings) error { return (&node.Node{Settings: s}).Run(ctx) })
 	return hosted.Run(&radishwellCLI{}, "radishwell", hosted.About, args, out, errs, own)
 }
 
--- a/io/cmds/soak.go
+++ b/io/cmds/soak.go
@@ -36,7 +36,7 @@
 		failed = failed || found
 	}
 	if failed {
-		return &hosted.FoundError{}
+		return &hosted.ReportedError{}
 	}
 	return nil
 }
--- a/io/deploy/watch.go
+++ b/io/deploy/watch.go
@@ -93,7 +93,7 @@
 		return
 	}
 	began := e.clock.Now()
-	table, err := plat.Table(o.Spec)
+	table, err := plat.DecodeTable(o.Spec)
 	events.Log(events.TableDecoded, "revision", o.Version, "bytes", len(o.Spec), "took", e.clock.Now().Sub(began))
 	if err != nil {
 		events.Fail(events.TableRejected, err, "revision", o.Version)
@@ -104,7 +104,7 @@
 
 // decodeHost decodes a registry entry. An invalid one is logged and is not Usable.
 func decodeHost(o core.Object) fleet.Entry {
-	host, err := plat.Host(o.Name, o.Spec)
+	host, err := plat.DecodeHost(o.Name, o.Spec)
 	if err != nil {
 		events.Fail(events.RegistryEntryUnusable, err, "name", o.Name, "revision", o.Version)
 	}
--- a/io/hosted/commands.go
+++ b/io/hosted/commands.go
@@ -31,9 +31,9 @@
 	Show    versionCommand   `cmd:"" name:"version" help:"Print the version."`
 }
 
-// Own runs a process on the product's own platform interface until the context ends. It is
+// OwnRunner runs a process on the product's own platform interface until the context ends. It is
 // nil in the binary for managed platforms.
-type Own func(context.Context, config.Settings) error
+type OwnRunner func(context.Context, config.Settings) error
 
 // ManagedOnlyError reports settings for the product's own platform interface that were
 // passed to the binary for managed platforms.
@@ -47,7 +47,7 @@
 // Radishwell runs the command line of the binary for managed platforms and returns the
 // exit status.
 func Radishwell(args []string, out, errs io.Writer) int {
-	return Run(&Commands{}, "radishwell", About, args, out, errs, Own(nil))
+	return Run(&Commands{}, "radishwell", About, args, out, errs, OwnRunner(nil))
 }
 
 // About is the description of radishwell in its help text.
@@ -66,7 +66,7 @@
 }
 
 // Run runs an entry until the process receives a signal to stop.
-func (c *entryCommand) Run(ctx context.Context, own Own) error {
+func (c *entryCommand) Run(ctx context.Context, own OwnRunner) error {
 	return serve(ctx, c.Settings, config.Entry, own)
 }
 
@@ -75,7 +75,7 @@
 }
 
 // Run runs an agent until the process receives a signal to stop.
-func (c *agentCommand) Run(ctx context.Context, own Own) error {
+func (c *agentCommand) Run(ctx context.Context, own OwnRunner) error {
 	return serve(ctx, c.Settings, config.Agent, own)
 }
 
@@ -91,7 +91,7 @@
 }
 
 // serve runs a process with the settings in a file, which must have the given role.
-func serve(ctx context.Context, file string, role config.Role, own Own) error {
+func serve(ctx context.Context, file string, role config.Role, own OwnRunner) error {
 	settings, err := config.Load(file)
 	if err != nil {
 		events.Fail(events.SettingsInvalid, err, "file", file)
@@ -130,7 +130,7 @@
 		}
 	}
 	if len(problems) > 0 {
-		return &FoundError{}
+		return &ReportedError{}
 	}
 	return nil
 }
@@ -176,7 +176,7 @@
 	}
 	if !known {
 		_, _ = fmt.Fprintln(out, "none of these processes knows", c.Subject, c.Name)
-		return &FoundError{}
+		return &ReportedError{}
 	}
 	return nil
 }
--- a/io/hosted/run.go
+++ b/io/hosted/run.go
@@ -54,7 +54,7 @@
 	defer stop()
 	parsed.BindTo(ctx, (*context.Context)(nil))
 	if err := parsed.Run(); err != nil {
-		var quiet *FoundError
+		var quiet *ReportedError
 		if !errors.As(err, &quiet) {
 			_, _ = io.WriteString(errs, name+": "+err.Error()+"\n")
 		}
@@ -63,12 +63,12 @@
 	return exitOK
 }
 
-// FoundError ends a command with exit status 1 if the command has already printed the
+// ReportedError ends a command with exit status 1 if the command has already printed the
 // problems. Run prints no message for it.
-type FoundError struct{}
+type ReportedError struct{}
 
 // Error implements error.
-func (*FoundError) Error() string { return "problems were found" }
+func (*ReportedError) Error() string { return "problems were found" }
 
 // version returns the module's version, the revision and the version of Go, as recorded in
 // the binary.
