--- a/io/deploy/process.go
+++ b/io/deploy/process.go
@@ -147,6 +147,7 @@
 // have stopped.
 const stopMargin = 500 * time.Millisecond
 
+// stop drains the process within the platform's grace period.
 func (p *Process) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), p.Settings.Managed.StopGrace-stopMargin)
 	defer cancel()
