--- a/io/peer/bench_test.go
+++ b/io/peer/bench_test.go
@@ -15,10 +15,10 @@
 	"radishwell/io/objapi"
 )
 
-// totalTraffic returns the bytes that all processes have sent and received.
-func totalTraffic(all []*process) int64 {
+// totalTraffic returns the number of bytes that all processes have sent and received.
+func totalTraffic(processes []*process) int64 {
 	n := int64(0)
-	for _, p := range all {
+	for _, p := range processes {
 		for _, count := range []interface{ Traffic() (int64, int64) }{p.client, p.server} {
 			sent, received := count.Traffic()
 			n += sent + received
@@ -27,8 +27,7 @@
 	return n
 }
 
-// cpuTime returns the processor time of this test program, the platform's
-// stand-in included.
+// cpuTime returns the processor time of this test program, including the fake platform.
 func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -37,11 +36,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// oldestWord returns how long ago the platform's last word on any kind was
-// that any process has heard of.
-func oldestWord(all []*process) time.Duration {
+// oldestFreshAge returns the age of the oldest replica of any kind at any process.
+func oldestFreshAge(processes []*process) time.Duration {
 	oldest := time.Duration(0)
-	for _, p := range all {
+	for _, p := range processes {
 		for _, kind := range p.Kinds {
 			oldest = max(oldest, time.Since(p.Status(kind).Fresh))
 		}
@@ -49,8 +47,8 @@
 	return oldest
 }
 
-// benchFleet starts n processes with the kinds of a real one, and waits until
-// all have the catalogue.
+// benchFleet starts n processes with the kinds of a real one, and waits until all have
+// the catalogue.
 func benchFleet(b *testing.B, n int, edit func(*Store)) (*fleet, []*process) {
 	seed := []core.Object{model("qalam")}
 	for i := range 170 {
@@ -72,9 +70,9 @@
 	return f, all
 }
 
-// BenchmarkRest counts the control bytes of a process while nothing changes
-// but a lease that is renewed each second, and the platform's calls. One
-// iteration is one second: use -benchtime 10x.
+// BenchmarkRest measures the control traffic of a process and the calls to the platform
+// while nothing changes but a lease that is renewed each second. One iteration takes one
+// second: use -benchtime 10x.
 func BenchmarkRest(b *testing.B) {
 	for _, n := range []int{5, 10, 25, 50, 100, 300} {
 		b.Run(fmt.Sprintf("processes=%d", n), func(b *testing.B) {
@@ -98,7 +96,7 @@
 					b.Fatal(err)
 				}
 				<-tick.C
-				oldest = max(oldest, oldestWord(all))
+				oldest = max(oldest, oldestFreshAge(all))
 			}
 			seconds := b.Elapsed().Seconds()
 			after := f.srv.Calls()
@@ -112,9 +110,9 @@
 	}
 }
 
-// BenchmarkConverge measures from an edit's acceptance until it is in force in
-// all processes, and the control bytes of one edit per process beside those at
-// rest in the same time. Use -benchtime 20x.
+// BenchmarkConverge measures the time from the platform's acceptance of an edit until all
+// processes have it, and the control traffic per process and edit, including the traffic
+// without edits during that time. Use -benchtime 20x.
 func BenchmarkConverge(b *testing.B) {
 	small := func(edit int) []byte { return fmt.Appendf(nil, `{"edit":%d}`, edit) }
 	for _, n := range []int{10, 50, 100, 300} {
@@ -126,8 +124,8 @@
 	}
 }
 
-// BenchmarkConvergeLarge is BenchmarkConverge with a document as large as a routing table of
-// 1,450 routes.
+// BenchmarkConvergeLarge is BenchmarkConverge with a document as large as a routing table
+// of 1,450 routes.
 func BenchmarkConvergeLarge(b *testing.B) {
 	for _, n := range []int{24, 103, 400} {
 		b.Run(fmt.Sprintf("processes=%d", n), func(b *testing.B) { benchConverge(b, n, 8, routes) })
@@ -175,8 +173,8 @@
 	b.ReportMetric(float64(totalTraffic(all)-bytes)/float64(b.N)/float64(n), "bytes/edit/process")
 }
 
-// BenchmarkBoot measures how long a process that starts in an outage of the
-// platform takes to have 3,470 models and adapters from its peers.
+// BenchmarkBoot measures how long a process that starts during an outage of the platform
+// takes to get 3,470 models and adapters from its peers.
 func BenchmarkBoot(b *testing.B) {
 	var seed []core.Object
 	for i := range 3470 {
@@ -200,7 +198,7 @@
 		b.StopTimer()
 		p.stop()
 		f.mu.Lock()
-		f.known = f.known[:len(f.known)-1]
+		f.targets = f.targets[:len(f.targets)-1]
 		f.mu.Unlock()
 		b.StartTimer()
 	}
--- a/io/peer/calls_test.go
+++ b/io/peer/calls_test.go
@@ -16,7 +16,7 @@
 	"radishwell/wire"
 )
 
-// serveCalls returns a process that answers calls, and how to stop it.
+// serveCalls starts a server and returns its address and a function that stops it.
 func serveCalls(t *testing.T, h *Handler) (Target, context.CancelFunc) {
 	t.Helper()
 	s := &Server{Address: netip.MustParseAddrPort("127.0.0.1:0"), Handler: h}
@@ -78,32 +78,32 @@
 	<-ended
 }
 
-// Something between two hosts forgets a connection: it is open at both ends and
-// carries nothing, while new ones work. Calls on it would wait for ever. The
-// connection is closed, and the next call goes over a new one.
+// TestSilentConnection: a device between two hosts drops the state of a connection, which
+// stays open at both ends and carries nothing, while new connections work. Calls over it
+// would wait for ever. The client must close it and make the next call over a new one.
 func TestSilentConnection(t *testing.T) {
 	to, _ := serveCalls(t, &Handler{Probe: func(*wire.ProbeCall) (*wire.HostLoad, error) { return &wire.HostLoad{}, nil }})
-	between, hush := forward(t, to.Address)
+	proxyAddr, goSilent := startMidbox(t, to.Address)
 	var silent atomic.Int64
 	c := &Client{Silent: func(Target) { silent.Add(1) }}
 	defer c.Close()
-	via := Target{Host: to.Host, Address: between}
+	via := Target{Host: to.Host, Address: proxyAddr}
 	_, err := c.Probe(t.Context(), via, &wire.ProbeCall{})
 	assert.NilError(t, err)
-	hush()
+	goSilent()
 	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 	defer stop()
 	_, err = c.Probe(ctx, via, &wire.ProbeCall{})
-	var quiet *SilentError
-	assert.Assert(t, errors.As(err, &quiet), "%v", err)
+	var silentErr *SilentError
+	assert.Assert(t, errors.As(err, &silentErr), "%v", err)
 	assert.Equal(t, silent.Load(), int64(1))
 	_, err = c.Probe(t.Context(), via, &wire.ProbeCall{})
 	assert.NilError(t, err)
 }
 
-// forward relays connections to an address. hush makes those that are open
-// carry nothing more, without closing them.
-func forward(t *testing.T, to netip.AddrPort) (at netip.AddrPort, hush func()) {
+// startMidbox forwards connections to an address. goSilent makes the open ones carry
+// nothing more without closing them.
+func startMidbox(t *testing.T, to netip.AddrPort) (at netip.AddrPort, goSilent func()) {
 	t.Helper()
 	l, err := midbox.New(to)
 	assert.NilError(t, err)
@@ -111,16 +111,16 @@
 	return l.At(), l.Hush
 }
 
-// TestSilentShortCalls: an entry probes a host now and then and waits for
-// 50 ms each time. The connection has gone silent. Each probe ends at its
-// deadline; were that all, the host would look dead for good although new
-// connections work.
+// TestSilentShortCalls: an entry probes a host now and then with a timeout of 50 ms, and
+// the connection has gone silent. Each probe times out before the connection is pinged;
+// if the client did no more, the host would look dead for good although new connections
+// work.
 func TestSilentShortCalls(t *testing.T) {
 	to, _ := serveCalls(t, &Handler{Probe: func(*wire.ProbeCall) (*wire.HostLoad, error) { return &wire.HostLoad{}, nil }})
-	between, hush := forward(t, to.Address)
+	proxyAddr, goSilent := startMidbox(t, to.Address)
 	c := &Client{}
 	defer c.Close()
-	via := Target{Host: to.Host, Address: between}
+	via := Target{Host: to.Host, Address: proxyAddr}
 	probe := func() error {
 		ctx, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer stop()
@@ -128,16 +128,16 @@
 		return err
 	}
 	assert.NilError(t, probe())
-	hush()
+	goSilent()
 	assert.Assert(t, probe() != nil)
-	// The probes' own deadlines pace the loop; it ends when one gets through.
+	// The timeouts of the probes pace the loop. It ends when one is answered.
 	for probe() != nil {
 	}
 }
 
-// TestStopAnswers: an entry is told to stop while it records a claim for
-// another. The claim must be answered: its caller would else have to say that
-// the request may have run.
+// TestStopAnswers: an entry shuts down while it records a claim for another entry. The
+// claim must be answered; otherwise its caller would have to report that the request may
+// have run.
 func TestStopAnswers(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	to, stop := serveCalls(t, &Handler{Claim: func(*wire.ClaimCall) (*wire.ClaimReply, error) {
@@ -176,22 +176,21 @@
 	<-stopped
 }
 
-// TestSilentIdle: a treasurer posts an entry after a pause. The connection to
-// the process that records the claim has gone silent meanwhile. The claim must
-// go over a new connection, and must not be sent on the old one first: it would
-// count as one that may have been recorded.
+// TestSilentIdle: a claim is sent over a connection that has gone silent while it was
+// idle. The claim must go over a new connection and must not be sent over the old one
+// first, because it would then count as one that may have been recorded.
 func TestSilentIdle(t *testing.T) {
 	to, _ := serveCalls(t, &Handler{Claim: func(*wire.ClaimCall) (*wire.ClaimReply, error) { return &wire.ClaimReply{Won: true}, nil }})
-	between, hush := forward(t, to.Address)
+	proxyAddr, goSilent := startMidbox(t, to.Address)
 	var silent atomic.Int64
 	c := &Client{Silent: func(Target) { silent.Add(1) }}
 	defer c.Close()
-	via := Target{Host: to.Host, Address: between}
+	via := Target{Host: to.Host, Address: proxyAddr}
 	_, err := c.Claim(t.Context(), via, &wire.ClaimCall{})
 	assert.NilError(t, err)
-	hush()
+	goSilent()
 	c.mu.Lock()
-	c.conns[via].released = time.Now().Add(-idleCheck)
+	c.conns[via].idleSince = time.Now().Add(-idlePingAfter)
 	c.mu.Unlock()
 	reply, err := c.Claim(t.Context(), via, &wire.ClaimCall{})
 	assert.NilError(t, err)
--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -18,30 +18,30 @@
 
 const (
 	dialTimeout = time.Second
-	// pingEvery is how long a call may be outstanding before the connection is
-	// asked for a sign of life, and silence how long that may take. A connection
-	// that has gone silent is closed within their sum.
-	pingEvery = time.Second
-	silence   = 1500 * time.Millisecond
-	// idleTime is how long a connection without calls is kept. Processes talk to
-	// random peers, so most connections are used once; at 1,040 processes
-	// keeping all of them would cost more memory than a handshake does time.
-	idleTime = 10 * time.Second
-	// idleCheck is after how long without use a connection is asked for a sign
-	// of life before it is used again, and reuseTime how long that may take. It
-	// costs a round trip of a millisecond or two, where calls come further
-	// apart; pinging all idle connections would cost bytes all the time.
-	idleCheck = time.Second
-	reuseTime = 500 * time.Millisecond
+	// pingInterval is how long a call may be outstanding before the client pings over the
+	// connection, and silenceTimeout bounds that ping. A silent connection is closed
+	// within their sum.
+	pingInterval   = time.Second
+	silenceTimeout = 1500 * time.Millisecond
+	// idleTimeout is how long a connection without calls is kept. Processes exchange with
+	// random peers, so most connections are used once; at 1,040 processes, keeping all of
+	// them would cost more memory than the handshakes cost time.
+	idleTimeout = 10 * time.Second
+	// idlePingAfter is the idle time after which a connection is pinged before it is used
+	// again, and idlePingTimeout bounds that ping. It costs a round trip of one or two
+	// milliseconds if calls are that far apart; pinging all idle connections would cost
+	// traffic all the time.
+	idlePingAfter   = time.Second
+	idlePingTimeout = 500 * time.Millisecond
 )
 
-// CallError reports a call that got no answer.
+// CallError reports a call without an answer.
 type CallError struct {
 	Method string
-	// Sent tells that the other side may have served the call.
+	// Sent is set if the other side may have served the call.
 	Sent bool
-	// Read is how many bytes were read from the connection during the call, those of other
-	// calls included.
+	// Read is the number of bytes read from the connection during the call, those of
+	// other calls included.
 	Read  int64
 	Cause error
 }
@@ -52,50 +52,55 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// SilentError reports a connection that has gone silent.
+// SilentError reports a connection that no longer carries data.
 type SilentError struct{}
 
 // Error implements error.
 func (*SilentError) Error() string { return "the connection has gone silent" }
 
-// Target is a process to call.
+// Target identifies a process that can be called.
 type Target struct {
 	Host    core.HostName
 	Address netip.AddrPort
 }
 
-// Client makes calls of other processes. Set the exported fields before use.
+// Client calls other processes. Its exported fields must be set before first use; its
+// methods may be called from several goroutines. The zero value calls without TLS.
 type Client struct {
-	// TLS returns the configuration towards a host, nil for none. An empty host
-	// is any own process.
+	// TLS returns the configuration for calls to a host, or nil for none. An empty host
+	// name stands for any process of this system.
 	TLS func(core.HostName) *tls.Config
-	// Silent is told of each connection closed for its silence.
+	// Silent, if set, is called for each connection that is closed because it went
+	// silent.
 	Silent func(Target)
-	// Called is told of each call by its method's name: whether it was answered.
+	// Called, if set, is called after each call with the method's name and whether it was
+	// answered.
 	Called func(method string, ok bool)
 
-	mu    sync.Mutex
-	conns map[Target]*clientConn
-	count traffic
+	mu      sync.Mutex
+	conns   map[Target]*clientConn
+	traffic byteCounts
 }
 
-// clientConn is a connection, or one that is being dialled.
+// clientConn is a connection that is open or being dialled. Except for transport, rpc and
+// err, which are set before ready is closed, Client.mu guards its fields.
 type clientConn struct {
-	ready chan struct{}
-	link  *link
-	rpc   *rpc.Client
-	err   error
-	idle  *time.Timer
-	busy  int
-	// released is when the last use ended.
-	released time.Time
-	// quiet is when the first call was sent that ended late without anything
-	// being read since; zero where there is none.
-	quiet time.Time
+	ready     chan struct{}
+	transport *meteredConn
+	rpc       *rpc.Client
+	err       error
+	idleTimer *time.Timer
+	// users counts the calls that use the connection or wait for it.
+	users int
+	// idleSince is when users last became zero.
+	idleSince time.Time
+	// silentSince is when the first of the calls was sent that timed out with nothing
+	// read from the connection since; zero if there is none.
+	silentSince time.Time
 }
 
-// call makes one call; the deadline is the context's. Its error is a CallError,
-// or an rpc.ServerError where the other side answered with one.
+// call makes one call, bounded by the context's deadline. Its error is a CallError, or an
+// rpc.ServerError if the other side answered with an error.
 func call[A any, P interface {
 	*A
 	proto.Message
@@ -111,30 +116,30 @@
 	*A
 	proto.Message
 }](ctx context.Context, c *Client, to Target, method string, in proto.Message) (P, error) {
-	conn, err := c.connect(ctx, to)
+	conn, err := c.acquire(ctx, to)
 	if err != nil {
 		return nil, &CallError{Method: method, Cause: err}
 	}
 	defer c.release(to, conn)
 	out := P(new(A))
-	sent, read := time.Now(), conn.link.read.Load()
+	sent, read := time.Now(), conn.transport.bytesRead.Load()
 	pending := conn.rpc.Go(serviceName+"."+method, in, out, make(chan *rpc.Call, 1))
 	if err := c.wait(ctx, to, conn, pending); err != nil {
 		if ctx.Err() != nil {
-			c.noteLate(conn, sent)
+			c.noteTimeout(conn, sent)
 		}
 		var refused rpc.ServerError
 		if errors.As(err, &refused) {
 			return nil, refused
 		}
-		return nil, &CallError{Method: method, Sent: true, Read: conn.link.read.Load() - read, Cause: err}
+		return nil, &CallError{Method: method, Sent: true, Read: conn.transport.bytesRead.Load() - read, Cause: err}
 	}
 	return out, nil
 }
 
-// wait waits for a call, and finds out meanwhile whether the connection lives.
+// wait waits for a call to end and pings the other side meanwhile.
 func (c *Client) wait(ctx context.Context, to Target, conn *clientConn, pending *rpc.Call) error {
-	timer := time.NewTimer(pingEvery)
+	timer := time.NewTimer(pingInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -147,29 +152,30 @@
 			return context.Cause(ctx)
 		case <-timer.C:
 		}
-		if err := conn.alive(ctx, silence); err != nil {
-			c.giveUp(to, conn, err)
+		if err := conn.ping(ctx, silenceTimeout); err != nil {
+			c.discardDead(to, conn, err)
 			return err
 		}
-		timer.Reset(pingEvery)
+		timer.Reset(pingInterval)
 	}
 }
 
-// noteLate notes that a call ended late. Calls with short deadlines end before
-// the connection is asked for a sign of life; without the note, a silent
-// connection would be kept for as long as such calls come.
-func (c *Client) noteLate(conn *clientConn, sent time.Time) {
+// noteTimeout records a call that timed out. Calls with short deadlines end before the
+// connection is pinged; without this record, a silent connection would be kept for as
+// long as only such calls use it.
+func (c *Client) noteTimeout(conn *clientConn, sent time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if conn.quiet.IsZero() || conn.link.heardSince(conn.quiet) {
-		conn.quiet = sent
+	if conn.silentSince.IsZero() || conn.transport.readSince(conn.silentSince) {
+		conn.silentSince = sent
 	}
 }
 
-// isSilent tells whether calls have ended late for too long with nothing read.
-// A slow peer at worst has a connection dialled anew. The caller holds mu.
+// isSilent reports whether calls have timed out for at least pingInterval with nothing
+// read. For a peer that is merely slow, the cost is a new connection. The caller holds
+// mu.
 func (conn *clientConn) isSilent(now time.Time) bool {
-	return !conn.quiet.IsZero() && now.Sub(conn.quiet) >= pingEvery && !conn.link.heardSince(conn.quiet)
+	return !conn.silentSince.IsZero() && now.Sub(conn.silentSince) >= pingInterval && !conn.transport.readSince(conn.silentSince)
 }
 
 func isServerError(err error) bool {
@@ -177,15 +183,15 @@
 	return errors.As(err, &refused)
 }
 
-// alive asks the other end for a sign of life and waits for it for a time. Its
-// error is a SilentError, or what ended the connection.
-func (conn *clientConn) alive(ctx context.Context, wait time.Duration) error {
-	ping := conn.rpc.Go(serviceName+".Ping", &wire.Empty{}, &wire.Empty{}, make(chan *rpc.Call, 1))
-	timer := time.NewTimer(wait)
+// ping pings the other side and waits for the answer. Its error is a SilentError on
+// timeout, or the error that ended the connection. It is nil if ctx ends first.
+func (conn *clientConn) ping(ctx context.Context, timeout time.Duration) error {
+	pending := conn.rpc.Go(serviceName+".Ping", &wire.Empty{}, &wire.Empty{}, make(chan *rpc.Call, 1))
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-ping.Done:
-		return ping.Error
+	case <-pending.Done:
+		return pending.Error
 	case <-ctx.Done():
 		return nil
 	case <-timer.C:
@@ -193,8 +199,9 @@
 	}
 }
 
-// giveUp closes a connection that showed no sign of life.
-func (c *Client) giveUp(to Target, conn *clientConn, cause error) {
+// discardDead closes a connection whose ping failed, and calls Silent if the ping timed
+// out.
+func (c *Client) discardDead(to Target, conn *clientConn, cause error) {
 	c.discard(to, conn)
 	var silent *SilentError
 	if c.Silent != nil && errors.As(cause, &silent) {
@@ -202,27 +209,27 @@
 	}
 }
 
-// connect returns a connection in use. One that has been idle is asked for a
-// sign of life first: it may have gone silent or been closed meanwhile, and a
-// call sent on it would count as one that the other side may have served.
-func (c *Client) connect(ctx context.Context, to Target) (*clientConn, error) {
-	conn, idle, err := c.reach(ctx, to)
+// acquire returns an open connection, which the caller must release unless there is an
+// error. An idle connection is pinged first: it may have gone silent or been closed, and
+// a call sent over it would count as one that the other side may have served.
+func (c *Client) acquire(ctx context.Context, to Target) (*clientConn, error) {
+	conn, idle, err := c.getOrDial(ctx, to)
 	if err != nil || !idle {
 		return conn, err
 	}
-	dead := conn.alive(ctx, reuseTime)
-	if dead == nil {
+	pingErr := conn.ping(ctx, idlePingTimeout)
+	if pingErr == nil {
 		return conn, nil
 	}
-	c.giveUp(to, conn, dead)
+	c.discardDead(to, conn, pingErr)
 	c.release(to, conn)
-	conn, _, err = c.reach(ctx, to)
+	conn, _, err = c.getOrDial(ctx, to)
 	return conn, err
 }
 
-// reach returns a connection in use, dialling it where there is none, and
-// whether it has been idle.
-func (c *Client) reach(ctx context.Context, to Target) (conn *clientConn, idle bool, err error) {
+// getOrDial returns an open connection, dialling one if needed, and whether the
+// connection was idle. It counts the caller as a user.
+func (c *Client) getOrDial(ctx context.Context, to Target) (conn *clientConn, idle bool, err error) {
 	c.mu.Lock()
 	if c.conns == nil {
 		c.conns = map[Target]*clientConn{}
@@ -230,7 +237,7 @@
 	conn = c.conns[to]
 	now := time.Now()
 	silent := conn != nil && conn.isSilent(now)
-	if silent && conn.busy == 0 {
+	if silent && conn.users == 0 {
 		defer conn.close()
 	}
 	dial := conn == nil || silent
@@ -238,8 +245,8 @@
 		conn = &clientConn{ready: make(chan struct{})}
 		c.conns[to] = conn
 	}
-	idle = !dial && conn.busy == 0 && !conn.released.After(now.Add(-idleCheck))
-	conn.busy++
+	idle = !dial && conn.users == 0 && !conn.idleSince.After(now.Add(-idlePingAfter))
+	conn.users++
 	c.mu.Unlock()
 	if silent && c.Silent != nil {
 		c.Silent(to)
@@ -259,7 +266,7 @@
 func (c *Client) dial(to Target, conn *clientConn) {
 	ctx, stop := context.WithTimeout(context.Background(), dialTimeout)
 	defer stop()
-	raw, err := c.open(ctx, to)
+	transport, err := c.open(ctx, to)
 	if err != nil {
 		c.mu.Lock()
 		conn.err = err
@@ -270,8 +277,8 @@
 		close(conn.ready)
 		return
 	}
-	conn.link = &link{Conn: raw, count: &c.count}
-	conn.rpc = rpc.NewClientWithCodec(clientCodec{newCodec(conn.link)})
+	conn.transport = &meteredConn{Conn: transport, traffic: &c.traffic}
+	conn.rpc = rpc.NewClientWithCodec(clientCodec{newCodec(conn.transport)})
 	close(conn.ready)
 }
 
@@ -287,29 +294,30 @@
 	return (&tls.Dialer{NetDialer: dialer, Config: conf}).DialContext(ctx, "tcp", to.Address.String())
 }
 
-// release ends one use; a connection that is not used again is closed.
+// release ends one use of a connection. A connection without users is closed if it was
+// replaced, and otherwise once it has been idle for idleTimeout.
 func (c *Client) release(to Target, conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn.busy--
-	if conn.busy > 0 {
+	conn.users--
+	if conn.users > 0 {
 		return
 	}
-	conn.released = time.Now()
+	conn.idleSince = time.Now()
 	if c.conns[to] != conn {
 		conn.close()
 		return
 	}
-	if conn.idle == nil {
-		conn.idle = time.AfterFunc(idleTime, func() { c.closeIdle(to, conn) })
+	if conn.idleTimer == nil {
+		conn.idleTimer = time.AfterFunc(idleTimeout, func() { c.closeIdle(to, conn) })
 		return
 	}
-	conn.idle.Reset(idleTime)
+	conn.idleTimer.Reset(idleTimeout)
 }
 
 func (c *Client) closeIdle(to Target, conn *clientConn) {
 	c.mu.Lock()
-	idle := conn.busy == 0 && c.conns[to] == conn
+	idle := conn.users == 0 && c.conns[to] == conn
 	c.mu.Unlock()
 	if idle {
 		c.discard(to, conn)
@@ -326,8 +334,8 @@
 	conn.close()
 }
 
-// close closes a connection that has been dialled; one that is being dialled
-// is closed by whoever waits for it.
+// close closes an open connection. A connection that is still being dialled is closed
+// when its last user releases it.
 func (conn *clientConn) close() {
 	select {
 	case <-conn.ready:
@@ -341,10 +349,10 @@
 // Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
-	list := c.conns
+	conns := c.conns
 	c.conns = nil
 	c.mu.Unlock()
-	for _, conn := range list {
+	for _, conn := range conns {
 		<-conn.ready
 		if conn.rpc != nil {
 			conn.rpc.Close()
@@ -352,7 +360,7 @@
 	}
 }
 
-// Traffic returns the bytes sent and received so far.
+// Traffic returns the numbers of bytes sent and received since the start.
 func (c *Client) Traffic() (sent, received int64) {
-	return c.count.sent.Load(), c.count.received.Load()
+	return c.traffic.sent.Load(), c.traffic.received.Load()
 }
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -11,24 +11,25 @@
 	"radishwell/wire"
 )
 
-// maxMessage bounds one message: a full delta of a kind at the size designed
-// for is below two megabytes.
+// maxMessage bounds one message in bytes. A full delta of a kind, at the size that the
+// system is designed for, has less than two megabytes.
 const maxMessage = 16 << 20
 
-// codec writes each call as two messages, a wire.CallHead and the body.
+// codec encodes each call and each reply as two length-prefixed messages: a wire.CallHead
+// and the body.
 type codec struct {
-	conn *link
+	conn *meteredConn
 	in   *bufio.Reader
 	out  *bufio.Writer
-	// writing keeps the two messages of a call together.
-	writing sync.Mutex
+	// writeMu keeps the two messages of a call together.
+	writeMu sync.Mutex
 }
 
-func newCodec(conn *link) *codec {
+func newCodec(conn *meteredConn) *codec {
 	return &codec{conn: conn, in: bufio.NewReader(conn), out: bufio.NewWriter(conn)}
 }
 
-// BodyError reports a value that is no message of package wire.
+// BodyError reports a body that is not a protobuf message.
 type BodyError struct{}
 
 // Error implements error.
@@ -42,8 +43,8 @@
 		}
 		message = &wire.Empty{}
 	}
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	if _, err := protodelim.MarshalTo(c.out, head); err != nil {
 		return err
 	}
@@ -57,7 +58,7 @@
 	return protodelim.UnmarshalOptions{MaxSize: maxMessage}.UnmarshalFrom(c.in, m)
 }
 
-// readBody reads a body into a message, or past it where to is nil.
+// readBody reads a body into to, or skips it if to is nil.
 func (c *codec) readBody(to any) error {
 	if to == nil {
 		return c.read(&wire.Empty{})
@@ -72,7 +73,7 @@
 // Close closes the connection.
 func (c *codec) Close() error { return c.conn.Close() }
 
-// clientCodec is the caller's side.
+// clientCodec is the codec of the calling side.
 type clientCodec struct{ *codec }
 
 // WriteRequest implements rpc.ClientCodec.
@@ -93,7 +94,7 @@
 // ReadResponseBody implements rpc.ClientCodec.
 func (c clientCodec) ReadResponseBody(to any) error { return c.readBody(to) }
 
-// serverCodec is the called side.
+// serverCodec is the codec of the serving side.
 type serverCodec struct{ *codec }
 
 // ReadRequestHeader implements rpc.ServerCodec.
--- a/io/peer/doc.go
+++ b/io/peer/doc.go
@@ -1,7 +1,9 @@
-// Package peer carries calls between the system's own processes: net/rpc with
-// protobuf messages over TCP, with mutual TLS where the settings name files.
+// Package peer carries the calls between the processes of this system: net/rpc with
+// protobuf messages over TCP, and mutual TLS if the settings name certificate files. Its
+// Store replicates the platform's objects and spreads soft state over these calls.
 //
-// Connections are kept and shared. One that has gone silent, because something
-// between the two ends has lost track of it, is found by a call that asks for a
-// sign of life while others are outstanding, and is closed and dialled anew.
+// Client keeps connections open and shares them between calls. A connection can go
+// silent, because a device between its two ends has lost its state: it stays open and
+// carries nothing. The client therefore pings the other side while a call is outstanding,
+// closes a connection that does not answer, and dials a new one.
 package peer
--- a/io/peer/fuzz_test.go
+++ b/io/peer/fuzz_test.go
@@ -11,8 +11,8 @@
 	"radishwell/wire"
 )
 
-// FuzzServe feeds a control connection with whatever a stranger or a broken
-// process may send. The server must end the connection and not fail itself.
+// FuzzServe sends arbitrary bytes over a control connection, as an unknown client or a
+// faulty process might. The server must end the connection and not fail itself.
 func FuzzServe(f *testing.F) {
 	head, _ := proto.Marshal(&wire.CallHead{Method: "Peer.Sync", Sequence: 1})
 	body, _ := proto.Marshal(&wire.SyncCall{From: "entry-1", Through: []*wire.Through{{Kind: "models", Version: 3}}})
@@ -26,14 +26,14 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f})
 	s := &Store{Kinds: []core.Kind{core.KindModel}}
 	server := rpc.NewServer()
-	if err := server.RegisterName(serviceName, &methods{handler: &Handler{Sync: s.Serve, Fetch: s.ServeFetch}}); err != nil {
+	if err := server.RegisterName(serviceName, &service{handler: &Handler{Sync: s.Serve, Fetch: s.ServeFetch}}); err != nil {
 		f.Fatal(err)
 	}
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		near, far := net.Pipe()
 		done := make(chan struct{})
 		go func() {
-			server.ServeCodec(serverCodec{newCodec(&link{Conn: far, count: &traffic{}})})
+			server.ServeCodec(serverCodec{newCodec(&meteredConn{Conn: far, traffic: &byteCounts{}})})
 			close(done)
 		}()
 		drained := make(chan struct{})
@@ -53,7 +53,7 @@
 	})
 }
 
-// FuzzDelta joins whatever a peer may send as a delta.
+// FuzzDelta joins arbitrary deltas.
 func FuzzDelta(f *testing.F) {
 	seed, _ := proto.Marshal(&wire.KindDelta{Kind: "models", Through: 9, Full: true, Items: []*wire.Item{{Name: "a", Version: 3}}})
 	f.Add(seed)
@@ -69,14 +69,14 @@
 		s.join(core.KindModel, fromWire(&d))
 		before := s.Status(core.KindModel)
 		if s.join(core.KindModel, fromWire(&d)) || s.Status(core.KindModel) != before {
-			t.Error("a delta that came twice changed something")
+			t.Error("joining a delta a second time changed the replica")
 		}
 	})
 }
 
-// FuzzPart takes in whatever a peer may send as parts of something large.
+// FuzzPart joins arbitrary parts of a payload.
 func FuzzPart(f *testing.F) {
-	p := &packed{build: func() []byte { return []byte(`{"text":"qalam"}`) }}
+	p := &payload{build: func() []byte { return []byte(`{"text":"qalam"}`) }}
 	p.compress()
 	f.Add(p.data, p.size, p.sum, uint64(0))
 	f.Add(p.data[:3], p.size, p.sum, uint64(2))
@@ -84,10 +84,10 @@
 	f.Fuzz(func(t *testing.T, data []byte, unpacked, sum, offset uint64) {
 		d := &download{}
 		part := &wire.FetchReply{Data: data, Size: uint64(len(data)), Sum: sum, Unpacked: unpacked}
-		if d.take(offset, part) != (uint64(len(d.data)) == d.total) {
-			t.Error("a part is said to be the last and is not")
+		if d.addPart(offset, part) != (uint64(len(d.data)) == d.total) {
+			t.Error("addPart reports completion wrongly")
 		}
-		if out, err := unpack(data, min(unpacked, 1<<16)); err == nil && uint64(len(out)) != min(unpacked, 1<<16) {
+		if out, err := decompress(data, min(unpacked, 1<<16)); err == nil && uint64(len(out)) != min(unpacked, 1<<16) {
 			t.Errorf("unpacked %d bytes of %d", len(out), unpacked)
 		}
 	})
--- a/io/peer/lag.go
+++ b/io/peer/lag.go
@@ -6,60 +6,63 @@
 	"radishwell/core"
 )
 
-// lagTime is how long a replica has to lack a change to be reported.
-const lagTime = time.Second
+// lagThreshold is how long a replica must lack a change before the lag is reported.
+const lagThreshold = time.Second
 
-// Lag is a replica that lacks a change which another process has named.
+// Lag describes a replica that lacks a change of which another process has reported the
+// version.
 type Lag struct {
 	Kind core.Kind
-	// Held is the newest version held, Named the one that is lacking.
+	// Held is the newest version in the replica, Named the missing version.
 	Held, Named core.Version
-	// Since is when that was named, Fresh when the platform said last that the replica
-	// lacked nothing.
+	// Since is when Named was first reported. Fresh is when the platform last confirmed,
+	// to this process or a peer, that the replica lacked nothing.
 	Since, Fresh time.Time
-	// Over tells that the change is there now.
+	// Over is set once the replica has the change.
 	Over bool
 }
 
-// lagState is what is known of the changes that a replica lacks.
+// lagState tracks the changes that a replica lacks.
 type lagState struct {
-	// named is the version that is lacking and was named first, newest the newest of all.
-	named, newest core.Version
-	// since is when named was named, zero where nothing is lacking.
+	// missing is the first version reported among those that the replica lacks, newest
+	// the largest version reported.
+	missing, newest core.Version
+	// since is when missing was reported; zero if the replica lacks nothing.
 	since time.Time
-	told  bool
+	// reported is set if the lag was passed to Store.Behind.
+	reported bool
 }
 
-// name takes in the newest version that another process has.
-func (l *lagState) name(version, held core.Version, now time.Time) {
+// observe records the newest version that another process holds.
+func (l *lagState) observe(version, held core.Version, now time.Time) {
 	l.newest = max(l.newest, version)
 	if l.since.IsZero() && l.newest > held {
-		l.named, l.since = l.newest, now
+		l.missing, l.since = l.newest, now
 	}
 }
 
-// noteLag reports a replica that has lacked a change for lagTime, and again when it has
-// caught up. The caller holds mu.
-func (s *Store) noteLag(kind core.Kind, k *kindState) {
+// updateLag reports a replica that has lacked a change for lagThreshold, and again when
+// the replica has caught up. The caller holds mu.
+func (s *Store) updateLag(kind core.Kind, k *kindState) {
 	l := &k.lag
 	if l.since.IsZero() {
 		return
 	}
-	now, held, told := s.Clock.Now(), k.Newest(), l.told
-	lag := Lag{Kind: kind, Held: held, Named: l.named, Since: l.since, Fresh: k.fresh, Over: held >= l.named}
+	now, held, wasReported := s.Clock.Now(), k.Newest(), l.reported
+	lag := Lag{Kind: kind, Held: held, Named: l.missing, Since: l.since, Fresh: k.freshAt, Over: held >= l.missing}
 	if lag.Over {
-		l.since, l.told = time.Time{}, false
-		l.name(l.newest, held, now)
+		l.since, l.reported = time.Time{}, false
+		l.observe(l.newest, held, now)
 	} else {
-		l.told = told || now.Sub(l.since) >= lagTime
+		l.reported = wasReported || now.Sub(l.since) >= lagThreshold
 	}
-	if s.Behind != nil && (lag.Over && told || l.told && !told) {
+	if s.Behind != nil && (lag.Over && wasReported || l.reported && !wasReported) {
 		s.Behind(lag)
 	}
 }
 
-// Lag returns for how long the replica of a kind has lacked a change that another
-// process named; zero where it lacks none.
+// Lag returns how long the replica of a kind has lacked a change that another process
+// reported; zero if it lacks none.
 func (s *Store) Lag(kind core.Kind) time.Duration {
 	s.init()
 	s.mu.Lock()
--- a/io/peer/large_test.go
+++ b/io/peer/large_test.go
@@ -18,7 +18,8 @@
 	"radishwell/io/objapi"
 )
 
-// largeDocument returns a document of about so many bytes that does not compress well.
+// largeDocument returns a document of about the given size in bytes that does not
+// compress well.
 func largeDocument(bytes int) []byte {
 	raw := make([]byte, bytes*3/4)
 	r := rand.New(rand.NewPCG(1, 2))
@@ -28,16 +29,16 @@
 	return []byte(`{"text":"` + base64.StdEncoding.EncodeToString(raw) + `"}`)
 }
 
-// remote is a process that the platform does not reach, behind a link of a limited rate, and
-// the calls of others that it made in vain.
-type remote struct {
+// remoteProcess is a process that the platform does not reach, behind a link of limited
+// bandwidth. failedCalls receives the errors of its calls to peers.
+type remoteProcess struct {
 	*process
-	cut chan error
+	failedCalls chan error
 }
 
-// startRemote starts a process that exchanges with all others of the fleet through one
-// link, of some bytes a second.
-func (f *fleet) startRemote(rate float64) *remote {
+// startRemoteProcess starts a process that exchanges with all others of the fleet over
+// one link with the given rate in bytes per second.
+func (f *fleet) startRemoteProcess(rate float64) *remoteProcess {
 	f.t.Helper()
 	link := &midbox.Link{Rate: rate}
 	var through []Target
@@ -48,39 +49,40 @@
 		box.Limit(midbox.Back, link)
 		through = append(through, Target{Host: p.Host, Address: box.At()})
 	}
-	r := &remote{cut: make(chan error, 64)}
+	r := &remoteProcess{failedCalls: make(chan error, 64)}
 	r.process = f.start(func(s *Store) {
 		s.Platform = &objapi.Client{Address: netip.MustParseAddrPort("127.0.0.1:9")}
 		s.Peers = func() []Target { return slices.Clone(through) }
 		s.Failed = func(err error) {
 			var failed *CallError
 			if errors.As(err, &failed) {
-				r.cut <- err
+				r.failedCalls <- err
 			}
 		}
 	})
 	return r
 }
 
-// mostCut is how many exchanges may fail before a change counts as never arriving.
-const mostCut = 4
+// maxFailedCalls is how many exchanges may fail before a test decides that the change
+// never arrives.
+const maxFailedCalls = 4
 
-// wait waits for a condition, for as long as few exchanges fail.
-func (r *remote) wait(what string, cond func() bool) {
+// wait waits for a condition. The test fails after maxFailedCalls failed exchanges.
+func (r *remoteProcess) wait(what string, cond func() bool) {
 	r.t.Helper()
 	failed := 0
 	for !cond() {
 		select {
 		case <-r.changed:
-		case err := <-r.cut:
+		case err := <-r.failedCalls:
 			failed++
-			assert.Assert(r.t, failed < mostCut, "%s: %v", what, err)
+			assert.Assert(r.t, failed < maxFailedCalls, "%s: %v", what, err)
 		}
 	}
 }
 
-// startLarge starts processes that hold an object of about so many bytes, and returns its
-// specification.
+// startLarge starts processes that hold an object of about the given size in bytes, and
+// returns its specification.
 func startLarge(t *testing.T, bytes, processes int) (*fleet, []byte) {
 	t.Helper()
 	large := model("qalam")
@@ -109,32 +111,34 @@
 	}
 }
 
-// Guards against an object that no exchange can carry within its deadline and that
-// therefore never arrives.
+// TestLargeObjectArrivesOverSlowLink: an object is so large that no exchange over the
+// link can carry it within its deadline. It must arrive nevertheless.
 func TestLargeObjectArrivesOverSlowLink(t *testing.T) {
 	f, spec := startLarge(t, 800<<10, 1)
-	far := f.startRemote(400 << 10)
+	far := f.startRemoteProcess(400 << 10)
 	far.wait("the object", far.has("qalam"))
 	got, _ := far.Get(core.KindModel, "qalam")
 	assert.Equal(t, string(got.Spec), string(spec))
 }
 
-// Guards against a process that has several others send it the same large object at once.
+// TestLargeObjectIsSentOnce: several peers offer a process the same large object. They
+// must not all send it.
 func TestLargeObjectIsSentOnce(t *testing.T) {
 	f, spec := startLarge(t, 800<<10, 8)
-	far := f.startRemote(4 << 20)
+	far := f.startRemoteProcess(4 << 20)
 	far.wait("the object", far.has("qalam"))
 	_, received := far.client.Traffic()
-	assert.Assert(t, received < int64(len(spec))*3/2, "received %d bytes of an object of %d", received, len(spec))
+	assert.Assert(t, received < int64(len(spec))*3/2, "received %d bytes for an object of %d", received, len(spec))
 }
 
-// Guards against a host that leaves, or another small change, being held up or lost
-// together with a large object.
+// TestSmallChangePassesLargeObject: a host leaves, or there is another small change,
+// while a large object is in transit. The small change must not be delayed or lost with
+// the large object.
 func TestSmallChangePassesLargeObject(t *testing.T) {
 	f := startFleet(t, &apisrv.Server{Seed: []core.Object{model("qalam"), grant("first")}})
 	near := f.start(nil)
 	near.until(func() bool { return near.has("qalam")() && near.hasGrant("first")() })
-	far := f.startRemote(400 << 10)
+	far := f.startRemoteProcess(400 << 10)
 	far.wait("what was there", func() bool { return far.has("qalam")() && far.hasGrant("first")() })
 
 	ctx := context.Background()
@@ -157,8 +161,8 @@
 	far.wait("the large object", holds(far.process))
 }
 
-// Guards against changes that are small but so many that no exchange can carry them, and
-// that therefore never arrive.
+// TestManyChangesArriveOverSlowLink: there are so many small changes that no exchange
+// over the link can carry them within its deadline. They must arrive nevertheless.
 func TestManyChangesArriveOverSlowLink(t *testing.T) {
 	const objects = 4000
 	text := largeDocument(objects * 256)
@@ -171,14 +175,15 @@
 	f := startFleet(t, &apisrv.Server{Seed: seed})
 	near := f.start(nil)
 	near.until(func() bool { return len(near.All(core.KindModel)) == objects })
-	far := f.startRemote(400 << 10)
+	far := f.startRemoteProcess(400 << 10)
 	far.wait("all objects", func() bool { return len(far.All(core.KindModel)) == objects })
 	assert.Assert(t, far.Status(core.KindModel).Through > 0)
 }
 
-// Guards against a part that takes longer than a call for it may, each time.
+// TestPartArrivesOverVerySlowLink: a part takes longer than hedgeDelay and than the
+// deadline of an exchange. The object must arrive nevertheless.
 func TestPartArrivesOverVerySlowLink(t *testing.T) {
 	f, _ := startLarge(t, 64<<10, 1)
-	far := f.startRemote(16 << 10)
+	far := f.startRemoteProcess(16 << 10)
 	far.wait("the object", far.has("qalam"))
 }
--- a/io/peer/pack.go
+++ b/io/peer/payload.go
@@ -18,46 +18,48 @@
 // Large payloads are omitted from exchanges, so that these stay short, and served to peers in
 // compressed parts.
 const (
-	// largeSpec is the size in bytes from which a specification is omitted, largeDelta the
-	// size from which all items of a delta are.
+	// largeSpec is the size in bytes from which a specification is omitted, and
+	// largeDelta the size from which all items of a delta are.
 	largeSpec  = 16 << 10
 	largeDelta = 64 << 10
 	// partSize bounds the compressed bytes in one answer.
 	partSize = 32 << 10
-	// maxPacked bounds the cached payloads. Peers may still be downloading older versions.
-	maxPacked = 8
-	// packedAge is how long a cached delta is offered to new downloads.
-	packedAge = 2 * time.Second
+	// maxCachedPayloads bounds the cached payloads. Peers may still be downloading older
+	// versions.
+	maxCachedPayloads = 8
+	// deltaCacheTTL is how long a cached delta is offered to new downloads.
+	deltaCacheTTL = 2 * time.Second
 )
 
-// packed is a cached payload.
-type packed struct {
+// payload is a cached payload.
+type payload struct {
 	once sync.Once
-	// build returns the payload before compression; nil once it is compressed.
+	// build returns the payload before compression; it is nil once the payload is
+	// compressed.
 	build func() []byte
 	// data is the compressed payload, sum its hash and size its size before compression.
 	data      []byte
 	size, sum uint64
-	// made is when it was cached, used when it was last served.
-	made, used time.Time
+	// created is when the payload was cached, lastUsed when it was last served.
+	created, lastUsed time.Time
 }
 
-func (p *packed) compress() {
+func (p *payload) compress() {
 	data := p.build()
 	p.size, p.build = uint64(len(data)), nil
 	var out bytes.Buffer
-	// The level is valid, and a buffer takes everything.
+	// No call fails: the level is valid, and writes to a bytes.Buffer succeed.
 	w, _ := flate.NewWriter(&out, flate.BestSpeed)
 	_, _ = w.Write(data)
 	_ = w.Close()
 	p.data, p.sum = out.Bytes(), xxhash.Sum64(out.Bytes())
 }
 
-// ServeFetch answers a peer's call for a part; it is the server's handler of Fetch.
+// ServeFetch answers a peer's request for a part. It is the handler of Fetch.
 func (s *Store) ServeFetch(call *wire.FetchCall) (*wire.FetchReply, error) {
 	s.init()
-	id := blobID{kind: core.Kind(call.GetKind()), name: call.GetName(), version: core.Version(call.GetVersion())}
-	p := s.pack(id, call.GetOffset() == 0)
+	id := payloadID{kind: core.Kind(call.GetKind()), name: call.GetName(), version: core.Version(call.GetVersion())}
+	p := s.payload(id, call.GetOffset() == 0)
 	if p == nil {
 		return &wire.FetchReply{}, nil
 	}
@@ -68,34 +70,34 @@
 	return &wire.FetchReply{Data: p.data[begin:end], Size: total, Sum: p.sum, Unpacked: p.size}, nil
 }
 
-// pack returns a payload from the cache or the replica; nil if neither holds it. An old
-// delta is rebuilt if the peer begins its download.
-func (s *Store) pack(id blobID, begins bool) *packed {
+// payload returns a payload from the cache or the replica; nil if neither holds it. A
+// delta older than deltaCacheTTL is rebuilt for the first part of a download.
+func (s *Store) payload(id payloadID, first bool) *payload {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
-	if p := s.packs[id]; p != nil && (id.name != "" || !begins || now.Sub(p.made) < packedAge) {
-		p.used = now
+	if p := s.payloads[id]; p != nil && (id.name != "" || !first || now.Sub(p.created) < deltaCacheTTL) {
+		p.lastUsed = now
 		return p
 	}
 	build := s.builder(id)
 	if build == nil {
 		return nil
 	}
-	if len(s.packs) >= maxPacked {
-		oldest := slices.MinFunc(slices.Collect(maps.Keys(s.packs)), func(a, b blobID) int {
-			return s.packs[a].used.Compare(s.packs[b].used)
+	if len(s.payloads) >= maxCachedPayloads {
+		oldest := slices.MinFunc(slices.Collect(maps.Keys(s.payloads)), func(a, b payloadID) int {
+			return s.payloads[a].lastUsed.Compare(s.payloads[b].lastUsed)
 		})
-		delete(s.packs, oldest)
+		delete(s.payloads, oldest)
 	}
-	p := &packed{build: build, made: now, used: now}
-	s.packs[id] = p
+	p := &payload{build: build, created: now, lastUsed: now}
+	s.payloads[id] = p
 	return p
 }
 
-// builder returns a function that returns a payload; nil if the replica does not hold it.
-// The caller holds mu.
-func (s *Store) builder(id blobID) func() []byte {
+// builder returns a function that returns a payload, or nil if the replica does not hold
+// it. The caller holds mu.
+func (s *Store) builder(id payloadID) func() []byte {
 	k := s.kinds[id.kind]
 	if k == nil {
 		return nil
--- a/io/peer/soft.go
+++ b/io/peer/soft.go
@@ -12,71 +12,77 @@
 
 // Kinds of marks.
 const (
+	// MarkLeaving is set for a host that is shutting down.
 	MarkLeaving = "leaving"
-	MarkSlow    = "slow"
-	// MarkLimited is the rate that an upstream names, or that it names none any more.
+	// MarkSlow is set for a host that is slow.
+	MarkSlow = "slow"
+	// MarkLimited carries the rate limit that an upstream names, or the end of such a
+	// limit.
 	MarkLimited = "limited"
 )
 
 const (
-	// maxMarks bounds the marks held; the largest wave of leaving hosts, a data
-	// centre of 213 with a few marks each, fits well.
+	// maxMarks bounds the marks held. The largest wave of leaving hosts, a data centre of
+	// 213 with a few marks each, is well below it.
 	maxMarks = 2048
-	// maxMarkAge bounds how far ahead a mark may expire, so that a process with
-	// a wrong clock can't keep a host out for ever.
+	// maxMarkAge bounds how far ahead a mark may expire, so that a process with a wrong
+	// clock cannot exclude a host for ever.
 	maxMarkAge = 15 * time.Minute
-	// extension is by how much a mark must be extended to be news.
-	extension = 10 * time.Second
-	// A message carries all marks that were news within youngTime, up to
-	// maxYoung, and maxOld of the others in turn, for those who missed them.
-	// With all marks in each message, a data centre of 213 hosts that leaves
-	// would cost each process some 68 KB a second for as long as they last.
-	youngTime = 5 * time.Second
-	maxYoung  = 64
-	maxOld    = 8
+	// minExtension is by how much the expiry of a mark must move for the mark to count as
+	// changed.
+	minExtension = 10 * time.Second
+	// A message carries the marks that changed within recentTime, up to maxRecentMarks,
+	// and in rotation up to maxRepeatedMarks of the others, for peers that missed them.
+	// With all marks in each message, a data centre of 213 hosts that leaves would cost
+	// each process some 68 KB a second for as long as the marks last.
+	recentTime       = 5 * time.Second
+	maxRecentMarks   = 64
+	maxRepeatedMarks = 8
 )
 
-// Mark is expiring soft state about a host. It only ever keeps work away from
-// a host, or ends that, and is lost without harm.
+// Mark is expiring soft state about a host. A mark only ever keeps work away from a host,
+// or ends that, so its loss is harmless.
 type Mark struct {
 	Host core.HostName
 	// Kind is MarkLeaving, MarkSlow or MarkLimited.
 	Kind string
-	// Incarnation is the life of the host's process that is meant.
+	// Incarnation identifies the run of the host's process to which the mark applies.
 	Incarnation core.Incarnation
 	// Expires is when the mark is forgotten.
 	Expires time.Time
-	// Rate is requests a second for MarkLimited, zero where the upstream names none.
+	// Rate is the limit in requests per second for MarkLimited; zero if the upstream
+	// names none.
 	Rate float64
 }
 
-// markID is what is joined by the latest expiry.
+// markID identifies a mark. Of marks with the same identity, the one that expires last
+// wins.
 type markID struct {
 	host        core.HostName
 	kind        string
 	incarnation core.Incarnation
 }
 
-// markValue is what marks of one identity differ in.
+// markValue holds the parts of a mark that are not its identity.
 type markValue struct {
 	expires time.Time
 	rate    float64
 }
 
-// softState holds the marks that are in force.
+// softState holds the marks in force. Store.mu guards it.
 type softState struct {
 	marks map[markID]markValue
-	// young are the marks that are still news, and until when.
-	young map[markID]time.Time
-	// turn counts the messages, to tell the other marks in turn.
-	turn int
+	// recent holds the marks that changed recently, and until when they count as recent.
+	recent map[markID]time.Time
+	// rotation counts the messages, which selects the other marks in rotation.
+	rotation int
 }
 
-// add joins marks and returns those that are news.
+// add joins marks and returns those that are new or changed.
 func (s *softState) add(marks []Mark, now time.Time) []Mark {
 	if s.marks == nil {
 		s.marks = map[markID]markValue{}
-		s.young = map[markID]time.Time{}
+		s.recent = map[markID]time.Time{}
 	}
 	var news []Mark
 	for _, m := range marks {
@@ -89,20 +95,20 @@
 			continue
 		}
 		s.marks[id] = markValue{expires: m.Expires, rate: m.Rate}
-		if !ok || m.Expires.Sub(held.expires) > extension || m.Rate != held.rate {
-			s.young[id] = now.Add(youngTime)
+		if !ok || m.Expires.Sub(held.expires) > minExtension || m.Rate != held.rate {
+			s.recent[id] = now.Add(recentTime)
 			news = append(news, m)
 		}
 	}
-	s.trim(now)
+	s.prune(now)
 	return news
 }
 
-// trim forgets expired marks and, beyond the bound, those that expire first.
-func (s *softState) trim(now time.Time) {
-	for id, until := range s.young {
+// prune removes expired marks and, beyond maxMarks, those that expire first.
+func (s *softState) prune(now time.Time) {
+	for id, until := range s.recent {
 		if !until.After(now) {
-			delete(s.young, id)
+			delete(s.recent, id)
 		}
 	}
 	for id, v := range s.marks {
@@ -113,51 +119,52 @@
 	if len(s.marks) <= maxMarks {
 		return
 	}
-	all := s.list(now)
-	slices.SortStableFunc(all, func(a, b Mark) int { return a.Expires.Compare(b.Expires) })
-	for _, m := range all[:len(all)-maxMarks] {
+	marks := s.list(now)
+	slices.SortStableFunc(marks, func(a, b Mark) int { return a.Expires.Compare(b.Expires) })
+	for _, m := range marks[:len(marks)-maxMarks] {
 		delete(s.marks, markID{m.Host, m.Kind, m.Incarnation})
 	}
 }
 
 // list returns the marks in force in a fixed order.
 func (s *softState) list(now time.Time) []Mark {
-	var all []Mark
+	var marks []Mark
 	for id, v := range s.marks {
 		if v.expires.After(now) {
-			all = append(all, Mark{Host: id.host, Kind: id.kind, Incarnation: id.incarnation, Expires: v.expires, Rate: v.rate})
+			marks = append(marks, Mark{Host: id.host, Kind: id.kind, Incarnation: id.incarnation, Expires: v.expires, Rate: v.rate})
 		}
 	}
-	slices.SortFunc(all, func(a, b Mark) int {
+	slices.SortFunc(marks, func(a, b Mark) int {
 		return cmp.Or(
 			cmp.Compare(a.Host, b.Host),
 			cmp.Compare(a.Kind, b.Kind),
 			cmp.Compare(a.Incarnation, b.Incarnation),
 		)
 	})
-	return all
+	return marks
 }
 
-// tell returns the marks to put into the next message.
-func (s *softState) tell(now time.Time) []Mark {
-	var young, old []Mark
+// nextMarks returns the marks to put into the next message.
+func (s *softState) nextMarks(now time.Time) []Mark {
+	var out, others []Mark
 	for _, m := range s.list(now) {
-		if s.young[markID{m.Host, m.Kind, m.Incarnation}].After(now) && len(young) < maxYoung {
-			young = append(young, m)
+		if s.recent[markID{m.Host, m.Kind, m.Incarnation}].After(now) && len(out) < maxRecentMarks {
+			out = append(out, m)
 		} else {
-			old = append(old, m)
+			others = append(others, m)
 		}
 	}
-	for i := range min(maxOld, len(old)) {
-		young = append(young, old[(s.turn*maxOld+i)%len(old)])
+	for i := range min(maxRepeatedMarks, len(others)) {
+		out = append(out, others[(s.rotation*maxRepeatedMarks+i)%len(others)])
 	}
-	s.turn++
-	return young
+	s.rotation++
+	return out
 }
 
+// wire returns the next message's marks in their wire form.
 func (s *softState) wire(now time.Time) []*wire.Mark {
 	var out []*wire.Mark
-	for _, m := range s.tell(now) {
+	for _, m := range s.nextMarks(now) {
 		out = append(out, &wire.Mark{
 			Host:        string(m.Host),
 			Kind:        m.Kind,
@@ -169,7 +176,7 @@
 	return out
 }
 
-// Mark spreads a mark over the fleet.
+// Mark sets a mark and spreads it over the fleet.
 func (s *Store) Mark(m Mark) {
 	s.init()
 	s.addMarks([]Mark{m})
@@ -183,13 +190,15 @@
 	return s.soft.list(s.Clock.Now())
 }
 
-// Kick makes the next exchange with peers come at once. It is called when
-// there are new strikes to tell.
+// Kick starts the next exchange with peers at once. It is called when there are new
+// strikes to send.
 func (s *Store) Kick() {
 	s.init()
-	loop.Poke(s.kick)
+	loop.Poke(s.syncWake)
 }
 
+// addMarks joins marks. If any of them is new or changed, it starts the next exchange and
+// calls Marked.
 func (s *Store) addMarks(marks []Mark) {
 	s.mu.Lock()
 	news := s.soft.add(marks, s.Clock.Now())
@@ -197,18 +206,18 @@
 	if len(news) == 0 {
 		return
 	}
-	loop.Poke(s.kick)
+	loop.Poke(s.syncWake)
 	if s.Marked != nil {
 		s.Marked(news)
 	}
 }
 
-// takeSoft takes in a peer's marks and strikes.
-func (s *Store) takeSoft(marks []*wire.Mark, strikes []*wire.Strike) {
+// joinSoft joins a peer's marks and strikes.
+func (s *Store) joinSoft(marks []*wire.Mark, strikes []*wire.Strike) {
 	if len(marks) > 0 {
-		list := make([]Mark, 0, len(marks))
+		in := make([]Mark, 0, len(marks))
 		for _, m := range marks {
-			list = append(list, Mark{
+			in = append(in, Mark{
 				Host:        core.HostName(m.GetHost()),
 				Kind:        m.GetKind(),
 				Incarnation: core.Incarnation(m.GetIncarnation()),
@@ -216,9 +225,9 @@
 				Rate:        m.GetRate(),
 			})
 		}
-		s.addMarks(list)
+		s.addMarks(in)
 	}
 	if len(strikes) > 0 && s.Struck != nil && s.Struck(strikes) {
-		loop.Poke(s.kick)
+		loop.Poke(s.syncWake)
 	}
 }
--- a/io/peer/store.go
+++ b/io/peer/store.go
@@ -13,56 +13,57 @@
 	"radishwell/wire"
 )
 
-// Store holds the replicas of a process's kinds and keeps them up to date from
-// the platform and from peers. Its exported fields are set before first use;
-// its methods may be called from several goroutines.
+// Store holds the replicas of the kinds of objects that a process uses, and keeps them up
+// to date from the platform and from peers. It also spreads marks and strikes. Its
+// exported fields must be set before first use; its methods may be called from several
+// goroutines.
 type Store struct {
-	// Self is this process as peers reach it.
+	// Self is this process as its peers reach it.
 	Self Target
-	// Kinds are the kinds replicated.
+	// Kinds are the replicated kinds.
 	Kinds []core.Kind
-	// Confirm are the kinds that this process lists from the platform itself as
-	// soon as it can, whatever peers have sent. Agents name grants here. Other
-	// kinds are listed only if peers do not bring them.
+	// Confirm are the kinds that this process itself lists from the platform as soon as
+	// it can, even if peers have sent them. Agents name grants here. Other kinds are
+	// listed only if peers do not send them.
 	Confirm  []core.Kind
 	Platform core.Platform
 	Client   *Client
-	// Clock is the time by which ages count; the real one where nil.
+	// Clock is the clock for ages; nil means the system clock.
 	Clock core.Clock
-	// Peers returns the other processes known at present. It is called about
-	// once a second and must not call back into the Store's Run.
+	// Peers returns the other processes known at present. Run calls it about once a
+	// second; it must not call Run.
 	Peers func() []Target
-	// Near, if set, tells whether a peer is in this process's data centre. Most exchanges
-	// are with these: what is exchanged between data centres is paid for.
+	// Near, if set, reports whether a peer is in this process's data centre. Most
+	// exchanges are with such peers, because traffic between data centres is charged for.
 	Near func(Target) bool
-	// Watchers is how many processes watch each kind; zero stands for
+	// Watchers is the number of processes that watch each kind; zero means
 	// defaultWatchers.
 	Watchers int
-	// MaxRetry bounds the pause after a failed read of the platform; zero stands
-	// for maxRetry.
+	// MaxRetry bounds the delay after a failed read of the platform; zero means maxRetry.
 	MaxRetry time.Duration
 	// Seed seeds the choice of peers and all jitter.
 	Seed uint64
 
-	// Changed is told of the latest state of objects that changed, deletions
-	// included, from one goroutine. Changes of one object that follow each
-	// other closely are told once.
+	// Changed, if set, is called with the latest state of objects that changed, including
+	// deletions. All calls come from one goroutine. Changes of one object in quick
+	// succession may be combined.
 	Changed func([]core.Object)
-	// Marked is told of marks that are new or were extended by much, from
-	// several goroutines.
+	// Marked, if set, is called with marks that are new or changed, from several
+	// goroutines.
 	Marked func([]Mark)
-	// Strikes returns the strikes to tell peers; Struck takes in those of
-	// peers and tells whether any of them was news. Both are called from
+	// Strikes returns the strikes to send to peers. Struck is called with the strikes of
+	// a peer and reports whether any of them was new. Both may be nil and are called from
 	// several goroutines.
 	Strikes func() []*wire.Strike
 	Struck  func([]*wire.Strike) bool
-	// Reached, if set, is told of each answer of the platform itself.
+	// Reached, if set, is called for each answer of the platform to this process.
 	Reached func()
-	// Failed, if set, is told of each failed call: a PlatformError or an error
-	// of Client.
+	// Failed, if set, is called for each failed call with a PlatformError or an error of
+	// Client, and for each payload that arrived corrupt with a CorruptError.
 	Failed func(error)
-	// Behind, if set, is told of each replica that has lacked a change for lagTime, and
-	// again, with a Lag that is over, when it has the change. It must not call back.
+	// Behind, if set, is called for each replica that has lacked a change for
+	// lagThreshold, and again, with Lag.Over set, once the replica has the change. It
+	// must not call back into the Store.
 	Behind func(Lag)
 
 	once  sync.Once
@@ -71,31 +72,33 @@
 	dirty map[core.Kind]map[string]bool
 	soft  softState
 	peers peerView
-	// booted is closed when the first exchange with peers is over.
-	booted chan struct{}
-	// notify, kick and pull wake the goroutines of Run.
-	notify chan struct{}
-	kick   chan struct{}
-	pull   chan Target
-	// downloads are the payloads in transit; fetch wakes the goroutine that downloads them.
-	downloads map[blobID]*download
-	fetch     chan struct{}
+	// firstSync is closed when the first exchange with peers is over.
+	firstSync chan struct{}
+	// changeWake and syncWake wake the goroutines of Run that report changes and exchange
+	// with peers. pulls queues peers to exchange with in the next round.
+	changeWake chan struct{}
+	syncWake   chan struct{}
+	pulls      chan Target
+	// downloads are the payloads in transit; downloadWake wakes the goroutine that
+	// downloads them.
+	downloads    map[payloadID]*download
+	downloadWake chan struct{}
 	// packs caches payloads served to peers.
-	packs map[blobID]*packed
+	payloads map[payloadID]*payload
 }
 
-// kindState is the replica of one kind and what is known of its age.
+// kindState is the replica of one kind with its age.
 type kindState struct {
 	replic.Replica
-	// confirmed tells that the platform itself has listed the kind since start.
+	// confirmed is set once the platform itself has listed the kind to this process.
 	confirmed bool
-	// fresh is when the platform said last, to this process or to a peer, that
-	// there was nothing beyond what the replica has.
-	fresh time.Time
-	// patience is how old fresh may be before this process watches the kind
-	// though it is not among the kind's watchers.
-	patience time.Duration
-	lag      lagState
+	// freshAt is when the platform last confirmed, to this process or to a peer, that the
+	// replica lacked nothing.
+	freshAt time.Time
+	// fallbackDelay is the age of freshAt beyond which this process watches the kind
+	// although it is not one of its watchers.
+	fallbackDelay time.Duration
+	lag           lagState
 }
 
 type realClock struct{}
@@ -117,25 +120,25 @@
 	}
 	s.kinds = map[core.Kind]*kindState{}
 	s.dirty = map[core.Kind]map[string]bool{}
-	s.booted = make(chan struct{})
-	s.notify = make(chan struct{}, 1)
-	s.kick = make(chan struct{}, 1)
-	s.pull = make(chan Target, maxPulls)
-	s.fetch = make(chan struct{}, 1)
-	s.downloads, s.packs = map[blobID]*download{}, map[blobID]*packed{}
+	s.firstSync = make(chan struct{})
+	s.changeWake = make(chan struct{}, 1)
+	s.syncWake = make(chan struct{}, 1)
+	s.pulls = make(chan Target, maxQueuedPulls)
+	s.downloadWake = make(chan struct{}, 1)
+	s.downloads, s.payloads = map[payloadID]*download{}, map[payloadID]*payload{}
 	r := s.rand(0)
 	s.peers = peerView{rand: r, near: s.Near}
 	for _, kind := range s.Kinds {
-		s.kinds[kind] = &kindState{patience: patience + time.Duration(r.Int64N(int64(patience)))}
+		s.kinds[kind] = &kindState{fallbackDelay: fallbackDelay + time.Duration(r.Int64N(int64(fallbackDelay)))}
 	}
 }
 
-// rand returns a source of its own for one goroutine.
+// rand returns a random source for the exclusive use of one goroutine.
 func (s *Store) rand(goroutine uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(s.Seed, goroutine))
 }
 
-// Run keeps the replicas up to date until ctx ends, then returns nil.
+// Run keeps the replicas up to date until ctx ends, and then returns nil.
 func (s *Store) Run(ctx context.Context) error {
 	s.init()
 	ctx, cancel := context.WithCancel(ctx)
@@ -143,11 +146,11 @@
 	ended := make(chan error)
 	running := 3
 	go func() { ended <- s.runNotify(ctx) }()
-	go func() { ended <- s.runFetch(ctx) }()
+	go func() { ended <- s.runDownloads(ctx) }()
 	go func() { ended <- s.runSync(ctx) }()
 	for i, kind := range s.Kinds {
 		running++
-		go func() { ended <- s.runFeed(ctx, kind, s.rand(uint64(i)+2)) }()
+		go func() { ended <- s.runReflector(ctx, kind, s.rand(uint64(i)+2)) }()
 	}
 	var failed error
 	for range running {
@@ -159,7 +162,7 @@
 	return failed
 }
 
-// Get returns an object; false where there is none.
+// Get returns an object, or false if there is none.
 func (s *Store) Get(kind core.Kind, name string) (core.Object, bool) {
 	s.init()
 	s.mu.Lock()
@@ -171,7 +174,7 @@
 	return k.Get(name)
 }
 
-// All returns all objects of a kind in the order of their names.
+// All returns all objects of a kind, sorted by name.
 func (s *Store) All(kind core.Kind) []core.Object {
 	s.init()
 	s.mu.Lock()
@@ -183,22 +186,22 @@
 	return k.All()
 }
 
-// Status is what is known of a kind's replica.
+// Status describes the replica of a kind.
 type Status struct {
-	// Through is the version up to which nothing is missing; zero means that
-	// neither the platform nor a peer has sent the kind yet.
+	// Through is the version up to which no change is missing; zero if neither the
+	// platform nor a peer has sent the kind yet.
 	Through core.Version
-	// Objects counts the objects held.
+	// Objects is the number of objects held.
 	Objects int
-	// Confirmed tells that the platform itself has listed the kind to this
-	// process since it started.
+	// Confirmed is set if the platform itself has listed the kind to this process since
+	// it started.
 	Confirmed bool
-	// Fresh is when the platform said last, to any process that this one heard
-	// of, that there was nothing newer; zero if it never did.
+	// Fresh is when the platform last confirmed, to this process or to a peer, that there
+	// was no newer change; zero if it never did.
 	Fresh time.Time
 }
 
-// Status returns what is known of a kind's replica.
+// Status describes the replica of a kind.
 func (s *Store) Status(kind core.Kind) Status {
 	s.init()
 	s.mu.Lock()
@@ -207,17 +210,16 @@
 	if k == nil {
 		return Status{}
 	}
-	return Status{Through: k.Through(), Objects: k.Len(), Confirmed: k.confirmed, Fresh: k.fresh}
+	return Status{Through: k.Through(), Objects: k.Len(), Confirmed: k.confirmed, Fresh: k.freshAt}
 }
 
-// Confirmed tells whether the platform itself has listed a kind to this
-// process since it started. A peer's copy of a grant may be older than what
-// the process released before it was restarted, so an agent loads nothing
-// before the grants are confirmed.
+// Confirmed reports whether the platform itself has listed a kind to this process since
+// it started. A peer's copy of a grant may predate a release by this process before its
+// restart, so an agent loads nothing before the grants are confirmed.
 func (s *Store) Confirmed(kind core.Kind) bool { return s.Status(kind).Confirmed }
 
-// Learn takes in objects that the platform has just returned to this process,
-// such as the answer to a write of its own.
+// Learn joins objects that the platform has just returned to this process, such as the
+// result of a write.
 func (s *Store) Learn(objects ...core.Object) {
 	s.init()
 	for _, o := range objects {
@@ -226,7 +228,7 @@
 	}
 }
 
-// join takes in a delta of a kind and tells whether any object changed.
+// join joins a delta of a kind and reports whether any object changed.
 func (s *Store) join(kind core.Kind, d replic.Delta) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,9 +236,9 @@
 	if k == nil {
 		return false
 	}
-	notes := k.Join(d)
-	s.noteLag(kind, k)
-	if len(notes) == 0 {
+	changed := k.Join(d)
+	s.updateLag(kind, k)
+	if len(changed) == 0 {
 		return false
 	}
 	names := s.dirty[kind]
@@ -244,22 +246,22 @@
 		names = map[string]bool{}
 		s.dirty[kind] = names
 	}
-	for _, o := range notes {
+	for _, o := range changed {
 		names[o.Name] = true
 	}
-	loop.Poke(s.notify)
-	loop.Poke(s.kick)
+	loop.Poke(s.changeWake)
+	loop.Poke(s.syncWake)
 	return true
 }
 
-// runNotify tells Changed what changed. The joins never wait for it: changes
-// gather by name, so that what waits is bounded by the number of objects.
+// runNotify passes changes to Changed. Joins never wait for it: pending changes are kept
+// by name, so their number is bounded by that of the objects.
 func (s *Store) runNotify(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.notify:
+		case <-s.changeWake:
 		}
 		if objects := s.takeDirty(); len(objects) > 0 && s.Changed != nil {
 			s.Changed(objects)
@@ -267,7 +269,8 @@
 	}
 }
 
-// takeDirty returns the present state of all objects that changed.
+// takeDirty returns the current state of all objects that have changed since the last
+// call.
 func (s *Store) takeDirty() []core.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -280,15 +283,15 @@
 		slices.Sort(names)
 		delete(s.dirty, kind)
 		for _, name := range names {
-			objects = append(objects, s.present(kind, name))
+			objects = append(objects, s.latest(kind, name))
 		}
 	}
 	return objects
 }
 
-// present returns an object or what stands for its deletion. The caller holds
-// mu.
-func (s *Store) present(kind core.Kind, name string) core.Object {
+// latest returns the current state of an object, or a tombstone if the object is unknown.
+// The caller holds mu.
+func (s *Store) latest(kind core.Kind, name string) core.Object {
 	k := s.kinds[kind]
 	if o, ok := k.Get(name); ok || o.Deleted {
 		return o
--- a/io/peer/store_test.go
+++ b/io/peer/store_test.go
@@ -22,16 +22,16 @@
 	"radishwell/wire"
 )
 
-// fleet is some processes with a platform, all on loopback.
+// fleet is a platform and some processes, all on the loopback interface.
 type fleet struct {
-	t     testing.TB
-	srv   *apisrv.Server
-	addr  netip.AddrPort
-	mu    sync.Mutex
-	known []Target
+	t       testing.TB
+	srv     *apisrv.Server
+	addr    netip.AddrPort
+	mu      sync.Mutex
+	targets []Target
 }
 
-// process is one process's store with its client and server.
+// process is the store, client and server of one process.
 type process struct {
 	t testing.TB
 	*Store
@@ -54,14 +54,14 @@
 func (f *fleet) peers() []Target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.known)
+	return slices.Clone(f.targets)
 }
 
-// start starts a process; edit, if not nil, changes its store before.
+// start starts a process after edit, unless it is nil, has changed its store.
 func (f *fleet) start(edit func(*Store)) *process {
 	f.t.Helper()
 	f.mu.Lock()
-	n := len(f.known)
+	n := len(f.targets)
 	f.mu.Unlock()
 	p := &process{t: f.t, client: &Client{}, changed: make(chan struct{}, 1)}
 	p.Store = &Store{
@@ -80,7 +80,7 @@
 	assert.NilError(f.t, p.server.Listen())
 	p.Self.Address = p.server.Address
 	f.mu.Lock()
-	f.known = append(f.known, p.Self)
+	f.targets = append(f.targets, p.Self)
 	f.mu.Unlock()
 	p.run(f.t)
 	return p
@@ -103,15 +103,15 @@
 	t.Cleanup(p.stop)
 }
 
-// until waits for changes until the condition holds; the test's own deadline
-// ends a wait in vain.
+// until waits until a condition holds after some change. There is no timeout other than
+// that of the test run.
 func (p *process) until(cond func() bool) {
 	for !cond() {
 		<-p.changed
 	}
 }
 
-// spin waits for a condition that no channel tells of.
+// spin polls a condition of which no channel notifies.
 func spin(cond func() bool) {
 	for !cond() {
 		runtime.Gosched()
@@ -129,14 +129,13 @@
 	return core.Object{Kind: core.KindModel, Name: name, Spec: []byte(`{}`)}
 }
 
-// TestBootInOutage: the platform goes down in the evening. An entry host is
-// replaced, and a treasurer's request arrives at the new one. It must know the
-// catalogue within seconds, from its peers. An agent started likewise must not
-// take peers' word for its grants, until the platform is back.
+// TestBootInOutage: an entry host is replaced while the platform is down. The new process
+// must get the catalogue from its peers within seconds. An agent started at the same time
+// must not rely on its peers' copies of its grants until the platform is back.
 func TestBootInOutage(t *testing.T) {
 	f := startFleet(t, &apisrv.Server{Seed: []core.Object{model("qalam"), {Kind: core.KindGrant, Name: "qalam"}}})
-	old := f.start(nil)
-	old.until(func() bool { return old.has("qalam")() && len(old.All(core.KindGrant)) == 1 })
+	existing := f.start(nil)
+	existing.until(func() bool { return existing.has("qalam")() && len(existing.All(core.KindGrant)) == 1 })
 	f.srv.SetFaults(apisrv.Faults{Down: apisrv.Failing})
 
 	agent := f.start(func(s *Store) { s.Confirm = []core.Kind{core.KindGrant} })
@@ -146,11 +145,11 @@
 
 	f.srv.SetFaults(apisrv.Faults{})
 	spin(func() bool { return agent.Confirmed(core.KindGrant) })
-	assert.Assert(t, !agent.Confirmed(core.KindModel), "it had no need to list the models")
+	assert.Assert(t, !agent.Confirmed(core.KindModel), "the models were listed although peers had sent them")
 }
 
-// TestChangesReachAll: one process of four watches the models; edits,
-// deletions and re-creations must reach the others through it.
+// TestChangesReachAll: one process of four watches the models. Edits, deletions and
+// re-creations must reach the others through it.
 func TestChangesReachAll(t *testing.T) {
 	f := startFleet(t, &apisrv.Server{})
 	var all []*process
@@ -181,22 +180,22 @@
 	spin(func() bool { return countWatchers(all) == 1 })
 }
 
-// countWatchers counts those that think themselves watchers of the models. It
-// is one as soon as all have asked for their peers again.
+// countWatchers counts the processes that take themselves for watchers of the models. The
+// count is one once all processes have updated their lists of peers.
 func countWatchers(all []*process) int {
 	n := 0
 	for _, p := range all {
-		f := &feed{Store: p.Store, kind: core.KindModel}
-		if f.watcher() {
+		r := &reflector{Store: p.Store, kind: core.KindModel}
+		if r.isWatcher() {
 			n++
 		}
 	}
 	return n
 }
 
-// TestRelistAfterGone: an entry's watch is stalled for so long that the
-// platform drops the history it would need. A model deleted meanwhile must
-// disappear, though no event of it arrives.
+// TestRelistAfterGone: a watch stalls for so long that the platform drops the history
+// needed to resume it. A model deleted in the meantime must disappear although no event
+// for it arrives.
 func TestRelistAfterGone(t *testing.T) {
 	f := startFleet(t, &apisrv.Server{Seed: []core.Object{model("qalam")}})
 	p := f.start(func(s *Store) {
@@ -214,9 +213,9 @@
 	p.until(func() bool { return !p.has("qalam")() && p.has("sijill")() })
 }
 
-// TestListDuringStall: the platform's watches stand still while it answers all
-// else. An operator's edit came into force only once they moved again. Now a
-// watch that went silent is followed by a list, and each further one too.
+// TestListDuringStall: the platform's watches stall while it answers all other calls. An
+// edit used to take effect only once the watches recovered. A watch that ends silently
+// must be followed by a list, and so must each further one.
 func TestListDuringStall(t *testing.T) {
 	f := startFleet(t, &apisrv.Server{Seed: []core.Object{model("qalam")}})
 	p := f.start(func(s *Store) {
@@ -233,17 +232,17 @@
 	}
 }
 
-// TestMarksSpread: an agent is about to stop and says so to the entry it
-// happens to exchange with. All others must hear of it, in an outage too.
+// TestMarksSpread: an agent sets a mark that it is leaving. The mark must reach all
+// processes, even during an outage of the platform.
 func TestMarksSpread(t *testing.T) {
 	f := startFleet(t, &apisrv.Server{})
 	f.srv.SetFaults(apisrv.Faults{Down: apisrv.Failing})
-	heard := make(chan Mark, 16)
+	received := make(chan Mark, 16)
 	for range 4 {
 		f.start(func(s *Store) {
 			s.Marked = func(marks []Mark) {
 				for _, m := range marks {
-					heard <- m
+					received <- m
 				}
 			}
 		})
@@ -252,7 +251,7 @@
 	m := Mark{Host: "qalam-1", Kind: MarkLeaving, Incarnation: 7, Expires: time.Now().Add(time.Minute).Truncate(0)}
 	agent.Mark(m)
 	for range 4 {
-		got := <-heard
+		got := <-received
 		assert.Equal(t, got.Host, m.Host)
 		assert.Equal(t, got.Incarnation, m.Incarnation)
 		assert.Assert(t, got.Expires.Equal(m.Expires))
@@ -261,14 +260,14 @@
 
 func TestStrikesSpread(t *testing.T) {
 	f := startFleet(t, &apisrv.Server{})
-	var heard atomic.Bool
+	var received atomic.Bool
 	f.start(func(s *Store) {
 		s.Struck = func(strikes []*wire.Strike) bool {
-			return !heard.Swap(strikes[0].GetFingerprint() == 42)
+			return !received.Swap(strikes[0].GetFingerprint() == 42)
 		}
 	})
 	f.start(func(s *Store) {
 		s.Strikes = func() []*wire.Strike { return []*wire.Strike{{Fingerprint: 42}} }
 	})
-	spin(heard.Load)
+	spin(received.Load)
 }
--- a/io/peer/sync.go
+++ b/io/peer/sync.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	// syncPeriod and syncPeers: each process exchanges digests with two peers
-	// a second. A change reaches all by that alone within some seconds.
+	// Each process exchanges digests with syncPeers peers every syncPeriod. This alone
+	// brings a change to all processes within a few seconds.
 	syncPeriod = time.Second
 	syncPeers  = 2
-	// kickGap is the least time between two exchanges, when news make a process
-	// exchange sooner. A change or mark crosses the fleet in one hop each gap.
-	kickGap     = 200 * time.Millisecond
+	// minSyncGap is the least time between two exchanges that a process starts early
+	// because it has news. A change or mark crosses the fleet at one hop per gap.
+	minSyncGap  = 200 * time.Millisecond
 	syncTimeout = time.Second
-	// maxPulls bounds the peers waiting to be asked for their news.
-	maxPulls = 8
-	// maxSync bounds the objects in one answer; more come with the next one.
-	maxSync = 8 << 20
-	// unknownAge is the age sent where the platform never said anything.
+	// maxQueuedPulls bounds the queue of peers that have newer objects.
+	maxQueuedPulls = 8
+	// maxReplySize bounds the size in bytes of the objects in one reply; the rest follows
+	// in later exchanges.
+	maxReplySize = 8 << 20
+	// unknownAge is the age sent if the platform has never confirmed the replica.
 	unknownAge = -1
 )
 
-// runSync exchanges with peers every syncPeriod, and sooner when there is news.
-// The first exchange comes at once.
+// runSync exchanges with peers every syncPeriod, or sooner if there is news. The first
+// exchange starts at once.
 func (s *Store) runSync(ctx context.Context) error {
 	r := s.rand(1)
-	s.round(ctx, s.chooseTargets())
-	boot, stop := context.WithTimeout(ctx, bootFetch)
-	s.fetchAll(boot)
+	s.syncRound(ctx, s.chooseTargets())
+	fetchCtx, stop := context.WithTimeout(ctx, firstFetchTimeout)
+	s.downloadAll(fetchCtx)
 	stop()
-	close(s.booted)
-	for s.waitNews(ctx, jitter(r, syncPeriod)) {
-		s.round(ctx, s.chooseTargets())
+	close(s.firstSync)
+	for s.waitNextRound(ctx, jitter(r, syncPeriod)) {
+		s.syncRound(ctx, s.chooseTargets())
 	}
 	return nil
 }
 
-// waitNews waits for the given time, or only for kickGap if there is news. It
-// is false when ctx has ended.
-func (s *Store) waitNews(ctx context.Context, d time.Duration) bool {
-	pause(ctx, kickGap)
-	timer := time.NewTimer(d - kickGap)
+// waitNextRound waits for d, or only for minSyncGap if there is news. It reports false if
+// ctx has ended.
+func (s *Store) waitNextRound(ctx context.Context, d time.Duration) bool {
+	sleep(ctx, minSyncGap)
+	timer := time.NewTimer(d - minSyncGap)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-s.kick:
-	case p := <-s.pull:
-		s.requeue(p)
+	case <-s.syncWake:
+	case p := <-s.pulls:
+		s.queuePull(p)
 	}
 	return ctx.Err() == nil
 }
 
-// requeue puts back a peer to pull from; a full queue drops it, and the peer's
-// news come with a later exchange.
-func (s *Store) requeue(p Target) {
+// queuePull queues a peer that has newer objects for the next round. If the queue is
+// full, the peer is dropped, and its news arrives with a later exchange.
+func (s *Store) queuePull(p Target) {
 	select {
-	case s.pull <- p:
+	case s.pulls <- p:
 	default:
 	}
 }
 
-// chooseTargets returns the peers of one round: those known to have news, and
-// a random few.
+// chooseTargets returns the peers for one round: the queued ones and a few at random.
 func (s *Store) chooseTargets() []Target {
 	var known []Target
 	if s.Peers != nil {
@@ -81,7 +81,7 @@
 	targets := s.peers.pick(syncPeers)
 	for {
 		select {
-		case p := <-s.pull:
+		case p := <-s.pulls:
 			if !slices.Contains(targets, p) {
 				targets = append(targets, p)
 			}
@@ -91,8 +91,8 @@
 	}
 }
 
-// round exchanges with some peers at the same time.
-func (s *Store) round(ctx context.Context, targets []Target) {
+// syncRound exchanges with some peers concurrently.
+func (s *Store) syncRound(ctx context.Context, targets []Target) {
 	ended := make(chan struct{})
 	for _, p := range targets {
 		go func() {
@@ -108,7 +108,7 @@
 func (s *Store) exchange(ctx context.Context, p Target) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	reply, err := s.Client.Sync(ctx, p, s.offer())
+	reply, err := s.Client.Sync(ctx, p, s.syncCall())
 	if err != nil {
 		s.mu.Lock()
 		s.peers.drop(p)
@@ -119,14 +119,15 @@
 		return
 	}
 	for _, d := range reply.GetDeltas() {
-		s.takeDelta(p, d)
+		s.joinWireDelta(p, d)
 	}
-	s.refresh(reply.GetThrough())
-	s.takeSoft(reply.GetMarks(), reply.GetStrikes())
+	s.joinDigest(reply.GetThrough())
+	s.joinSoft(reply.GetMarks(), reply.GetStrikes())
 }
 
-// offer is what this process has, as sent to a peer.
-func (s *Store) offer() *wire.SyncCall {
+// syncCall returns the call that sends this process's digest, marks and strikes to a
+// peer.
+func (s *Store) syncCall() *wire.SyncCall {
 	strikes := s.strikes()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +147,7 @@
 	return s.Strikes()
 }
 
-// digest says how far each replica is. The caller holds mu.
+// digest returns the version and age of each replica. The caller holds mu.
 func (s *Store) digest() []*wire.Through {
 	now := s.Clock.Now()
 	digest := make([]*wire.Through, 0, len(s.Kinds))
@@ -158,21 +159,22 @@
 			Newest:  uint64(k.Newest()),
 			Age:     unknownAge,
 		}
-		if !k.fresh.IsZero() {
-			t.Age = int64(max(0, now.Sub(k.fresh)).Truncate(ageStep))
+		if !k.freshAt.IsZero() {
+			t.Age = int64(max(0, now.Sub(k.freshAt)).Truncate(ageStep))
 		}
 		digest = append(digest, t)
 	}
 	return digest
 }
 
-// ageStep rounds ages, which then take fewer bytes.
+// ageStep is the unit to which ages are rounded down, because round ages take fewer
+// bytes.
 const ageStep = 100 * time.Millisecond
 
-// refresh learns from a peer's digest how old this process's replicas are: what
-// the platform said to the peer holds here as well, if nothing is missing here
-// of what the peer has.
-func (s *Store) refresh(digest []*wire.Through) {
+// joinDigest updates the lag and age of this process's replicas from a peer's digest. If
+// the replica here lacks nothing that the peer's has, the platform's confirmation to the
+// peer holds for it, too.
+func (s *Store) joinDigest(digest []*wire.Through) {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,25 +183,24 @@
 		if k == nil {
 			continue
 		}
-		k.lag.name(core.Version(t.GetNewest()), k.Newest(), now)
-		s.noteLag(core.Kind(t.GetKind()), k)
+		k.lag.observe(core.Version(t.GetNewest()), k.Newest(), now)
+		s.updateLag(core.Kind(t.GetKind()), k)
 		if t.GetAge() < 0 || uint64(k.Through()) < t.GetVersion() {
 			continue
 		}
-		if at := now.Add(-time.Duration(t.GetAge())); at.After(k.fresh) {
-			k.fresh = at
+		if at := now.Add(-time.Duration(t.GetAge())); at.After(k.freshAt) {
+			k.freshAt = at
 		}
 	}
 }
 
-// Serve answers a peer's call; it is the server's handler of Sync. The caller
-// gets what it lacks. Where the caller has newer objects, they are pulled from
-// it at once rather than with the next exchange.
+// Serve answers a peer's exchange with the changes that the peer lacks. It is the handler
+// of Sync. If the peer has newer objects, an exchange with it follows at once.
 func (s *Store) Serve(call *wire.SyncCall) (*wire.SyncReply, error) {
 	s.init()
-	s.takeSoft(call.GetMarks(), call.GetStrikes())
+	s.joinSoft(call.GetMarks(), call.GetStrikes())
 	strikes := s.strikes()
-	s.refresh(call.GetThrough())
+	s.joinDigest(call.GetThrough())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := &wire.SyncReply{
@@ -207,33 +208,34 @@
 		Marks:   s.soft.wire(s.Clock.Now()),
 		Through: s.digest(),
 	}
-	room := maxSync
-	ahead := false
+	left := maxReplySize
+	callerAhead := false
 	for _, t := range call.GetThrough() {
 		k := s.kinds[core.Kind(t.GetKind())]
 		if k == nil {
 			continue
 		}
-		ahead = ahead || t.GetNewest() > uint64(k.Newest())
+		callerAhead = callerAhead || t.GetNewest() > uint64(k.Newest())
 		d := k.Since(core.Version(t.GetVersion()))
-		if d.Empty() || room <= 0 {
+		if d.Empty() || left <= 0 {
 			continue
 		}
 		out := toWire(t.GetKind(), d, call.GetApart())
-		if n := size(out); call.GetApart() && n >= largeDelta {
+		if n := deltaSize(out); call.GetApart() && n >= largeDelta {
 			out.Items, out.Apart = nil, true
 		} else {
-			room -= n
+			left -= n
 		}
 		reply.Deltas = append(reply.Deltas, out)
 	}
-	if p, ok := s.peers.find(call.GetFrom()); ok && ahead {
-		s.requeue(p)
+	if p, ok := s.peers.find(call.GetFrom()); ok && callerAhead {
+		s.queuePull(p)
 	}
 	return reply, nil
 }
 
-func size(d *wire.KindDelta) int {
+// deltaSize returns the approximate size of a delta in bytes.
+func deltaSize(d *wire.KindDelta) int {
 	n := 0
 	for _, i := range d.GetItems() {
 		n += len(i.GetName()) + len(i.GetUid()) + len(i.GetSpec()) + len(i.GetStatus())
@@ -241,8 +243,8 @@
 	return n
 }
 
-// toWire returns a delta's message, without large specifications where these are fetched
-// apart.
+// toWire returns the wire form of a delta. If apart is set, large specifications are
+// omitted, since the receiver downloads them.
 func toWire(kind string, d replic.Delta, apart bool) *wire.KindDelta {
 	out := &wire.KindDelta{
 		Kind:    kind,
--- a/io/peer/tls_test.go
+++ b/io/peer/tls_test.go
@@ -14,8 +14,8 @@
 	"radishwell/wire"
 )
 
-// TestTLS: somebody who is no own process finds a control port. It must get no
-// answer, and operators must see that it tried.
+// TestTLS: a client without a certificate of this system connects to a control port. Its
+// call must fail, and the attempt must be reported.
 func TestTLS(t *testing.T) {
 	web := httptest.NewTLSServer(nil)
 	defer web.Close()
--- a/io/peer/view.go
+++ b/io/peer/view.go
@@ -7,69 +7,70 @@
 )
 
 const (
-	// viewSize is how many peers a process talks to at a time. A new connection
-	// for each exchange would cost a TLS handshake, some 3 KB, each time.
+	// viewSize is the number of peers that a process exchanges with at a time. A new
+	// connection for each exchange would cost a TLS handshake of some 3 KB each time.
 	viewSize = 8
-	// rotatePeriod is how often one of them is replaced, so that no part of the
-	// fleet is cut off from the rest by chance for long.
+	// rotatePeriod is how often one of these peers is replaced, so that no part of the
+	// fleet stays cut off by chance for long.
 	rotatePeriod = 10 * time.Second
 	// farPeers is how many of them may be in any data centre.
 	farPeers = 1
 )
 
-// peerView chooses the peers to talk to: a few out of all, replaced over time.
+// peerView chooses the peers to exchange with: a few active ones out of all that are
+// known, replaced over time.
 type peerView struct {
 	rand *rand.Rand
-	// near tells which peers are preferred; nil where all are alike.
-	near  func(Target) bool
-	known []Target
-	held  []Target
-	// rotateAt is when the next peer is replaced.
-	rotateAt time.Time
+	// near reports whether a peer is preferred; nil means no preference.
+	near   func(Target) bool
+	known  []Target
+	active []Target
+	// nextRotation is when the next active peer is replaced.
+	nextRotation time.Time
 }
 
-// update takes the present list of peers.
+// update sets the known peers and replaces active ones that are no longer among them.
 func (v *peerView) update(known []Target, now time.Time) {
 	v.known = known
-	there := make(map[Target]bool, len(known))
+	listed := make(map[Target]bool, len(known))
 	for _, p := range known {
-		there[p] = true
+		listed[p] = true
 	}
-	v.held = slices.DeleteFunc(v.held, func(p Target) bool { return !there[p] })
-	if !now.Before(v.rotateAt) {
-		v.rotateAt = now.Add(rotatePeriod)
-		v.forgetOne()
+	v.active = slices.DeleteFunc(v.active, func(p Target) bool { return !listed[p] })
+	if !now.Before(v.nextRotation) {
+		v.nextRotation = now.Add(rotatePeriod)
+		v.evictRandom()
 	}
 	v.fill()
 }
 
-// forgetOne makes room for another peer where there are others.
-func (v *peerView) forgetOne() {
-	if len(v.held) == viewSize && len(v.known) > viewSize {
-		i := v.rand.IntN(len(v.held))
-		v.held = slices.Delete(v.held, i, i+1)
+// evictRandom removes a random active peer if there are others to replace it.
+func (v *peerView) evictRandom() {
+	if len(v.active) == viewSize && len(v.known) > viewSize {
+		i := v.rand.IntN(len(v.active))
+		v.active = slices.Delete(v.active, i, i+1)
 	}
 }
 
-// fill chooses peers at random until the view is full.
+// fill adds random peers until the view is full.
 func (v *peerView) fill() {
 	if len(v.known) <= viewSize {
-		v.held = slices.Clone(v.known)
+		v.active = slices.Clone(v.known)
 		return
 	}
-	for len(v.held) < viewSize {
-		known := v.preferred()
+	for len(v.active) < viewSize {
+		known := v.candidates()
 		p := known[v.rand.IntN(len(known))]
-		if !slices.Contains(v.held, p) {
-			v.held = append(v.held, p)
+		if !slices.Contains(v.active, p) {
+			v.active = append(v.active, p)
 		}
 	}
 }
 
-// preferred returns the peers to choose from: the near ones while there are enough,
-// but all for the last places, which keep the data centres together.
-func (v *peerView) preferred() []Target {
-	if v.near == nil || len(v.held) >= viewSize-farPeers {
+// candidates returns the peers to choose from: the near ones if there are enough, but all
+// for the last farPeers places, which keep the data centres connected.
+func (v *peerView) candidates() []Target {
+	if v.near == nil || len(v.active) >= viewSize-farPeers {
 		return v.known
 	}
 	near := slices.DeleteFunc(slices.Clone(v.known), func(p Target) bool { return !v.near(p) })
@@ -79,18 +80,18 @@
 	return near
 }
 
-// drop replaces a peer that did not answer.
+// drop removes a peer that did not answer.
 func (v *peerView) drop(p Target) {
-	v.held = slices.DeleteFunc(v.held, func(q Target) bool { return p == q })
+	v.active = slices.DeleteFunc(v.active, func(q Target) bool { return p == q })
 }
 
-// pick returns up to n peers to talk to now.
+// pick returns up to n random active peers.
 func (v *peerView) pick(n int) []Target {
-	v.rand.Shuffle(len(v.held), func(i, j int) { v.held[i], v.held[j] = v.held[j], v.held[i] })
-	return slices.Clone(v.held[:min(n, len(v.held))])
+	v.rand.Shuffle(len(v.active), func(i, j int) { v.active[i], v.active[j] = v.active[j], v.active[i] })
+	return slices.Clone(v.active[:min(n, len(v.active))])
 }
 
-// find returns the peer of a name.
+// find returns the known peer of a host name.
 func (v *peerView) find(host string) (Target, bool) {
 	i := slices.IndexFunc(v.known, func(p Target) bool { return string(p.Host) == host })
 	if i < 0 {
