--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	// askWait is how long a relay holds back an answer without news, and answerTime how
-	// much longer it may take.
-	askWait    = 300 * time.Millisecond
-	answerTime = 400 * time.Millisecond
-	// checkTime bounds a call that asks a member for a sign of life.
-	checkTime = 300 * time.Millisecond
-	// hurryGap is the least time between two calls out of turn, and hurryWait how long
-	// their answers are held back: the planner decides within that.
-	hurryGap  = 50 * time.Millisecond
-	hurryWait = 150 * time.Millisecond
-	// failPause is the pause after a call that failed, until another relay is chosen.
-	failPause = 50 * time.Millisecond
+	// pollWait is how long a relay may hold back a reply if there is no news, and
+	// pollMargin how much longer the call may take.
+	pollWait   = 300 * time.Millisecond
+	pollMargin = 400 * time.Millisecond
+	// pingTimeout bounds the ping of a member.
+	pingTimeout = 300 * time.Millisecond
+	// minExtraPollGap is the least time between two extra polls, and extraPollWait how
+	// long their replies are held back: the planner decides within that time.
+	minExtraPollGap = 50 * time.Millisecond
+	extraPollWait   = 150 * time.Millisecond
+	// failureDelay is the delay after a failed call, until another relay is chosen.
+	failureDelay = 50 * time.Millisecond
 )
 
-// relay is the exchange with an entry that is asked. Its fields are guarded by the
-// feed's mu.
+// relay is a relay that this entry polls. Feed.mu guards its fields.
 type relay struct {
 	member follow.Member
 	stop   context.CancelFunc
-	// epoch is the relay's life that seen and seenReady are of; asRelay is whether this
-	// entry was a relay itself by then, which is told more.
+	// epoch identifies the run of the relay's process to which the change numbers seen
+	// and seenReady belong. asRelay is whether this entry was a relay itself at the last
+	// call; replies to relays hold more.
 	epoch, seen, seenReady uint64
 	asRelay                bool
-	// pending are arrivals that it has not been told, used the adapters of its hosts that
-	// requests were sent for.
+	// pending are arrivals that were not sent to the relay yet, used the adapters for
+	// which requests were sent to the hosts that it reports.
 	pending map[core.ModelName]demand.Arrivals
 	used    map[netip.AddrPort]map[string]bool
 }
@@ -56,19 +56,19 @@
 	return peer.Target{Host: r.member.Name, Address: r.member.Control}
 }
 
-// follow asks a relay again and again until the context ends.
-func (f *Feed) follow(ctx context.Context, r *relay) {
+// poll polls a relay until the context ends.
+func (f *Feed) poll(ctx context.Context, r *relay) {
 	for ctx.Err() == nil {
-		if !f.exchange(ctx, r, askWait) {
-			loop.Sleep(ctx, failPause)
+		if !f.pollOnce(ctx, r, pollWait) {
+			loop.Sleep(ctx, failureDelay)
 		}
 	}
 }
 
-// exchange puts one question to a relay and tells whether it answered.
-func (f *Feed) exchange(ctx context.Context, r *relay, wait time.Duration) bool {
-	in, told := f.question(r, wait)
-	call, stop := context.WithTimeout(ctx, wait+answerTime)
+// pollOnce makes one call to a relay and reports whether it was answered.
+func (f *Feed) pollOnce(ctx context.Context, r *relay, wait time.Duration) bool {
+	in, sent := f.newCall(r, wait)
+	call, stop := context.WithTimeout(ctx, wait+pollMargin)
 	defer stop()
 	reply, err := f.Ask(call, r.target(), in)
 	f.mu.Lock()
@@ -78,54 +78,54 @@
 		if ctx.Err() == nil {
 			events.Fail(events.PeerUnreachable, err, "address", r.member.Control)
 			f.chooser.Failed(now, r.member.Name)
-			r.add(told)
+			r.add(sent)
 			r.seen = 0
-			f.pokeChoose()
+			f.wakeChoose()
 		}
 		return false
 	}
 	f.chooser.Heard(now, r.member.Name)
-	f.take(now, r, in, reply)
+	f.applyReply(now, r, in, reply)
 	return true
 }
 
-// question makes a call for a relay; told are the arrivals in it.
-func (f *Feed) question(r *relay, wait time.Duration) (in *wire.DigestCall, told map[core.ModelName]demand.Arrivals) {
+// newCall returns a call to a relay and the arrivals in it.
+func (f *Feed) newCall(r *relay, wait time.Duration) (in *wire.DigestCall, sent map[core.ModelName]demand.Arrivals) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Clock.Now()
-	f.gather(now)
-	f.noteOwnUse(now)
+	f.collectOwnDemand(now)
+	f.recordOwnUse(now)
 	asRelay := f.choice.Relay()
 	if asRelay != r.asRelay {
 		r.asRelay, r.seen = asRelay, 0
 	}
-	told, r.pending = r.pending, map[core.ModelName]demand.Arrivals{}
+	sent, r.pending = r.pending, map[core.ModelName]demand.Arrivals{}
 	in = &wire.DigestCall{
 		Entry: string(f.Self.Name), Relay: asRelay, Epoch: r.epoch, Seen: r.seen, SeenReady: r.seenReady, Wait: int64(wait),
-		Arrivals: arrivalsOut(told), Waiting: CountsOut(f.waiting(now)), Uses: f.usesOut(now, r),
+		Arrivals: encodeArrivals(sent), Waiting: CountsOut(f.waiting(now)), Uses: f.encodeUses(now, r),
 	}
-	return in, told
+	return in, sent
 }
 
-// waiting returns what is waited for here and at the entries that ask this one. The
-// caller holds mu.
+// waiting returns the number of waiting requests by model, here and at the entries that
+// poll this one. The caller holds mu.
 func (f *Feed) waiting(now time.Time) map[core.ModelName]int {
 	return f.demand.Waiting(now, func(name core.HostName) bool {
-		a := f.askers[name]
-		return name == f.Self.Name || a != nil && !a.relay
+		p := f.pollers[name]
+		return name == f.Self.Name || p != nil && !p.relay
 	})
 }
 
-// usesOut returns the use of the hosts that a relay told of. The caller holds mu.
-func (f *Feed) usesOut(now time.Time, r *relay) []*wire.HostUse {
+// encodeUses returns the use of the hosts that a relay has reported. The caller holds mu.
+func (f *Feed) encodeUses(now time.Time, r *relay) []*wire.HostUse {
 	var out []*wire.HostUse
 	for _, h := range f.table.Of(r.member.Name) {
 		active, used := f.active(now, h, false), r.used[h]
 		if len(active) == 0 && len(used) == 0 {
 			continue
 		}
-		u := &wire.HostUse{Address: addressOut(h), Active: CountsOut(active)}
+		u := &wire.HostUse{Address: encodeAddress(h), Active: CountsOut(active)}
 		for name := range used {
 			u.Used = append(u.Used, name)
 		}
@@ -135,59 +135,61 @@
 	return out
 }
 
-// take takes in a relay's answer. The caller holds mu.
-func (f *Feed) take(now time.Time, r *relay, in *wire.DigestCall, reply *wire.DigestReply) {
+// applyReply applies a relay's reply. The caller holds mu.
+func (f *Feed) applyReply(now time.Time, r *relay, in *wire.DigestCall, reply *wire.DigestReply) {
 	if f.relays[r.member.Name] != r {
-		return // another relay was chosen meanwhile
+		return // another relay was chosen during the call
 	}
 	if reply.GetEpoch() != r.epoch {
 		r.epoch, r.seen, r.seenReady = reply.GetEpoch(), 0, 0
 	}
-	twin := f.choice.Relay() && f.choice.Follows(r.member.DataCentre)
-	if !twin && (reply.GetChange() >= r.seen || in.GetSeen() == 0) {
+	sameCentre := f.choice.Relay() && f.choice.Follows(r.member.DataCentre)
+	if !sameCentre && (reply.GetChange() >= r.seen || in.GetSeen() == 0) {
 		r.seen = reply.GetChange()
-		f.takeHosts(now, r, reply)
+		f.applyHosts(now, r, reply)
 	}
-	f.takeReady(now, r, in, reply)
+	f.applyReady(now, r, in, reply)
 	if !f.choice.Relay() && reply.GetPlanner() != "" {
-		f.follows(follow.Member{Name: core.HostName(reply.GetPlanner())})
+		f.setPlanner(follow.Member{Name: core.HostName(reply.GetPlanner())})
 	}
-	f.wake()
+	f.notifyWaiters()
 }
 
-// takeHosts takes in the hosts of an answer and tells the view. The caller holds mu.
-func (f *Feed) takeHosts(now time.Time, r *relay, reply *wire.DigestReply) {
+// applyHosts applies the hosts of a reply to the table and the view. The caller holds mu.
+func (f *Feed) applyHosts(now time.Time, r *relay, reply *wire.DigestReply) {
 	source := r.member.Name
-	fresh := make([]digest.Host, 0, len(reply.GetHosts()))
+	updated := make([]digest.Host, 0, len(reply.GetHosts()))
 	for _, s := range reply.GetHosts() {
-		address, ok := addressIn(s.GetAddress())
+		address, ok := decodeAddress(s.GetAddress())
 		if !ok {
 			continue
 		}
-		if !f.takeHost(now, source, address, s) {
-			r.seen = 0 // the whole report is asked for
+		if !f.applyHost(now, source, address, s) {
+			r.seen = 0 // requests complete reports
 			continue
 		}
 		if h, ok := f.table.Host(address); ok {
-			fresh = append(fresh, h)
+			updated = append(updated, h)
 		}
 	}
-	f.table.Renew(source, now.Add(-millis(reply.GetAge())), staleIn(now, reply.GetStale()))
-	if now.Sub(f.applied) >= applyAll {
-		f.applied = now
-		fresh = f.table.All()
+	f.table.Renew(source, now.Add(-millis(reply.GetAge())), decodeStale(now, reply.GetStale()))
+	if now.Sub(f.lastApplyAll) >= applyAllInterval {
+		f.lastApplyAll = now
+		updated = f.table.All()
 	}
 	f.Proxy.Update(func(v *fleet.View, _ time.Time) {
 		if f.choice.Scope == follow.None {
 			v.Heard(now)
 		}
-		for i := range fresh {
-			Apply(v, &fresh[i])
+		for i := range updated {
+			Apply(v, &updated[i])
 		}
 	})
 }
 
-func (f *Feed) takeHost(now time.Time, source core.HostName, address netip.AddrPort, s *wire.HostState) bool {
+// applyHost applies the state of one host to the table. It reports false if the state
+// holds figures only and the host's report is missing. The caller holds mu.
+func (f *Feed) applyHost(now time.Time, source core.HostName, address netip.AddrPort, s *wire.HostState) bool {
 	taken := now.Add(-millis(s.GetAge()))
 	if s.GetReport() == nil {
 		old, ok := f.table.Host(address)
@@ -196,20 +198,21 @@
 		}
 		return f.table.PutFigures(source, address, digest.Figures{
 			Taken: taken, Waiting: int(s.GetWaiting()), Running: int(s.GetRunning()), Reading: int(s.GetReading()),
-			Active: activeIn(old.Report.Models, s.GetActive()),
+			Active: decodeActive(old.Report.Models, s.GetActive()),
 		})
 	}
 	h := HostIn(address, s.GetReport(), now)
 	h.Planner = core.HostName(s.GetPlanner())
 	h.Report.Taken = taken
 	h.Report.Waiting, h.Report.Running, h.Report.Reading = int(s.GetWaiting()), int(s.GetRunning()), int(s.GetReading())
-	h.Report.Active = activeIn(h.Report.Models, s.GetActive())
+	h.Report.Active = decodeActive(h.Report.Models, s.GetActive())
 	f.table.Put(source, h)
 	return true
 }
 
-// takeReady takes in forecasts for what was said to be waited for. The caller holds mu.
-func (f *Feed) takeReady(now time.Time, r *relay, in *wire.DigestCall, reply *wire.DigestReply) {
+// applyReady applies the forecasts for the models whose waiting requests were sent. The
+// caller holds mu.
+func (f *Feed) applyReady(now time.Time, r *relay, in *wire.DigestCall, reply *wire.DigestReply) {
 	r.seenReady = reply.GetReadyChange()
 	if f.choice.Relay() && r.member.Name != f.planner.Name {
 		return
@@ -224,8 +227,8 @@
 		name := core.ModelName(w.GetModel())
 		asked = append(asked, name)
 		at, ok := ready[name]
-		old, had := f.ready[name]
-		changed = changed || ok != had || at.Sub(old).Abs() >= readySlack
+		before, known := f.ready[name]
+		changed = changed || ok != known || at.Sub(before).Abs() >= forecastTolerance
 		if ok {
 			f.ready[name] = at
 		} else {
@@ -236,13 +239,13 @@
 		f.Proxy.UpdateForecasts(asked, ready)
 	}
 	if changed {
-		f.noteReady()
+		f.noteReadyChange()
 	}
 }
 
-// check asks a member that was set aside for a sign of life.
-func (f *Feed) check(ctx context.Context, m follow.Member) {
-	ctx, stop := context.WithTimeout(ctx, checkTime)
+// ping checks whether a member that was set aside answers again.
+func (f *Feed) ping(ctx context.Context, m follow.Member) {
+	ctx, stop := context.WithTimeout(ctx, pingTimeout)
 	defer stop()
 	err := f.Ping(ctx, peer.Target{Host: m.Name, Address: m.Control})
 	f.mu.Lock()
@@ -252,5 +255,5 @@
 		return
 	}
 	f.chooser.Heard(f.Clock.Now(), m.Name)
-	f.pokeChoose()
+	f.wakeChoose()
 }
--- a/io/feed/bench_test.go
+++ b/io/feed/bench_test.go
@@ -26,8 +26,8 @@
 
 func (wallClock) Now() time.Time { return time.Now() }
 
-// benchFeed is a relay that knows a number of hosts, each with three models and eight
-// adapters.
+// benchFeed returns a relay that knows a number of hosts, each with three models and
+// eight adapters.
 func benchFeed(hosts int) *Feed {
 	p := &proxy.Proxy{Clock: wallClock{}}
 	p.Start()
@@ -59,9 +59,10 @@
 	return h
 }
 
-// BenchmarkAnswer measures one answer of a relay in which the figures of half of the
-// hosts have changed, its size, and the reading of it by the asker. The sizes are those
-// of the largest fleet that runs and of the one to design for.
+// BenchmarkAnswer measures one reply of a relay in which the figures of half of the hosts
+// have changed, its size, and its processing by the entry that polls. The numbers of
+// hosts are those of the largest fleet in use and of the one that the system is designed
+// for.
 func BenchmarkAnswer(b *testing.B) {
 	for _, hosts := range []int{180, 640} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
@@ -71,13 +72,13 @@
 			r := &relay{member: f.Self}
 			entry.relays[f.Self.Name] = r
 			call := &wire.DigestCall{Entry: "asker"}
-			f.note(call)
+			f.recordCall(call)
 			bytes := 0
 			for i := 0; b.Loop(); i++ {
 				for h := range hosts / 2 {
 					f.Put(benchHost(h, i%7))
 				}
-				reply := f.answer(call)
+				reply := f.buildReply(call)
 				call.Epoch, call.Seen = reply.GetEpoch(), reply.GetChange()
 				out, err := proto.Marshal(reply)
 				if err != nil {
@@ -85,7 +86,7 @@
 				}
 				bytes += len(out)
 				entry.mu.Lock()
-				entry.take(time.Now(), r, call, reply)
+				entry.applyReply(time.Now(), r, call, reply)
 				entry.mu.Unlock()
 			}
 			b.ReportMetric(float64(bytes)/float64(b.N), "B/answer")
--- a/io/feed/doc.go
+++ b/io/feed/doc.go
@@ -1,7 +1,9 @@
-// Package feed is an entry's exchange with other entries of a large fleet: what the
-// upstream hosts' agents say comes in, and what callers ask for goes out.
+// Package feed exchanges the state of upstream hosts and the demand for models between
+// the entries of a large fleet. An entry polls relays, which are entries that follow
+// agents themselves: each call carries the demand of the entry's callers, and each reply
+// the reports of the agents.
 //
-// core/follow decides whom to ask, core/digest holds what was heard, and core/demand
-// sums what is asked for. In a small fleet, where each entry follows all agents itself,
-// the package is idle.
+// core/follow chooses the relays, core/digest holds the reports, and core/demand adds up
+// the demand. In a small fleet, where each entry follows all agents itself, the package
+// is idle.
 package feed
--- a/io/feed/encode.go
+++ b/io/feed/encode.go
@@ -11,7 +11,7 @@
 	"radishwell/wire"
 )
 
-// Apply tells the view what is known of a host.
+// Apply applies the state of a host to the view.
 func Apply(v *fleet.View, h *digest.Host) {
 	if h.Lost {
 		v.Lost(h.Report.Taken, h.Address)
@@ -36,7 +36,9 @@
 		},
 	}
 	if out.Lost {
-		out.Report.Taken = now // the word that counts is the agent's own
+		// The agent itself observes the loss, so the age of the upstream's report does not
+		// apply.
+		out.Report.Taken = now
 	}
 	if out.Report.Loading != "" {
 		out.Report.LoadedBy = now.Add(time.Duration(r.GetLoadLeft()))
@@ -48,9 +50,9 @@
 	return out
 }
 
-// reportOut encodes a host's report. Which weights are near the host is for planners
-// only.
-func reportOut(now time.Time, h *digest.Host, relay bool) *wire.UpstreamReport {
+// encodeReport encodes a host's report. The models in its memory and on its disk are
+// included only for relays, since only planners use them.
+func encodeReport(now time.Time, h *digest.Host, relay bool) *wire.UpstreamReport {
 	r := h.Report
 	out := &wire.UpstreamReport{
 		Instance: string(r.ID), Busy: r.Busy, Leaving: r.Leaving, Reachable: r.Reachable, Lost: h.Lost,
@@ -69,8 +71,8 @@
 	return out
 }
 
-// activeIn joins counts with the models that they are of, in the same order.
-func activeIn(models []core.HeldModel, counts []uint32) map[core.ModelName]int {
+// decodeActive returns counts by model; counts has the order of models.
+func decodeActive(models []core.HeldModel, counts []uint32) map[core.ModelName]int {
 	out := make(map[core.ModelName]int, len(counts))
 	for i, n := range counts {
 		if i < len(models) && n > 0 {
@@ -89,7 +91,7 @@
 	return out
 }
 
-func countsIn(list []*wire.ModelActive) map[core.ModelName]int {
+func decodeCounts(list []*wire.ModelActive) map[core.ModelName]int {
 	out := make(map[core.ModelName]int, len(list))
 	for _, m := range list {
 		out[core.ModelName(m.GetModel())] = int(m.GetCount())
@@ -97,7 +99,7 @@
 	return out
 }
 
-func addressOut(a netip.AddrPort) []byte {
+func encodeAddress(a netip.AddrPort) []byte {
 	out, err := a.MarshalBinary()
 	if err != nil {
 		events.Fail(events.DecisionFailed, err, "address", a)
@@ -105,7 +107,7 @@
 	return out
 }
 
-func addressIn(b []byte) (a netip.AddrPort, ok bool) {
+func decodeAddress(b []byte) (a netip.AddrPort, ok bool) {
 	if err := a.UnmarshalBinary(b); err != nil {
 		events.Fail(events.DecisionFailed, err)
 		return netip.AddrPort{}, false
@@ -113,10 +115,10 @@
 	return a, true
 }
 
-func staleIn(now time.Time, list []*wire.StaleHost) []digest.Stale {
+func decodeStale(now time.Time, list []*wire.StaleHost) []digest.Stale {
 	var out []digest.Stale
 	for _, s := range list {
-		if a, ok := addressIn(s.GetAddress()); ok {
+		if a, ok := decodeAddress(s.GetAddress()); ok {
 			out = append(out, digest.Stale{Address: a, Taken: now.Add(-millis(s.GetAge()))})
 		}
 	}
@@ -125,5 +127,5 @@
 
 func millis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// age returns how long ago a time is, in milliseconds.
+// age returns the time since at in milliseconds.
 func age(now, at time.Time) uint32 { return uint32(max(0, now.Sub(at).Milliseconds())) }
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -21,36 +21,40 @@
 )
 
 const (
-	// chooseEvery is how often an entry looks whom to ask.
-	chooseEvery = 100 * time.Millisecond
-	// useAge is how old another entry's word on its requests in progress may be.
-	useAge = 1500 * time.Millisecond
-	// applyAll is how often all hosts are told to the view, also those without a change:
-	// the registry may list another life of one by then.
-	applyAll = 400 * time.Millisecond
-	// readySlack is by how much a forecast may move without being a change.
-	readySlack = 150 * time.Millisecond
+	// chooseInterval is how often an entry chooses the relays that it polls.
+	chooseInterval = 100 * time.Millisecond
+	// maxUseAge is the age beyond which another entry's report of its requests in
+	// progress is ignored.
+	maxUseAge = 1500 * time.Millisecond
+	// applyAllInterval is how often all hosts are applied to the view, even unchanged
+	// ones, because the registry may list a new run of a host's process since.
+	applyAllInterval = 400 * time.Millisecond
+	// forecastTolerance is by how much a forecast may move without counting as changed.
+	forecastTolerance = 150 * time.Millisecond
 )
 
-// Feed is one entry's exchange. Set the exported fields before Start.
+// Feed is the exchange of one entry. Its exported fields must be set before Start; its
+// methods may be called from several goroutines.
 type Feed struct {
 	Self follow.Member
-	// MostDirect is how many agents an entry follows itself.
+	// MostDirect is the largest number of agents that an entry follows itself.
 	MostDirect int
 	Clock      core.Clock
-	// Proxy takes callers' requests.
+	// Proxy holds the view of the hosts and the requests of callers.
 	Proxy *proxy.Proxy
-	// Ask and Ping make calls of other entries.
+	// Ask and Ping call other entries.
 	Ask  func(ctx context.Context, to peer.Target, in *wire.DigestCall) (*wire.DigestReply, error)
 	Ping func(ctx context.Context, to peer.Target) error
-	// Members returns all other entries that are listed, Engines the listed upstream hosts
-	// that have agents, with their data centres.
+	// Members returns all other entries in the registry, Engines the upstream hosts in
+	// the registry that have agents, with their data centres.
 	Members func() follow.Ranked
 	Engines func() map[netip.AddrPort]core.DataCentre
-	// Planner, if set, is told when another entry plans.
+	// Planner, if set, is called when another entry becomes the planner, which is the
+	// entry that places models.
 	Planner func()
 
-	// epoch tells this process's change numbers from those of the one before.
+	// epoch distinguishes the change numbers of this process from those of its previous
+	// run.
 	epoch uint64
 
 	mu      sync.Mutex
@@ -58,56 +62,58 @@
 	choice  follow.Choice
 	table   digest.Table
 	demand  demand.Fleet
-	// relays are those that this entry asks, by name.
+	// relays are the relays that this entry polls, by name.
 	relays map[core.HostName]*relay
-	// askers are the entries that ask this one.
-	askers map[core.HostName]*asker
-	// uses are the requests in progress by the word of each entry.
+	// pollers are the entries that poll this one, by name.
+	pollers map[core.HostName]*poller
+	// uses are the requests in progress as each entry last reported them.
 	uses map[core.HostName]use
-	// planner is the entry that plans, the zero Member where none is known.
+	// planner is the current planner; the zero Member if none is known.
 	planner follow.Member
-	// ready are forecasts, readyChange the number of their last change.
+	// ready holds, by model, when its next copy should be loaded; readyChange numbers the
+	// last change.
 	ready       map[core.ModelName]time.Time
 	readyChange uint64
-	// applied is when all hosts were told to the view last, hurried when a relay was last
-	// asked out of turn.
-	applied, hurried time.Time
-	// changed is closed and replaced at each change, urgent at each that is more than
-	// one of figures.
-	changed, urgent        chan struct{}
-	seenChange, seenUrgent uint64
-	seenReady              uint64
-	// ownUsed are the adapters that requests were sent for, by host, for the agents that
-	// this entry follows.
-	ownUsed map[netip.AddrPort]map[string]bool
-	// kick has Run choose at once.
-	kick chan struct{}
+	// lastApplyAll is when all hosts were last applied to the view, lastExtraPoll when
+	// the last extra poll was made.
+	lastApplyAll, lastExtraPoll time.Time
+	// changed is closed and replaced at each change, urgent at each change of more than a
+	// host's figures, which are its numbers of waiting, running and active requests. The
+	// notified fields are the change numbers at that time.
+	changed, urgent                chan struct{}
+	notifiedChange, notifiedUrgent uint64
+	notifiedReady                  uint64
+	// directUsed holds, by host, the adapters for which requests were sent, for the
+	// agents that this entry follows.
+	directUsed map[netip.AddrPort]map[string]bool
+	// chooseWake makes Run choose at once.
+	chooseWake chan struct{}
 }
 
-// Start makes the feed ready for calls.
+// Start prepares the feed for calls.
 func (f *Feed) Start() {
 	now := f.Clock.Now()
 	f.epoch = uint64(now.UnixNano())
 	f.chooser = follow.Chooser{Self: f.Self, MostDirect: f.MostDirect, Started: now}
 	f.relays = map[core.HostName]*relay{}
-	f.askers = map[core.HostName]*asker{}
+	f.pollers = map[core.HostName]*poller{}
 	f.uses = map[core.HostName]use{}
 	f.ready = map[core.ModelName]time.Time{}
-	f.ownUsed = map[netip.AddrPort]map[string]bool{}
+	f.directUsed = map[netip.AddrPort]map[string]bool{}
 	f.changed, f.urgent = make(chan struct{}), make(chan struct{})
-	f.kick = make(chan struct{}, 1)
+	f.chooseWake = make(chan struct{}, 1)
 	f.choice.Scope = follow.None
 }
 
-// Run chooses whom to ask again and again until the context ends.
+// Run chooses and polls relays until the context ends.
 func (f *Feed) Run(ctx context.Context) error {
-	return loop.Run(ctx, f.Clock, f.kick, chooseEvery, func(time.Time) time.Time {
+	return loop.Run(ctx, f.Clock, f.chooseWake, chooseInterval, func(time.Time) time.Time {
 		f.choose(ctx)
 		return time.Time{}
 	})
 }
 
-// choose decides whom to ask, and starts and ends the exchanges with relays.
+// choose chooses the relays, and starts and stops polling them.
 func (f *Feed) choose(ctx context.Context) {
 	members, engines := f.Members(), f.Engines()
 	agents := map[core.DataCentre]int{}
@@ -122,37 +128,37 @@
 	if f.choice.Scope != old.Scope {
 		events.Log(events.RelayChanged, "scope", f.choice.Scope, "centres", f.choice.Centres, "before", old.Scope)
 	}
-	f.forget(engines)
+	f.removeUnlisted(engines)
 	if f.choice.Scope != follow.None {
 		f.Proxy.Update(func(v *fleet.View, _ time.Time) { v.Heard(time.Time{}) })
 	}
 	if f.choice.Scope == follow.All {
-		// What came while nobody is told is of no use later.
+		// There is no relay to send the arrivals to, and they are of no use later.
 		f.Proxy.TakeArrivals()
 	}
-	f.startRelays(ctx)
+	f.updateRelays(ctx)
 	for _, m := range f.chooser.Check(now, members) {
-		go f.check(ctx, m)
+		go f.ping(ctx, m)
 	}
 	f.choosePlanner(now)
 }
 
-// forget drops what is known of hosts that are not listed any more: they would be told to
-// all askers as hosts that were not heard of, for good. The caller holds mu.
-func (f *Feed) forget(listed map[netip.AddrPort]core.DataCentre) {
+// removeUnlisted removes hosts that are no longer listed. Otherwise every reply would
+// name them as stale for ever. The caller holds mu.
+func (f *Feed) removeUnlisted(listed map[netip.AddrPort]core.DataCentre) {
 	f.table.Keep(func(a netip.AddrPort) bool {
 		_, ok := listed[a]
 		return ok
 	})
-	maps.DeleteFunc(f.ownUsed, func(a netip.AddrPort, _ map[string]bool) bool {
+	maps.DeleteFunc(f.directUsed, func(a netip.AddrPort, _ map[string]bool) bool {
 		_, ok := listed[a]
 		return !ok
 	})
 }
 
-// startRelays starts the exchanges with the relays that were chosen and ends the
-// others. The caller holds mu.
-func (f *Feed) startRelays(ctx context.Context) {
+// updateRelays starts polling the chosen relays and stops polling the others. The caller
+// holds mu.
+func (f *Feed) updateRelays(ctx context.Context) {
 	for name, r := range f.relays {
 		if !slices.Contains(f.choice.Relays, r.member) {
 			r.stop()
@@ -167,25 +173,25 @@
 		r := &relay{member: m, stop: stop, pending: map[core.ModelName]demand.Arrivals{}, used: map[netip.AddrPort]map[string]bool{}}
 		f.relays[m.Name] = r
 		events.Log(events.RelayAsked, "relay", m.Name, "address", m.Control, "data-centre", m.DataCentre)
-		go f.follow(own, r)
+		go f.poll(own, r)
 	}
 }
 
-// Direct tells whether this entry follows all agents itself.
+// Direct reports whether this entry follows all agents itself.
 func (f *Feed) Direct() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.choice.Scope == follow.All
 }
 
-// Follows tells whether this entry follows the agents of a data centre itself.
+// Follows reports whether this entry follows the agents of a data centre itself.
 func (f *Feed) Follows(dc core.DataCentre) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.choice.Follows(dc)
 }
 
-// Put takes in what an agent said on this entry's own link.
+// Put records the state of a host that its agent reported to this entry directly.
 func (f *Feed) Put(h digest.Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -193,32 +199,32 @@
 		return
 	}
 	f.table.Put("", h)
-	f.wake()
+	f.notifyWaiters()
 }
 
-// wake has those that wait for an answer look again. The caller holds mu.
-func (f *Feed) wake() {
-	urgent := f.table.Urgent() != f.seenUrgent || f.readyChange != f.seenReady
+// notifyWaiters wakes the calls that wait for news. The caller holds mu.
+func (f *Feed) notifyWaiters() {
+	urgent := f.table.Urgent() != f.notifiedUrgent || f.readyChange != f.notifiedReady
 	if urgent {
-		f.seenUrgent, f.seenReady = f.table.Urgent(), f.readyChange
+		f.notifiedUrgent, f.notifiedReady = f.table.Urgent(), f.readyChange
 		close(f.urgent)
 		f.urgent = make(chan struct{})
 	}
-	if urgent || f.table.Change() != f.seenChange {
-		f.seenChange = f.table.Change()
+	if urgent || f.table.Change() != f.notifiedChange {
+		f.notifiedChange = f.table.Change()
 		close(f.changed)
 		f.changed = make(chan struct{})
 	}
 }
 
-func (f *Feed) pokeChoose() { loop.Poke(f.kick) }
+func (f *Feed) wakeChoose() { loop.Poke(f.chooseWake) }
 
-// Listed notes that the registry has changed. The first list tells whether this entry
-// follows agents.
+// Listed is called when the registry has changed. The first list decides whether this
+// entry follows agents.
 func (f *Feed) Listed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.choice.Scope == follow.None && len(f.choice.Relays) == 0 {
-		f.pokeChoose()
+		f.wakeChoose()
 	}
 }
--- a/io/feed/plan.go
+++ b/io/feed/plan.go
@@ -11,16 +11,16 @@
 	"radishwell/core/follow"
 )
 
-// choosePlanner has a relay see who plans. The caller holds mu.
+// choosePlanner determines the planner if this entry is a relay. The caller holds mu.
 func (f *Feed) choosePlanner(now time.Time) {
 	if !f.choice.Relay() {
 		return
 	}
-	f.follows(f.chooser.Planner(now, f.choice.Relays))
+	f.setPlanner(f.chooser.Planner(now, f.choice.Relays))
 }
 
-// follows takes in who plans. The caller holds mu.
-func (f *Feed) follows(planner follow.Member) {
+// setPlanner sets the current planner. The caller holds mu.
+func (f *Feed) setPlanner(planner follow.Member) {
 	if planner.Name == f.planner.Name {
 		return
 	}
@@ -30,24 +30,24 @@
 	}
 }
 
-// Plans returns the entry that plans as this one sees it; the zero Member where it
-// sees none.
+// Plans returns the planner as this entry sees it; the zero Member if it sees none.
 func (f *Feed) Plans() follow.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.planner
 }
 
-// Demand returns what the models of all entries are asked for.
+// Demand returns the demand for each model, summed over all entries.
 func (f *Feed) Demand() map[core.ModelName]copies.Demand {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Clock.Now()
-	f.gather(now)
+	f.collectOwnDemand(now)
 	return f.demand.All(now)
 }
 
-// Followers returns the upstream hosts whose agents follow this entry's plans.
+// Followers returns the upstream hosts whose agents follow this entry's plans, according
+// to reports younger than age.
 func (f *Feed) Followers(age time.Duration) map[netip.AddrPort]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,7 +61,8 @@
 	return out
 }
 
-// HasFollowers tells whether any agent was heard of lately that follows a planner.
+// HasFollowers reports whether, according to reports younger than age, any agent follows
+// a planner.
 func (f *Feed) HasFollowers(age time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,7 +75,7 @@
 	return false
 }
 
-// Foresee takes in the planner's forecasts, where this entry plans.
+// Foresee sets the forecasts of the planner if this entry is the planner.
 func (f *Feed) Foresee(ready map[core.ModelName]time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,13 +83,13 @@
 		return
 	}
 	f.ready = ready
-	f.noteReady()
+	f.noteReadyChange()
 }
 
-// noteReady numbers a change of the forecasts. The caller holds mu.
-func (f *Feed) noteReady() {
+// noteReadyChange numbers a change of the forecasts. The caller holds mu.
+func (f *Feed) noteReadyChange() {
 	f.readyChange++
-	f.wake()
+	f.notifyWaiters()
 }
 
 func sameReady(a, b map[core.ModelName]time.Time) bool {
@@ -96,22 +97,22 @@
 		return false
 	}
 	for name, at := range a {
-		if other, ok := b[name]; !ok || at.Sub(other).Abs() >= readySlack {
+		if other, ok := b[name]; !ok || at.Sub(other).Abs() >= forecastTolerance {
 			return false
 		}
 	}
 	return true
 }
 
-// gather takes in what this entry's own callers asked for. The caller holds mu.
-func (f *Feed) gather(now time.Time) {
+// collectOwnDemand records the demand of this entry's own callers. The caller holds mu.
+func (f *Feed) collectOwnDemand(now time.Time) {
 	arrivals := f.Proxy.TakeArrivals()
 	f.demand.Wait(now, f.Self.Name, f.Proxy.WaitingFor())
 	f.addArrivals(now, arrivals)
 }
 
-// addArrivals counts arrivals and keeps them for the relays that are asked. The caller
-// holds mu.
+// addArrivals counts arrivals and queues them for the relays that this entry polls. The
+// caller holds mu.
 func (f *Feed) addArrivals(now time.Time, arrivals map[core.ModelName]demand.Arrivals) {
 	if f.choice.Relay() {
 		f.demand.Add(now, arrivals)
@@ -121,23 +122,25 @@
 	}
 }
 
-// Hurry tells at once what is waited for here.
+// Hurry sends the number of waiting requests with an extra poll at once, unless the last
+// one was less than minExtraPollGap ago. A relay sends it to the planner, another entry
+// to its first relay.
 func (f *Feed) Hurry(ctx context.Context) {
 	f.mu.Lock()
 	now := f.Clock.Now()
 	var to *relay
 	switch {
-	case now.Sub(f.hurried) < hurryGap:
+	case now.Sub(f.lastExtraPoll) < minExtraPollGap:
 	case f.choice.Relay():
 		to = f.relays[f.planner.Name]
 	case len(f.choice.Relays) > 0:
 		to = f.relays[f.choice.Relays[0].Name]
 	}
 	if to != nil {
-		f.hurried = now
+		f.lastExtraPoll = now
 	}
 	f.mu.Unlock()
 	if to != nil {
-		go f.exchange(ctx, to, hurryWait)
+		go f.pollOnce(ctx, to, extraPollWait)
 	}
 }
--- a/io/feed/serve.go
+++ b/io/feed/serve.go
@@ -11,90 +11,91 @@
 )
 
 const (
-	// urgentGap is the least time between two answers to one asker that bring more than
-	// figures.
-	urgentGap = 60 * time.Millisecond
-	// leastGap and mostGap bound the time between two answers that bring figures, and
-	// hostGap is what each host adds: each answer names most of the hosts, and with a
-	// fixed gap an entry would spend its time on reading them.
-	leastGap = 100 * time.Millisecond
-	mostGap  = 400 * time.Millisecond
-	hostGap  = 700 * time.Microsecond
-	// mostWait bounds how long an answer is held back.
-	mostWait = 2 * time.Second
+	// minUrgentGap is the least time between two replies to one poller that hold more
+	// than figures.
+	minUrgentGap = 60 * time.Millisecond
+	// minFiguresGap and maxFiguresGap bound the time between two replies that hold
+	// figures only, and gapPerHost is what each host adds to it: each reply names most of
+	// the hosts, and with a fixed gap an entry would spend its time on decoding them.
+	minFiguresGap = 100 * time.Millisecond
+	maxFiguresGap = 400 * time.Millisecond
+	gapPerHost    = 700 * time.Microsecond
+	// maxWait bounds how long a reply is held back.
+	maxWait = 2 * time.Second
 )
 
-// asker is an entry that asks this one. Its fields are guarded by the feed's mu.
-type asker struct {
+// poller is an entry that polls this one. Feed.mu guards its fields.
+type poller struct {
 	relay bool
-	// answered is when it last had an answer.
-	answered time.Time
+	// lastAnswer is when the entry was last answered.
+	lastAnswer time.Time
 }
 
-// Serve answers another entry's question once there is news for it.
+// Serve answers another entry's poll once there is news for it. It is the handler of
+// Digest.
 func (f *Feed) Serve(c *wire.DigestCall) (*wire.DigestReply, error) {
-	f.note(c)
-	f.await(c)
-	return f.answer(c), nil
+	f.recordCall(c)
+	f.awaitNews(c)
+	return f.buildReply(c), nil
 }
 
-// note takes in what another entry says.
-func (f *Feed) note(c *wire.DigestCall) {
+// recordCall records what another entry reports in its call.
+func (f *Feed) recordCall(c *wire.DigestCall) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, name := f.Clock.Now(), core.HostName(c.GetEntry())
-	a := f.askers[name]
-	if a == nil {
-		a = &asker{}
-		f.askers[name] = a
+	p := f.pollers[name]
+	if p == nil {
+		p = &poller{}
+		f.pollers[name] = p
 	}
-	a.relay = c.GetRelay()
-	if a.relay {
+	p.relay = c.GetRelay()
+	if p.relay {
 		f.chooser.Heard(now, name)
 	} else {
 		f.chooser.Asked(now)
 	}
-	if !a.relay && !f.choice.Relay() {
-		f.pokeChoose() // being asked makes this entry a relay
+	if !p.relay && !f.choice.Relay() {
+		f.wakeChoose() // an entry that is polled becomes a relay
 	}
-	f.noteDemand(now, name, c)
-	f.noteUses(now, name, c)
+	f.recordDemand(now, name, c)
+	f.recordUses(now, name, c)
 }
 
-// noteDemand takes in what another entry's callers ask for. The caller holds mu.
-func (f *Feed) noteDemand(now time.Time, name core.HostName, c *wire.DigestCall) {
-	arrivals := arrivalsIn(c.GetArrivals())
+// recordDemand records the demand of another entry's callers. The caller holds mu.
+func (f *Feed) recordDemand(now time.Time, name core.HostName, c *wire.DigestCall) {
+	arrivals := decodeArrivals(c.GetArrivals())
 	if c.GetRelay() {
-		f.demand.Add(now, arrivals) // relays tell all relays themselves
+		f.demand.Add(now, arrivals) // not forwarded: a relay sends its arrivals to all relays itself
 	} else {
 		f.addArrivals(now, arrivals)
 	}
-	if f.demand.Wait(now, name, countsIn(c.GetWaiting())) {
+	if f.demand.Wait(now, name, decodeCounts(c.GetWaiting())) {
 		f.Proxy.Kick()
 	}
 }
 
-// noteUses takes in another entry's use of hosts. The caller holds mu.
-func (f *Feed) noteUses(now time.Time, name core.HostName, c *wire.DigestCall) {
-	u := use{at: now, relayed: c.GetRelay(), active: map[netip.AddrPort]map[core.ModelName]int{}}
+// recordUses records another entry's use of hosts. The caller holds mu.
+func (f *Feed) recordUses(now time.Time, name core.HostName, c *wire.DigestCall) {
+	u := use{taken: now, fromRelay: c.GetRelay(), active: map[netip.AddrPort]map[core.ModelName]int{}}
 	for _, h := range c.GetUses() {
-		address, ok := addressIn(h.GetAddress())
+		address, ok := decodeAddress(h.GetAddress())
 		if !ok {
 			continue
 		}
-		u.active[address] = countsIn(h.GetActive())
-		f.noteUsed(address, h.GetUsed(), c.GetRelay())
+		u.active[address] = decodeCounts(h.GetActive())
+		f.recordUsed(address, h.GetUsed(), c.GetRelay())
 	}
 	f.uses[name] = u
 }
 
-// await waits until there is news for an asker, its last answer is long enough ago, or
-// its time is over.
-func (f *Feed) await(c *wire.DigestCall) {
-	end := f.Clock.Now().Add(min(time.Duration(c.GetWait()), mostWait))
+// awaitNews waits until there is news for a poller and its last reply is long enough ago,
+// or the call's wait is over.
+func (f *Feed) awaitNews(c *wire.DigestCall) {
+	end := f.Clock.Now().Add(min(time.Duration(c.GetWait()), maxWait))
 	for {
-		news, next, wake := f.news(c, end)
-		if news {
+		due, next, wake := f.replyDue(c, end)
+		if due {
 			return
 		}
 		timer := time.NewTimer(next.Sub(f.Clock.Now()))
@@ -106,25 +107,26 @@
 	}
 }
 
-// news tells whether an asker is to be answered now, and otherwise when to look again
-// and what wakes before that.
-func (f *Feed) news(c *wire.DigestCall, end time.Time) (now bool, next time.Time, wake chan struct{}) {
+// replyDue reports whether a poller is to be answered now, because there is news or the
+// call's wait is over. Otherwise it returns when to check again and a channel that is
+// closed if there is reason to check sooner.
+func (f *Feed) replyDue(c *wire.DigestCall, end time.Time) (due bool, next time.Time, wake chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := f.Clock.Now()
 	seen := f.seenBy(c)
-	last := f.askers[core.HostName(c.GetEntry())].answered
-	early, late := last.Add(urgentGap), last.Add(f.gap())
+	last := f.pollers[core.HostName(c.GetEntry())].lastAnswer
+	urgentAt, figuresAt := last.Add(minUrgentGap), last.Add(f.figuresGap())
 	urgent := f.table.Urgent() > seen || len(c.GetWaiting()) > 0 && f.readyChange != c.GetSeenReady()
 	switch {
 	case !at.Before(end):
 		return true, at, nil
-	case at.Before(early):
-		return false, earlier(early, end), nil
+	case at.Before(urgentAt):
+		return false, earlier(urgentAt, end), nil
 	case urgent:
 		return true, at, nil
-	case at.Before(late):
-		return false, earlier(late, end), f.urgent
+	case at.Before(figuresAt):
+		return false, earlier(figuresAt, end), f.urgent
 	case f.table.Change() > seen:
 		return true, at, nil
 	}
@@ -138,14 +140,14 @@
 	return b
 }
 
-// gap returns the least time between two answers that bring figures. The caller holds
-// mu.
-func (f *Feed) gap() time.Duration {
-	return min(mostGap, max(leastGap, time.Duration(f.table.Len())*hostGap))
+// figuresGap returns the least time between two replies that hold figures only. The
+// caller holds mu.
+func (f *Feed) figuresGap() time.Duration {
+	return min(maxFiguresGap, max(minFiguresGap, time.Duration(f.table.Len())*gapPerHost))
 }
 
-// seenBy returns the change number of an asker's last answer by this process. The
-// caller holds mu.
+// seenBy returns the change number of this process's last reply to a poller. The caller
+// holds mu.
 func (f *Feed) seenBy(c *wire.DigestCall) uint64 {
 	if c.GetEpoch() != f.epoch {
 		return 0
@@ -153,21 +155,21 @@
 	return c.GetSeen()
 }
 
-func (f *Feed) answer(c *wire.DigestCall) *wire.DigestReply {
+func (f *Feed) buildReply(c *wire.DigestCall) *wire.DigestReply {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Clock.Now()
-	f.askers[core.HostName(c.GetEntry())].answered = now
+	f.pollers[core.HostName(c.GetEntry())].lastAnswer = now
 	at, stale := f.table.Ages(now, c.GetRelay())
 	out := &wire.DigestReply{
 		Epoch: f.epoch, Change: f.table.Change(), ReadyChange: f.readyChange,
 		Age: age(now, at), Planner: string(f.planner.Name),
 	}
 	for _, s := range stale {
-		out.Stale = append(out.Stale, &wire.StaleHost{Address: addressOut(s.Address), Age: age(now, s.Taken)})
+		out.Stale = append(out.Stale, &wire.StaleHost{Address: encodeAddress(s.Address), Age: age(now, s.Taken)})
 	}
 	for _, u := range f.table.Since(f.seenBy(c), c.GetRelay()) {
-		out.Hosts = append(out.Hosts, stateOut(now, u, c.GetRelay()))
+		out.Hosts = append(out.Hosts, encodeState(now, u, c.GetRelay()))
 	}
 	for _, w := range c.GetWaiting() {
 		if by, ok := f.ready[core.ModelName(w.GetModel())]; ok {
@@ -177,10 +179,10 @@
 	return out
 }
 
-func stateOut(now time.Time, u digest.Update, relay bool) *wire.HostState {
+func encodeState(now time.Time, u digest.Update, relay bool) *wire.HostState {
 	r := u.Report
 	out := &wire.HostState{
-		Address: addressOut(u.Address), Age: age(now, r.Taken),
+		Address: encodeAddress(u.Address), Age: age(now, r.Taken),
 		Waiting: uint32(r.Waiting), Running: uint32(r.Running), Reading: int64(r.Reading),
 	}
 	if relay {
@@ -189,12 +191,12 @@
 		}
 	}
 	if u.Whole {
-		out.Report, out.Planner = reportOut(now, &u.Host, relay), string(u.Planner)
+		out.Report, out.Planner = encodeReport(now, &u.Host, relay), string(u.Planner)
 	}
 	return out
 }
 
-func arrivalsIn(list []*wire.ModelArrivals) map[core.ModelName]demand.Arrivals {
+func decodeArrivals(list []*wire.ModelArrivals) map[core.ModelName]demand.Arrivals {
 	out := make(map[core.ModelName]demand.Arrivals, len(list))
 	for _, a := range list {
 		out[core.ModelName(a.GetModel())] = demand.Arrivals{Count: int(a.GetCount()), Hasty: int(a.GetHasty()), Work: float64(a.GetWork())}
@@ -202,7 +204,7 @@
 	return out
 }
 
-func arrivalsOut(arrivals map[core.ModelName]demand.Arrivals) []*wire.ModelArrivals {
+func encodeArrivals(arrivals map[core.ModelName]demand.Arrivals) []*wire.ModelArrivals {
 	out := make([]*wire.ModelArrivals, 0, len(arrivals))
 	for name, a := range arrivals {
 		out = append(out, &wire.ModelArrivals{Model: string(name), Count: uint32(a.Count), Hasty: uint32(a.Hasty), Work: float32(a.Work)})
--- a/io/feed/use.go
+++ b/io/feed/use.go
@@ -8,30 +8,31 @@
 	"radishwell/core/fleet"
 )
 
-// use is the requests in progress by host and model that one entry knows of.
+// use is one entry's report of its requests in progress by host and model.
 type use struct {
-	at time.Time
-	// relayed tells that the entry is a relay, whose word goes no further.
-	relayed bool
-	active  map[netip.AddrPort]map[core.ModelName]int
+	taken time.Time
+	// fromRelay is set if the entry is a relay. Its report is not forwarded to other
+	// relays.
+	fromRelay bool
+	active    map[netip.AddrPort]map[core.ModelName]int
 }
 
-// Active returns the requests in progress at a host by model, of all entries whose
-// word comes to this one, for the host's agent.
+// Active returns the requests in progress at a host by model, for the host's agent. It
+// includes the requests of all entries that report to this one.
 func (f *Feed) Active(address netip.AddrPort) map[core.ModelName]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Clock.Now()
-	f.noteOwnUse(now)
+	f.recordOwnUse(now)
 	return f.active(now, address, true)
 }
 
-// active sums the word of entries on a host, with or without relays. The caller holds
-// mu.
-func (f *Feed) active(now time.Time, address netip.AddrPort, relayed bool) map[core.ModelName]int {
+// active adds up the reports of entries on a host, with or without those of relays. The
+// caller holds mu.
+func (f *Feed) active(now time.Time, address netip.AddrPort, withRelays bool) map[core.ModelName]int {
 	sum := map[core.ModelName]int{}
 	for _, u := range f.uses {
-		if now.Sub(u.at) > useAge || u.relayed && !relayed {
+		if now.Sub(u.taken) > maxUseAge || u.fromRelay && !withRelays {
 			continue
 		}
 		for model, n := range u.active[address] {
@@ -41,27 +42,27 @@
 	return sum
 }
 
-// noteOwnUse takes in this entry's own requests in progress. The caller holds mu.
-func (f *Feed) noteOwnUse(now time.Time) {
-	own := use{at: now, active: map[netip.AddrPort]map[core.ModelName]int{}}
+// recordOwnUse records this entry's own requests in progress. The caller holds mu.
+func (f *Feed) recordOwnUse(now time.Time) {
+	own := use{taken: now, active: map[netip.AddrPort]map[core.ModelName]int{}}
 	f.Proxy.Update(func(v *fleet.View, _ time.Time) { own.active = v.OwnActive() })
 	f.uses[f.Self.Name] = own
 }
 
-// Used notes that a request for an adapter, as MODEL/NAME, was sent to a host.
+// Used records that a request for an adapter, as MODEL/NAME, was sent to a host.
 func (f *Feed) Used(address netip.AddrPort, adapter string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.noteUsed(address, []string{adapter}, false)
+	f.recordUsed(address, []string{adapter}, false)
 }
 
-// noteUsed keeps the use of adapters for whoever asks the host's agent. The caller
-// holds mu.
-func (f *Feed) noteUsed(address netip.AddrPort, adapters []string, relayed bool) {
-	to := f.ownUsed
+// recordUsed records the use of adapters for the entry that follows the host's agent: a
+// relay or this one. The caller holds mu.
+func (f *Feed) recordUsed(address netip.AddrPort, adapters []string, fromRelay bool) {
+	to := f.directUsed
 	if source, ok := f.table.Source(address); ok && source != "" {
 		r := f.relays[source]
-		if relayed || r == nil {
+		if fromRelay || r == nil {
 			return
 		}
 		to = r.used
@@ -74,15 +75,15 @@
 	}
 }
 
-// TakeUsed returns the adapters of a host that requests were sent for since it was last
-// called.
+// TakeUsed returns the adapters for which requests were sent to a host since the last
+// call.
 func (f *Feed) TakeUsed(address netip.AddrPort) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
-	for a := range f.ownUsed[address] {
+	for a := range f.directUsed[address] {
 		out = append(out, a)
 	}
-	delete(f.ownUsed, address)
+	delete(f.directUsed, address)
 	return out
 }
