--- a/io/relay/copy.go
+++ b/io/relay/copy.go
@@ -6,50 +6,50 @@
 	"radishwell/wire"
 )
 
-// Step is what an answer has from an offset on.
+// Step is the state of an answer at an offset.
 type Step struct {
 	// Head is nil until the upstream has answered.
 	Head *wire.AnswerHead
-	// Data follows the offset; it must not be changed.
+	// Data is the part of the body that begins at the offset. It must not be changed.
 	Data []byte
-	// End is set once the answer is complete; it counts when Data is empty.
+	// End is set once the answer is complete. It applies only if Data is empty.
 	End *wire.End
-	// Turn is closed when there is more.
+	// Turn is closed when the answer has changed.
 	Turn <-chan struct{}
 }
 
-// Source returns the step of a growing answer at an offset.
+// Source returns the step of a growing answer at an offset in bytes of its body.
 type Source func(offset int64) (Step, error)
 
-// Copy writes an answer from an offset to a connection until the answer ends.
-// The head is sent first where the offset is zero. Its errors are the
-// context's, the connection's, or the source's.
+// Copy writes an answer from an offset to a connection until the answer ends. The head is
+// sent first if the offset is zero. Its error is that of the context, the connection or
+// the source.
 func Copy(ctx context.Context, w *Writer, from Source, offset int64) error {
-	headed := offset > 0
+	headSent := offset > 0
 	for {
 		step, err := from(offset)
 		if err != nil {
 			return err
 		}
-		if !headed && step.Head != nil {
+		if !headSent && step.Head != nil {
 			if err := w.Head(step.Head); err != nil {
 				return err
 			}
-			headed = true
+			headSent = true
 		}
 		if len(step.Data) > 0 {
 			if err := w.Data(step.Data); err != nil {
 				return err
 			}
 			offset += int64(len(step.Data))
-			if len(step.Data) < maxPiece {
+			if len(step.Data) < maxData {
 				continue
 			}
 		}
 		if len(step.Data) == 0 && step.End != nil {
 			return Finish(w, step.End)
 		}
-		// A token is never held back: what is there is sent before the wait.
+		// Tokens are not delayed: pending data is sent before the wait for more.
 		if err := w.Flush(); err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 	}
 }
 
-// Finish writes the last frame and sends it.
+// Finish writes the last frame and flushes the writer.
 func Finish(w *Writer, e *wire.End) error {
 	if err := w.End(e); err != nil {
 		return err
--- a/io/relay/doc.go
+++ b/io/relay/doc.go
@@ -1,4 +1,5 @@
-// Package relay carries answers from an agent to an entry: a stream of framed
-// messages on an HTTP/2 response, and the bounded buffer from which an answer
-// is resumed at an offset after a connection was lost.
+// Package relay carries answers from an agent to an entry. An answer is a stream of
+// length-prefixed protobuf messages, called frames, in the body of an HTTP/2 response.
+// The agent keeps a bounded part of it in a Spool, so that an entry whose connection was
+// lost can resume the answer at an offset.
 package relay
--- a/io/relay/frame.go
+++ b/io/relay/frame.go
@@ -19,14 +19,15 @@
 )
 
 const (
-	// maxHead bounds the head of a request, its header fields included.
+	// maxHead bounds the head of a request in bytes, including its header fields.
 	maxHead = 1 << 20
-	// maxFrame bounds one frame. An agent cuts its data smaller than that.
-	maxFrame   = 1 << 20
-	readBuffer = 16 << 10
+	// maxFrame bounds one frame in bytes. An agent sends at most maxData bytes in a
+	// frame.
+	maxFrame       = 1 << 20
+	readBufferSize = 16 << 10
 )
 
-// FrameError reports an answer that breaks the framing or ends without an end.
+// FrameError reports an answer that breaks the framing or that ends without an end frame.
 type FrameError struct{ Cause error }
 
 // Error implements error.
@@ -41,7 +42,8 @@
 	return err
 }
 
-// ReadHead reads the head of a request; the body follows on the same reader.
+// ReadHead reads the head of a request; the body follows on the same reader. Its error is
+// a FrameError.
 func ReadHead(r *bufio.Reader) (*wire.WorkHead, error) {
 	head := &wire.WorkHead{}
 	if err := (protodelim.UnmarshalOptions{MaxSize: maxHead}).UnmarshalFrom(r, head); err != nil {
@@ -50,28 +52,28 @@
 	return head, nil
 }
 
-// Writer writes an answer's frames. They are gathered until Flush: each flush is
-// a packet and wakes the reader, and several frames are often there at once.
+// Writer writes the frames of an answer. It buffers them until Flush, because each flush
+// sends a packet and wakes the reader, and several frames are often ready at once.
 type Writer struct {
-	to    io.Writer
-	flush *http.ResponseController
-	buf   []byte
-	frame wire.Frame
-	data  wire.Frame_Data
+	w       io.Writer
+	control *http.ResponseController
+	buf     []byte
+	frame   wire.Frame
+	data    wire.Frame_Data
 }
 
-// NewWriter returns a writer of frames on an HTTP response.
+// NewWriter returns a Writer that writes frames to an HTTP response.
 func NewWriter(w http.ResponseWriter) *Writer {
-	return &Writer{to: w, flush: http.NewResponseController(w)}
+	return &Writer{w: w, control: http.NewResponseController(w)}
 }
 
-// Head writes the upstream's status and header.
+// Head writes the status and header of the upstream's answer.
 func (w *Writer) Head(h *wire.AnswerHead) error {
 	w.frame.Kind = &wire.Frame_Head{Head: h}
 	return w.write()
 }
 
-// Data writes a piece of the body.
+// Data writes a part of the body.
 func (w *Writer) Data(p []byte) error {
 	w.data.Data = p
 	w.frame.Kind = &w.data
@@ -91,49 +93,50 @@
 	return err
 }
 
-// Flush sends the frames written since the last one.
+// Flush sends the frames written since the last flush.
 func (w *Writer) Flush() error {
 	if len(w.buf) == 0 {
 		return nil
 	}
-	_, err := w.to.Write(w.buf)
+	_, err := w.w.Write(w.buf)
 	w.buf = w.buf[:0]
 	if err != nil {
 		return err
 	}
-	return w.flush.Flush()
+	return w.control.Flush()
 }
 
-// Reader reads an answer's frames.
+// Reader reads the frames of an answer.
 type Reader struct {
-	from *bufio.Reader
+	r    *bufio.Reader
 	buf  []byte
 	data wire.Frame_Data
 }
 
-var readers = sync.Pool{New: func() any { return &Reader{from: bufio.NewReaderSize(nil, readBuffer)} }}
+var readerPool = sync.Pool{New: func() any { return &Reader{r: bufio.NewReaderSize(nil, readBufferSize)} }}
 
-// NewReader returns a reader of frames. Release gives its buffers back; it need
-// not be called.
+// NewReader returns a Reader from a pool. Release returns it to the pool; calling it is
+// optional.
 func NewReader(from io.Reader) *Reader {
-	r := readers.Get().(*Reader)
-	r.from.Reset(from)
+	r := readerPool.Get().(*Reader)
+	r.r.Reset(from)
 	return r
 }
 
-// Release ends the use of the reader and of the data it has read.
+// Release returns the reader to the pool. Neither the reader nor data read from it may be
+// used afterwards.
 func (r *Reader) Release() {
-	r.from.Reset(nil)
+	r.r.Reset(nil)
 	r.data.Data = nil
-	if cap(r.buf) > maxPiece {
+	if cap(r.buf) > maxData {
 		r.buf = nil
 	}
-	readers.Put(r)
+	readerPool.Put(r)
 }
 
-// Next reads the next frame into f. The bytes of a data frame are valid until
-// the next call. Its error is a FrameError; the end of the stream is one too,
-// since an answer is complete only with its end frame.
+// Next reads the next frame into f. The bytes of a data frame are valid until the next
+// call. Its error is a FrameError. The end of the stream is an error, too, since an
+// answer is complete only with its end frame.
 func (r *Reader) Next(f *wire.Frame) error {
 	if err := r.next(f); err != nil {
 		if errors.Is(err, io.EOF) {
@@ -144,14 +147,14 @@
 	return nil
 }
 
-// SizeError reports a frame that is larger than any that is sent.
+// SizeError reports a frame of more than maxFrame bytes.
 type SizeError struct{ Size uint64 }
 
 // Error implements error.
 func (*SizeError) Error() string { return "the frame is too large" }
 
 func (r *Reader) next(f *wire.Frame) error {
-	size, err := binary.ReadUvarint(r.from)
+	size, err := binary.ReadUvarint(r.r)
 	if err != nil {
 		return err
 	}
@@ -159,10 +162,10 @@
 		return &SizeError{Size: size}
 	}
 	r.buf = slices.Grow(r.buf[:0], int(size))[:size]
-	if _, err := io.ReadFull(r.from, r.buf); err != nil {
+	if _, err := io.ReadFull(r.r, r.buf); err != nil {
 		return err
 	}
-	if piece, ok := dataOf(r.buf); ok {
+	if piece, ok := decodeData(r.buf); ok {
 		r.data.Data = piece
 		f.Kind = &r.data
 		return nil
@@ -170,22 +173,22 @@
 	return proto.Unmarshal(r.buf, f)
 }
 
-// dataField is the number of the data field in wire.Frame.
-const dataField = 2
+// dataFieldNumber is the number of the data field in wire.Frame.
+const dataFieldNumber = 2
 
-// dataOf returns the bytes of a frame that is a data frame and nothing else.
-// Nearly all frames are; decoding them like others takes three allocations for
-// each token.
-func dataOf(frame []byte) ([]byte, bool) {
+// decodeData returns the bytes of a frame that holds a data field and nothing else, which
+// nearly all frames do. Decoding them with package proto takes three allocations for each
+// token.
+func decodeData(frame []byte) ([]byte, bool) {
 	number, kind, n := protowire.ConsumeTag(frame)
-	if n < 0 || number != dataField || kind != protowire.BytesType {
+	if n < 0 || number != dataFieldNumber || kind != protowire.BytesType {
 		return nil, false
 	}
 	piece, m := protowire.ConsumeBytes(frame[n:])
 	return piece, m >= 0 && n+m == len(frame)
 }
 
-// EndOf returns the end frame of a refusal; of a whole answer where r is nil.
+// EndOf returns the end frame for a refusal, or for a complete answer if r is nil.
 func EndOf(r *core.Refusal) *wire.End {
 	if r == nil {
 		return &wire.End{Outcome: uint32(core.Done)}
@@ -197,8 +200,7 @@
 	return e
 }
 
-// RefusalOf returns the refusal an end frame carries, or nil for a whole
-// answer.
+// RefusalOf returns the refusal in an end frame, or nil for a complete answer.
 func RefusalOf(e *wire.End, host core.HostName) *core.Refusal {
 	if core.Outcome(e.GetOutcome()) == core.Done {
 		return nil
@@ -208,8 +210,7 @@
 	return r
 }
 
-// Time returns a time sent as nanoseconds since the Unix epoch; zero is the
-// zero time.
+// Time converts nanoseconds since the Unix epoch to a time; zero becomes the zero time.
 func Time(nanos int64) time.Time {
 	if nanos == 0 {
 		return time.Time{}
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -20,7 +20,7 @@
 	"radishwell/wire"
 )
 
-// readAll reads frames up to the end and returns the body and the end.
+// readAll reads frames up to the end frame, and returns the body and the end.
 func readAll(t *testing.T, from io.Reader) (string, *wire.End) {
 	t.Helper()
 	r := relay.NewReader(from)
@@ -52,7 +52,8 @@
 	assert.Equal(t, got.Code, refusal.Code)
 	assert.Assert(t, got.RetryAt.Equal(refusal.RetryAt))
 
-	// A connection breaks at any byte: half an answer is never taken for a whole.
+	// The connection breaks before the last byte: an incomplete answer must not be taken
+	// for a complete one.
 	r := relay.NewReader(bytes.NewReader(raw[:len(raw)-1]))
 	var f wire.Frame
 	var err error
@@ -76,39 +77,40 @@
 	assert.Equal(t, string(rest), "body")
 }
 
-// cutWriter breaks after some bytes, as a connection that is lost.
-type cutWriter struct {
+// failingWriter fails after some bytes, like a lost connection.
+type failingWriter struct {
 	*httptest.ResponseRecorder
-	left int
+	remaining int
 }
 
-func (w *cutWriter) Write(p []byte) (int, error) {
-	if w.left -= len(p); w.left < 0 {
+func (w *failingWriter) Write(p []byte) (int, error) {
+	if w.remaining -= len(p); w.remaining < 0 {
 		return 0, io.ErrClosedPipe
 	}
 	return w.ResponseRecorder.Write(p)
 }
 
-// A connection is lost again and again while an answer grows. Its reader comes
-// back each time at the offset it had reached, and must have every byte once.
+// TestResumeAtOffset: a connection is lost again and again while an answer grows. Its
+// reader resumes each time at the offset that it had reached, and must get every byte
+// exactly once.
 func TestResumeAtOffset(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	s := relay.NewSpool()
 	s.Head(&wire.AnswerHead{Status: 200})
-	var want bytes.Buffer
+	var sent bytes.Buffer
 	go func() {
 		for i := range 400 {
 			token := "t" + strconv.Itoa(i) + " "
-			want.WriteString(token)
+			sent.WriteString(token)
 			assert.Check(t, s.Write(context.Background(), []byte(token)) == nil)
 		}
 		s.End(relay.EndOf(nil))
 	}()
 	var got bytes.Buffer
 	for range 1000 {
-		cut := &cutWriter{ResponseRecorder: httptest.NewRecorder(), left: 20 + rng.IntN(4000)}
-		err := relay.Copy(t.Context(), relay.NewWriter(cut), s.Next, int64(got.Len()))
-		r := relay.NewReader(cut.Body)
+		w := &failingWriter{ResponseRecorder: httptest.NewRecorder(), remaining: 20 + rng.IntN(4000)}
+		err := relay.Copy(t.Context(), relay.NewWriter(w), s.Next, int64(got.Len()))
+		r := relay.NewReader(w.Body)
 		var f wire.Frame
 		for r.Next(&f) == nil {
 			if d, ok := f.Kind.(*wire.Frame_Data); ok {
@@ -116,15 +118,15 @@
 			}
 		}
 		if err == nil {
-			assert.Equal(t, got.String(), want.String())
+			assert.Equal(t, got.String(), sent.String())
 			return
 		}
 	}
 	t.Fatal("the answer never ended")
 }
 
-// A caller reads slowly while the engine is fast. The answer must not pile up:
-// the writer waits once it is a window ahead.
+// TestSlowReaderIsBounded: a caller reads slowly while the engine is fast. The writer
+// must block once it is a window ahead, so that the buffer stays bounded.
 func TestSlowReaderIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := relay.NewSpool()
@@ -142,7 +144,7 @@
 			}
 		}()
 		synctest.Wait()
-		assert.Assert(t, written <= 1200, "%d bytes piled up", written)
+		assert.Assert(t, written <= 1200, "%d bytes buffered", written)
 		before := written
 		_, err := s.Next(500)
 		assert.NilError(t, err)
@@ -172,14 +174,14 @@
 	})
 }
 
-// discard is an HTTP response that goes nowhere.
-type discard struct{ httptest.ResponseRecorder }
+// discardWriter is an HTTP response that discards its body.
+type discardWriter struct{ httptest.ResponseRecorder }
 
-func (*discard) Write(p []byte) (int, error) { return len(p), nil }
-func (*discard) Flush()                      {}
+func (*discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (*discardWriter) Flush()                      {}
 
 func BenchmarkTokenOut(b *testing.B) {
-	w := relay.NewWriter(&discard{})
+	w := relay.NewWriter(&discardWriter{})
 	token := bytes.Repeat([]byte("x"), 190)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/io/relay/spool.go
+++ b/io/relay/spool.go
@@ -8,63 +8,64 @@
 	"radishwell/wire"
 )
 
-// DefaultWindow is how many bytes of an answer a spool holds for readers that
-// come back: about a thousand streamed tokens.
+// DefaultWindow is the default of Spool.Window in bytes: about a thousand streamed
+// tokens.
 const DefaultWindow = 256 << 10
 
-// LostError reports an offset that a spool no longer holds.
+// LostError reports an offset that is outside the data that a spool holds. First is the
+// first offset held.
 type LostError struct{ Offset, First int64 }
 
 // Error implements error.
 func (e *LostError) Error() string { return "the answer's beginning is no longer held" }
 
-// Spool holds an answer between the upstream that produces it and the
-// connections that read it.
+// Spool buffers an answer between the upstream that produces it and the connections that
+// read it. Its methods may be called from several goroutines.
 //
-// It answers two failures. A connection that something between entry and agent
-// has lost track of goes silent: the entry opens a new one and reads on at its
-// offset, so no token is lost or doubled. A reader slower than the upstream
-// would make the answer pile up: the writer waits once it is a window ahead of
-// the reader, so memory stays bounded.
+// It handles two failures. If a connection goes silent, because a device between entry
+// and agent has lost its state, the entry opens a new one and resumes at its offset, so
+// no token is lost or repeated. If a reader is slower than the upstream, the writer
+// blocks once it is a window ahead of the reader, so memory stays bounded.
 type Spool struct {
-	// Window is the most bytes held before and after the reader's offset.
-	Window int
-	mu     sync.Mutex
-	head   *wire.AnswerHead
-	data   []byte
-	first  int64 // offset of data[0] in the answer
-	read   int64 // the reader's offset
-	end    *wire.End
-	turn   chan struct{}
+	// Window is the largest number of bytes held on each side of the reader's offset; it
+	// may be exceeded by one write ahead of the reader, and by up to a window behind it.
+	Window       int
+	mu           sync.Mutex
+	head         *wire.AnswerHead
+	data         []byte
+	start        int64 // offset of data[0] in the answer
+	readerOffset int64 // the largest offset passed to Next
+	end          *wire.End
+	changed      chan struct{}
 }
 
 // NewSpool returns a spool with the default window.
-func NewSpool() *Spool { return &Spool{Window: DefaultWindow, turn: make(chan struct{})} }
+func NewSpool() *Spool { return &Spool{Window: DefaultWindow, changed: make(chan struct{})} }
 
-// wake tells all waiters that something changed. The caller holds the lock.
-func (s *Spool) wake() {
-	close(s.turn)
-	s.turn = make(chan struct{})
+// broadcast wakes all goroutines that wait for a change. The caller holds mu.
+func (s *Spool) broadcast() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Head sets the answer's status and header.
+// Head sets the status and header of the answer.
 func (s *Spool) Head(h *wire.AnswerHead) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.head = h
-	s.wake()
+	s.broadcast()
 }
 
-// Write appends to the answer. It blocks while the writer is a window ahead of
-// the reader; its error is the context's.
+// Write appends to the answer. It blocks while the writer is more than a window ahead of
+// the reader. Its error is the context's cause.
 func (s *Spool) Write(ctx context.Context, p []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.first+int64(len(s.data))-s.read > int64(s.Window) {
-		turn := s.turn
+	for s.start+int64(len(s.data))-s.readerOffset > int64(s.Window) {
+		changed := s.changed
 		s.mu.Unlock()
 		select {
-		case <-turn:
+		case <-changed:
 		case <-ctx.Done():
 			s.mu.Lock()
 			return context.Cause(ctx)
@@ -73,86 +74,87 @@
 	}
 	s.data = append(s.data, p...)
 	s.trim()
-	s.wake()
+	s.broadcast()
 	return nil
 }
 
-// trim drops what lies more than a window before the reader.
+// trim drops data that lies more than a window before the reader's offset, once that is a
+// window's worth. The caller holds mu.
 func (s *Spool) trim() {
-	drop := s.read - s.first - int64(s.Window)
-	if drop < int64(s.Window) {
+	excess := s.readerOffset - s.start - int64(s.Window)
+	if excess < int64(s.Window) {
 		return
 	}
-	s.data = append(make([]byte, 0, len(s.data)-int(drop)+s.Window), s.data[drop:]...)
-	s.first += drop
+	s.data = append(make([]byte, 0, len(s.data)-int(excess)+s.Window), s.data[excess:]...)
+	s.start += excess
 }
 
-// Notify tells the readers of an answer that is kept elsewhere that it has
+// Notify wakes readers. It is for answers whose data is stored outside the spool and has
 // grown.
 func (s *Spool) Notify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wake()
+	s.broadcast()
 }
 
-// Peek returns the answer's head and end without its data.
+// Peek returns the answer's head and end without data.
 func (s *Spool) Peek() Step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Step{Head: s.head, End: s.end, Turn: s.turn}
+	return Step{Head: s.head, End: s.end, Turn: s.changed}
 }
 
-// End closes the answer. Only the first call counts.
+// End completes the answer. Calls after the first have no effect.
 func (s *Spool) End(e *wire.End) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.end != nil {
 		return
 	}
-	e.Bytes = s.first + int64(len(s.data))
+	e.Bytes = s.start + int64(len(s.data))
 	s.end = e
-	s.wake()
+	s.broadcast()
 }
 
-// Ended returns the end, or nil while the answer is growing.
+// Ended returns the end, or nil if the answer is not complete.
 func (s *Spool) Ended() *wire.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.end
 }
 
-// Size returns how many bytes of the answer there are so far.
+// Size returns the number of bytes written so far.
 func (s *Spool) Size() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.first + int64(len(s.data))
+	return s.start + int64(len(s.data))
 }
 
-// maxPiece keeps a data frame well below what a reader accepts.
-const maxPiece = 64 << 10
+// maxData bounds the bytes in a data frame, well below maxFrame.
+const maxData = 64 << 10
 
 // Next implements Source. Its error is a LostError.
 func (s *Spool) Next(offset int64) (Step, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := offset - s.first
+	at := offset - s.start
 	if at < 0 || at > int64(len(s.data)) {
-		return Step{}, &LostError{Offset: offset, First: s.first}
+		return Step{}, &LostError{Offset: offset, First: s.start}
 	}
-	if offset > s.read {
-		s.read = offset
+	if offset > s.readerOffset {
+		s.readerOffset = offset
 		s.trim()
-		s.wake()
-		at = offset - s.first
+		s.broadcast()
+		at = offset - s.start
 	}
 	piece := s.data[at:]
-	if len(piece) > maxPiece {
-		piece = piece[:maxPiece]
+	if len(piece) > maxData {
+		piece = piece[:maxData]
 	}
-	return Step{Head: s.head, Data: piece, End: s.end, Turn: s.turn}, nil
+	return Step{Head: s.head, Data: piece, End: s.end, Turn: s.changed}, nil
 }
 
-// Refused returns the refusal the answer ended with, or nil.
+// Refused returns the refusal with which the answer ended, or nil.
 func (s *Spool) Refused(host core.HostName) *core.Refusal {
 	if e := s.Ended(); e != nil {
 		return RefusalOf(e, host)
--- a/io/relay/strike.go
+++ b/io/relay/strike.go
@@ -6,7 +6,7 @@
 	"radishwell/wire"
 )
 
-// StrikesIn reads strikes from their wire form.
+// StrikesIn decodes strikes.
 func StrikesIn(list []*wire.Strike) []strike.Record {
 	out := make([]strike.Record, 0, len(list))
 	for _, s := range list {
@@ -18,7 +18,7 @@
 	return out
 }
 
-// StrikesOut returns the wire form of strikes.
+// StrikesOut encodes strikes.
 func StrikesOut(list []strike.Record) []*wire.Strike {
 	out := make([]*wire.Strike, 0, len(list))
 	for _, r := range list {
