--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop is the goroutine round a state machine of core: it calls the
-// machine when its next time has come or when somebody wakes it.
+// Package loop runs the state machines of core in a goroutine: it calls a machine at the
+// time that the machine has asked for, or when it is woken.
 package loop
 
 import (
@@ -9,12 +9,12 @@
 	"radishwell/core"
 )
 
-// shortest keeps a step whose time has just passed from being called without a
-// pause.
-const shortest = time.Millisecond
+// minInterval is the least time between two steps that are not woken. It keeps a step
+// whose next time has passed from running in a busy loop.
+const minInterval = time.Millisecond
 
-// Poke wakes a loop. The channel has a capacity of one, so that wakes that come
-// while the loop is busy are taken together.
+// Poke wakes a loop without blocking. The channel must have a capacity of one, so that
+// wakes during a step are combined.
 func Poke(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -22,8 +22,8 @@
 	}
 }
 
-// Sleep waits for a time or the context's end, and tells whether the context is
-// still running.
+// Sleep waits for d or the end of the context. It reports whether the context is still
+// running.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -35,24 +35,24 @@
 	}
 }
 
-// Run calls step until the context ends: at the time that the last call
-// returned, when alarm fires, and at least once in longest. The zero time is "no
-// time of its own".
-func Run(ctx context.Context, clock core.Clock, alarm <-chan struct{}, longest time.Duration, step func(now time.Time) time.Time) error {
+// Run calls step until the context ends: at the time that the last call returned, when
+// wake receives, and at least once per maxInterval. The zero time means that the step has
+// no next time. Run returns nil.
+func Run(ctx context.Context, clock core.Clock, wake <-chan struct{}, maxInterval time.Duration, step func(now time.Time) time.Time) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-		case <-alarm:
+		case <-wake:
 		case <-ctx.Done():
 			return nil
 		}
 		now := clock.Now()
-		wait := longest
+		interval := maxInterval
 		if next := step(now); !next.IsZero() {
-			wait = min(longest, max(shortest, next.Sub(now)))
+			interval = min(maxInterval, max(minInterval, next.Sub(now)))
 		}
-		timer.Reset(wait)
+		timer.Reset(interval)
 	}
 }
--- a/io/loop/loop_test.go
+++ b/io/loop/loop_test.go
@@ -11,34 +11,35 @@
 	"radishwell/io/loop"
 )
 
-type bubbleClock struct{}
+type fakeClock struct{}
 
-func (bubbleClock) Now() time.Time { return time.Now() }
+func (fakeClock) Now() time.Time { return time.Now() }
 
-func TestPokesAreTakenTogether(t *testing.T) {
-	alarm := make(chan struct{}, 1)
-	loop.Poke(alarm)
-	loop.Poke(alarm)
-	assert.Equal(t, len(alarm), 1)
+func TestPokesAreCombined(t *testing.T) {
+	wake := make(chan struct{}, 1)
+	loop.Poke(wake)
+	loop.Poke(wake)
+	assert.Equal(t, len(wake), 1)
 }
 
 func TestRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		alarm := make(chan struct{}, 1)
-		began := time.Now()
-		// At once; after the longest wait; at the time returned; when poked.
-		next := []time.Time{{}, began.Add(1200 * time.Millisecond), {}, {}}
+		wake := make(chan struct{}, 1)
+		start := time.Now()
+		// The calls come at once, after the longest interval, at the returned time, and when
+		// woken.
+		next := []time.Time{{}, start.Add(1200 * time.Millisecond), {}, {}}
 		var calls []time.Duration
 		ended := make(chan error, 1)
 		go func() {
-			ended <- loop.Run(ctx, bubbleClock{}, alarm, time.Second, func(now time.Time) time.Time {
-				calls = append(calls, now.Sub(began))
+			ended <- loop.Run(ctx, fakeClock{}, wake, time.Second, func(now time.Time) time.Time {
+				calls = append(calls, now.Sub(start))
 				return next[len(calls)-1]
 			})
 		}()
 		time.Sleep(1300 * time.Millisecond)
-		loop.Poke(alarm)
+		loop.Poke(wake)
 		synctest.Wait()
 		stop()
 		assert.NilError(t, <-ended)
--- a/io/stale/doc.go
+++ b/io/stale/doc.go
@@ -1,3 +1,3 @@
-// Package stale reports how far a process's replicas are behind, and which exchanges with
-// peers fail, in logs and metrics.
+// Package stale exposes, in logs and metrics, how far the replicas of a process are
+// behind and which exchanges with peers fail.
 package stale
--- a/io/stale/stale.go
+++ b/io/stale/stale.go
@@ -10,17 +10,17 @@
 	"radishwell/io/peer"
 )
 
-// Feed exports the lag and age of a store's replicas to the meter, and logs replicas that are
-// behind. It has to be called before the store is used.
+// Feed exports the lag and age of a store's replicas to the meter, and logs replicas that
+// are behind. It must be called before the store is used.
 func Feed(m *meter.Meter, s *peer.Store) {
-	s.Behind = func(l peer.Lag) { tell(s.Clock.Now(), l) }
+	s.Behind = func(l peer.Lag) { logLag(s.Clock.Now(), l) }
 	for _, kind := range s.Kinds {
 		m.ReplicaLag(kind, func() time.Duration { return s.Lag(kind) })
 		m.ReplicaAge(kind, func() time.Duration { return Age(s, kind) })
 	}
 }
 
-func tell(now time.Time, l peer.Lag) {
+func logLag(now time.Time, l peer.Lag) {
 	if l.Over {
 		events.Log(events.ReplicaCaughtUp, "kind", l.Kind, "revision", l.Held, "after", now.Sub(l.Since))
 		return
@@ -29,19 +29,19 @@
 		"platform-word-age", ageOf(l.Fresh, now))
 }
 
-// Failed logs a failed call of a peer. One that ended while its answer arrived has an event of
-// its own.
+// Failed logs a failed call to a peer. A call that failed while its reply was arriving
+// has a separate event.
 func Failed(err error) {
-	var cut *peer.CallError
-	if errors.As(err, &cut) && cut.Read > 0 {
-		events.Fail(events.TransferCut, err, "bytes", cut.Read)
+	var callErr *peer.CallError
+	if errors.As(err, &callErr) && callErr.Read > 0 {
+		events.Fail(events.TransferCut, err, "bytes", callErr.Read)
 		return
 	}
 	events.Fail(events.PeerUnreachable, err)
 }
 
-// Age returns the age of the platform's last word that a replica lacks nothing, negative
-// where there was none.
+// Age returns the time since the platform last confirmed that a replica lacks nothing, or
+// a negative value if it never did.
 func Age(s *peer.Store, kind core.Kind) time.Duration {
 	return ageOf(s.Status(kind).Fresh, s.Clock.Now())
 }
--- a/io/steady/steady.go
+++ b/io/steady/steady.go
@@ -6,65 +6,66 @@
 	"time"
 )
 
-// mostTime bounds the total duration of an answer.
-const mostTime = 15 * time.Second
+// maxDuration bounds the time for reading an answer, on top of the time until it begins.
+const maxDuration = 15 * time.Second
 
-// SilenceError reports an answer that did not begin, or did not go on, in time.
+// SilenceError reports an answer that did not begin in time, or during which nothing
+// arrived for too long.
 type SilenceError struct{}
 
 // Error implements error.
 func (*SilenceError) Error() string { return "the other side has gone silent" }
 
-// Call is a call that is in progress.
+// Call is a call in progress.
 type Call struct {
-	// Context is the call's; it ends when the other side has been silent for too long.
+	// Context is the context of the call; it ends when the other side has been silent for
+	// too long.
 	Context context.Context
 
-	giveUp context.CancelCauseFunc
+	cancel context.CancelCauseFunc
 	stop   context.CancelFunc
 	timer  *time.Timer
 }
 
-// Start begins a call whose answer has to begin within the given time. The caller has to
-// call Stop.
-func Start(ctx context.Context, within time.Duration) *Call {
+// Start begins a call whose answer must begin within timeout. The caller must call Stop.
+func Start(ctx context.Context, timeout time.Duration) *Call {
 	c := &Call{}
-	ctx, c.stop = context.WithTimeout(ctx, within+mostTime)
-	c.Context, c.giveUp = context.WithCancelCause(ctx)
-	c.timer = time.AfterFunc(within, func() { c.giveUp(&SilenceError{}) })
+	ctx, c.stop = context.WithTimeout(ctx, timeout+maxDuration)
+	c.Context, c.cancel = context.WithCancelCause(ctx)
+	c.timer = time.AfterFunc(timeout, func() { c.cancel(&SilenceError{}) })
 	return c
 }
 
-// Stop ends the call.
+// Stop ends the call and releases its resources.
 func (c *Call) Stop() {
 	c.timer.Stop()
-	c.giveUp(nil)
+	c.cancel(nil)
 	c.stop()
 }
 
-// ReadAll reads the answer. Its error is a SilenceError if nothing arrives for longer than
-// pause.
-func (c *Call) ReadAll(from io.Reader, pause time.Duration) ([]byte, error) {
-	c.timer.Reset(pause)
-	data, err := io.ReadAll(&reader{from: from, timer: c.timer, pause: pause})
+// ReadAll reads the answer. Its error is a SilenceError if nothing arrives for longer
+// than timeout.
+func (c *Call) ReadAll(from io.Reader, timeout time.Duration) ([]byte, error) {
+	c.timer.Reset(timeout)
+	data, err := io.ReadAll(&reader{from: from, timer: c.timer, timeout: timeout})
 	if err != nil && context.Cause(c.Context) != nil {
 		err = context.Cause(c.Context)
 	}
 	return data, err
 }
 
-// reader resets a timer on each read that returns data.
+// reader restarts a timer on each read that returns data.
 type reader struct {
-	from  io.Reader
-	timer *time.Timer
-	pause time.Duration
+	from    io.Reader
+	timer   *time.Timer
+	timeout time.Duration
 }
 
 // Read implements io.Reader.
 func (r *reader) Read(p []byte) (int, error) {
 	n, err := r.from.Read(p)
 	if n > 0 {
-		r.timer.Reset(r.pause)
+		r.timer.Reset(r.timeout)
 	}
 	return n, err
 }
--- a/io/steady/steady_test.go
+++ b/io/steady/steady_test.go
@@ -12,9 +12,10 @@
 	"radishwell/io/steady"
 )
 
-const pause = time.Second
+const timeout = time.Second
 
-// send writes pieces with a gap before each, then leaves the pipe open or closes it.
+// send writes pieces of one byte, each after a gap. It then closes the pipe if closes is
+// set.
 func send(w *io.PipeWriter, pieces int, gap time.Duration, closes bool) {
 	for range pieces {
 		time.Sleep(gap)
@@ -30,7 +31,7 @@
 func read(t *testing.T, pieces int, gap time.Duration, closes bool) (int, error) {
 	t.Helper()
 	r, w := io.Pipe()
-	c := steady.Start(t.Context(), pause)
+	c := steady.Start(t.Context(), timeout)
 	defer c.Stop()
 	sent := make(chan struct{})
 	go func() {
@@ -38,10 +39,10 @@
 		send(w, pieces, gap, closes)
 	}()
 	go func() {
-		<-c.Context.Done() // as a connection ends with its context
+		<-c.Context.Done() // A connection, too, ends with its context.
 		_ = r.CloseWithError(c.Context.Err())
 	}()
-	data, err := c.ReadAll(r, pause)
+	data, err := c.ReadAll(r, timeout)
 	_ = r.Close()
 	<-sent
 	return len(data), err
@@ -50,21 +51,21 @@
 func TestAnswers(t *testing.T) {
 	var silent *steady.SilenceError
 	for _, c := range []struct {
-		name   string
-		pieces int
-		gap    time.Duration
-		closes bool
-		whole  bool
+		name     string
+		pieces   int
+		gap      time.Duration
+		closes   bool
+		complete bool
 	}{
-		{"one that arrives all the time is read", 10, pause / 2, true, true},
-		{"one that stops is given up", 3, pause / 2, false, false},
-		{"one with a long pause is given up", 3, 2 * pause, true, false},
-		{"one without an end is given up", 1000, pause / 2, true, false},
+		{"an answer that arrives steadily is read", 10, timeout / 2, true, true},
+		{"an answer that stops is abandoned", 3, timeout / 2, false, false},
+		{"an answer with a long pause is abandoned", 3, 2 * timeout, true, false},
+		{"an answer without an end is abandoned", 1000, timeout / 2, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n, err := read(t, c.pieces, c.gap, c.closes)
-				if c.whole {
+				if c.complete {
 					assert.NilError(t, err)
 					assert.Equal(t, n, c.pieces)
 					return
