--- a/io/peer/fetch.go
+++ b/io/peer/fetch.go
@@ -31,14 +31,14 @@
 	maxSources = 8
 	// downloadTTL is how long a download is kept after a peer last offered it.
 	downloadTTL = 30 * time.Second
-	// maxSize bounds a payload, in bytes before compression.
+	// maxPayload bounds a payload, in bytes before compression.
 	maxPayload = maxMessage
 	// firstFetchTimeout bounds how long a starting process waits for downloads.
 	firstFetchTimeout = 2 * time.Second
 )
 
-// blobID identifies a payload: the specification of one version of an object, or, if name
-// is empty, the delta of a kind from a version.
+// payloadID identifies a payload: the specification of one version of an object, or, if
+// name is empty, the delta of a kind from a version.
 type payloadID struct {
 	kind    core.Kind
 	name    string
@@ -56,7 +56,7 @@
 	total, sum uint64
 	// sources are the peers that offered the payload, in the order in which they are asked.
 	sources []Target
-	// until is when the download expires.
+	// expires is when the download is abandoned.
 	expires time.Time
 }
 
--- a/io/peer/fetch_test.go
+++ b/io/peer/fetch_test.go
@@ -23,25 +23,25 @@
 // true, and empty replies for the others.
 func startPartSource(t *testing.T, p *payload, answers func(*wire.FetchCall) bool) *partSource {
 	t.Helper()
-	h := &partSource{}
-	h.Target, _ = serveCalls(t, &Handler{Fetch: func(c *wire.FetchCall) (*wire.FetchReply, error) {
-		h.mu.Lock()
-		h.offsets = append(h.offsets, c.GetOffset())
-		h.mu.Unlock()
+	s := &partSource{}
+	s.Target, _ = serveCalls(t, &Handler{Fetch: func(c *wire.FetchCall) (*wire.FetchReply, error) {
+		s.mu.Lock()
+		s.offsets = append(s.offsets, c.GetOffset())
+		s.mu.Unlock()
 		if !answers(c) {
 			return &wire.FetchReply{}, nil
 		}
 		total := uint64(len(p.data))
 		return &wire.FetchReply{Data: p.data[c.GetOffset():min(c.GetOffset()+partSize, total)], Size: total, Sum: p.sum, Unpacked: p.size}, nil
 	}})
-	return h
+	return s
 }
 
 // requestedOffsets returns the offsets requested so far.
-func (h *partSource) requestedOffsets() []uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return slices.Clone(h.offsets)
+func (s *partSource) requestedOffsets() []uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.offsets)
 }
 
 // deltaNaming returns a delta that names a version of the large object and omits its
--- a/io/peer/soft.go
+++ b/io/peer/soft.go
@@ -29,7 +29,7 @@
 	// clock cannot exclude a host for ever.
 	maxMarkAge = 15 * time.Minute
 	// minExtension is by how much the expiry of a mark must move for the mark to count as
-	// changed.
+	// changed. A new rate always counts.
 	minExtension = 10 * time.Second
 	// A message carries the marks that changed within recentTime, up to maxRecentMarks,
 	// and in rotation up to maxRepeatedMarks of the others, for peers that missed them.
@@ -48,7 +48,7 @@
 	Kind string
 	// Incarnation identifies the run of the host's process to which the mark applies.
 	Incarnation core.Incarnation
-	// Expires is when the mark is forgotten.
+	// Expires is when the mark is removed.
 	Expires time.Time
 	// Rate is the limit in requests per second for MarkLimited; zero if the upstream
 	// names none.
--- a/io/peer/store.go
+++ b/io/peer/store.go
@@ -83,7 +83,7 @@
 	// downloads them.
 	downloads    map[payloadID]*download
 	downloadWake chan struct{}
-	// packs caches payloads served to peers.
+	// payloads caches payloads served to peers.
 	payloads map[payloadID]*payload
 }
 
--- a/io/peer/sync.go
+++ b/io/peer/sync.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// Each process exchanges digests with syncPeers peers every syncPeriod. This alone
-	// brings a change to all processes within a few seconds.
+	// syncPeriod is how often each process exchanges digests, and syncPeers with how many
+	// peers. This alone brings a change to all processes within a few seconds.
 	syncPeriod = time.Second
 	syncPeers  = 2
 	// minSyncGap is the least time between two exchanges that a process starts early
