--- a/io/deploy/entry.go
+++ b/io/deploy/entry.go
@@ -132,7 +132,7 @@
 	e.handler.Allow = e.quota.Serve
 	e.proxy.Quotas, e.proxy.Pacer = e.quota, e.quota
 	e.proxy.Behind = func() bool {
-		return e.clock.Now().Sub(e.state.Status(core.KindTable).Fresh) > tableAge
+		return e.clock.Now().Sub(e.state.Status(core.KindTable).FreshAt) > tableAge
 	}
 }
 
--- a/io/deploy/outage_test.go
+++ b/io/deploy/outage_test.go
@@ -25,7 +25,7 @@
 	}
 	e.proxy.Start()
 	if heard {
-		_, err := e.state.Serve(&wire.SyncCall{Through: []*wire.Through{{Kind: string(core.KindRegistry)}}})
+		_, err := e.state.ServeSync(&wire.SyncCall{Through: []*wire.Through{{Kind: string(core.KindRegistry)}}})
 		assert.NilError(t, err)
 	}
 	host := core.Object{
--- a/io/deploy/process.go
+++ b/io/deploy/process.go
@@ -89,8 +89,8 @@
 		WatchWaits: map[core.Kind]time.Duration{core.KindEntry: recordWait},
 	}
 	p.client = &peer.Client{
-		Called: p.meter.Peer,
-		Silent: func(t peer.Target) { events.Log(events.ConnectionSilent, "host", t.Host, "address", t.Address) },
+		OnCall: p.meter.Peer,
+		OnSilent: func(t peer.Target) { events.Log(events.ConnectionSilent, "host", t.Host, "address", t.Address) },
 	}
 }
 
--- a/io/deploy/signal.go
+++ b/io/deploy/signal.go
@@ -13,7 +13,7 @@
 // entries send counts there.
 func (e *entry) shareSignals() {
 	e.proxy.OnRateLimit, e.proxy.OnLeaving = e.spreadLimit, e.spreadLeaving
-	e.state.Marked = e.takeMarks
+	e.state.OnMarks = e.takeMarks
 	e.meter.LimitedUpstreams(e.proxy.LimitedHosts)
 }
 
--- a/io/deploy/watch.go
+++ b/io/deploy/watch.go
@@ -37,10 +37,10 @@
 		// after all have been killed, none of these answers.
 		Kinds: kinds, Confirm: kinds, Platform: e.store, Client: e.client, Clock: e.clock,
 		Peers: e.members.peers, Near: e.members.isNear, Watchers: watchers, Seed: rand.Uint64(), MaxRetry: storeRetry,
-		Changed: e.changed, Reached: e.platformBack, Failed: e.stateFailed,
+		OnChange: e.changed, OnAnswer: e.platformBack, OnError: e.stateFailed,
 	}
 	stale.Feed(e.meter, e.state)
-	e.handler.Sync, e.handler.Fetch = e.state.Serve, e.state.ServeFetch
+	e.handler.Sync, e.handler.Fetch = e.state.ServeSync, e.state.ServeFetch
 	e.parts = append(e.parts, e.state.Run)
 }
 
--- a/io/node/mesh.go
+++ b/io/node/mesh.go
@@ -32,16 +32,16 @@
 		}
 	}
 	n.Platform = &measured{Platform: n.Platform, meter: n.meter, clock: n.clock}
-	n.client = &peer.Client{TLS: n.tlsToPeer(), Silent: n.silent, Called: n.meter.Peer}
+	n.client = &peer.Client{TLS: n.tlsToPeer(), OnSilent: n.silent, OnCall: n.meter.Peer}
 	self := peer.Target{Host: n.Settings.Name, Address: n.Settings.Listen.Control}
 	n.store = &peer.Store{
 		Self: self, Kinds: storedKinds(), Confirm: n.confirmKinds(), Platform: n.Platform, Client: n.client, Clock: n.clock,
-		Peers: n.peers, Seed: uint64(n.incarnation), Changed: n.world.apply, Marked: n.members.marked,
+		Peers: n.peers, Seed: uint64(n.incarnation), OnChange: n.world.apply, OnMarks: n.members.marked,
 		Strikes: func() []*wire.Strike { return relay.StrikesOut(n.strikes()) },
-		Struck:  n.struck, Failed: n.failed,
+		JoinStrikes:  n.struck, OnError: n.failed,
 	}
 	stale.Feed(n.meter, n.store)
-	n.handler.Sync, n.handler.Fetch = n.store.Serve, n.store.ServeFetch
+	n.handler.Sync, n.handler.Fetch = n.store.ServeSync, n.store.ServeFetch
 	n.addPart("store", n.store.Run)
 	return nil
 }
@@ -187,7 +187,7 @@
 // spread sends strikes to all entries at once, and to the others with the next
 // exchange between peers.
 func (n *Node) spread(list []strike.Record) {
-	n.store.Kick()
+	n.store.SyncNow()
 	entries := n.world.entries()
 	entries = entries[:min(len(entries), mostTold)]
 	ended := make(chan struct{}, len(entries))
--- a/io/peer/bench_test.go
+++ b/io/peer/bench_test.go
@@ -41,7 +41,7 @@
 	oldest := time.Duration(0)
 	for _, p := range processes {
 		for _, kind := range p.Kinds {
-			oldest = max(oldest, time.Since(p.Status(kind).Fresh))
+			oldest = max(oldest, time.Since(p.Status(kind).FreshAt))
 		}
 	}
 	return oldest
--- a/io/peer/calls_test.go
+++ b/io/peer/calls_test.go
@@ -85,7 +85,7 @@
 	to, _ := serveCalls(t, &Handler{Probe: func(*wire.ProbeCall) (*wire.HostLoad, error) { return &wire.HostLoad{}, nil }})
 	proxyAddr, goSilent := startMidbox(t, to.Address)
 	var silent atomic.Int64
-	c := &Client{Silent: func(Target) { silent.Add(1) }}
+	c := &Client{OnSilent: func(Target) { silent.Add(1) }}
 	defer c.Close()
 	via := Target{Host: to.Host, Address: proxyAddr}
 	_, err := c.Probe(t.Context(), via, &wire.ProbeCall{})
@@ -183,7 +183,7 @@
 	to, _ := serveCalls(t, &Handler{Claim: func(*wire.ClaimCall) (*wire.ClaimReply, error) { return &wire.ClaimReply{Won: true}, nil }})
 	proxyAddr, goSilent := startMidbox(t, to.Address)
 	var silent atomic.Int64
-	c := &Client{Silent: func(Target) { silent.Add(1) }}
+	c := &Client{OnSilent: func(Target) { silent.Add(1) }}
 	defer c.Close()
 	via := Target{Host: to.Host, Address: proxyAddr}
 	_, err := c.Claim(t.Context(), via, &wire.ClaimCall{})
--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -70,12 +70,12 @@
 	// TLS returns the configuration for calls to a host, or nil for none. An empty host
 	// name stands for any process of this system.
 	TLS func(core.HostName) *tls.Config
-	// Silent, if set, is called for each connection that is closed because it went
+	// OnSilent, if set, is called for each connection that is closed because it went
 	// silent.
-	Silent func(Target)
-	// Called, if set, is called after each call with the method's name and whether it was
+	OnSilent func(Target)
+	// OnCall, if set, is called after each call with the method's name and whether it was
 	// answered.
-	Called func(method string, ok bool)
+	OnCall func(method string, ok bool)
 
 	mu      sync.Mutex
 	conns   map[Target]*clientConn
@@ -106,8 +106,8 @@
 	proto.Message
 }](ctx context.Context, c *Client, to Target, method string, in proto.Message) (P, error) {
 	out, err := callOnce[A, P](ctx, c, to, method, in)
-	if c.Called != nil {
-		c.Called(method, err == nil)
+	if c.OnCall != nil {
+		c.OnCall(method, err == nil)
 	}
 	return out, err
 }
@@ -204,8 +204,8 @@
 func (c *Client) discardDead(to Target, conn *clientConn, cause error) {
 	c.discard(to, conn)
 	var silent *SilentError
-	if c.Silent != nil && errors.As(cause, &silent) {
-		c.Silent(to)
+	if c.OnSilent != nil && errors.As(cause, &silent) {
+		c.OnSilent(to)
 	}
 }
 
@@ -248,8 +248,8 @@
 	idle = !dial && conn.users == 0 && !conn.idleSince.After(now.Add(-idlePingAfter))
 	conn.users++
 	c.mu.Unlock()
-	if silent && c.Silent != nil {
-		c.Silent(to)
+	if silent && c.OnSilent != nil {
+		c.OnSilent(to)
 	}
 	if dial {
 		go c.dial(to, conn)
--- a/io/peer/fetch.go
+++ b/io/peer/fetch.go
@@ -233,8 +233,8 @@
 	if err := s.complete(d, a.from, a.part.GetUnpacked()); err != nil {
 		d.data, d.total = nil, 0
 		s.removeSources(d, a.from)
-		if s.Failed != nil {
-			s.Failed(&CorruptError{Kind: d.id.kind, Name: d.id.name, Cause: err})
+		if s.OnError != nil {
+			s.OnError(&CorruptError{Kind: d.id.kind, Name: d.id.name, Cause: err})
 		}
 	}
 }
@@ -311,8 +311,8 @@
 	part, err := s.Client.Fetch(ctx, from, call)
 	switch {
 	case err != nil:
-		if s.Failed != nil && !errors.Is(context.Cause(ctx), context.Canceled) {
-			s.Failed(err)
+		if s.OnError != nil && !errors.Is(context.Cause(ctx), context.Canceled) {
+			s.OnError(err)
 		}
 		return partAnswer{from: from}
 	case len(part.GetData()) == 0 || max(part.GetSize(), part.GetUnpacked()) > maxPayload:
--- a/io/peer/fuzz_test.go
+++ b/io/peer/fuzz_test.go
@@ -26,7 +26,7 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f})
 	s := &Store{Kinds: []core.Kind{core.KindModel}}
 	server := rpc.NewServer()
-	if err := server.RegisterName(serviceName, &service{handler: &Handler{Sync: s.Serve, Fetch: s.ServeFetch}}); err != nil {
+	if err := server.RegisterName(serviceName, &service{handler: &Handler{Sync: s.ServeSync, Fetch: s.ServeFetch}}); err != nil {
 		f.Fatal(err)
 	}
 	f.Fuzz(func(_ *testing.T, data []byte) {
--- a/io/peer/lag.go
+++ b/io/peer/lag.go
@@ -13,13 +13,13 @@
 // version.
 type Lag struct {
 	Kind core.Kind
-	// Held is the newest version in the replica, Named the missing version.
-	Held, Named core.Version
-	// Since is when Named was first reported. Fresh is when the platform last confirmed,
+	// Held is the newest version in the replica, Missing the missing version.
+	Held, Missing core.Version
+	// Since is when Named was first reported. FreshAt is when the platform last confirmed,
 	// to this process or a peer, that the replica lacked nothing.
-	Since, Fresh time.Time
-	// Over is set once the replica has the change.
-	Over bool
+	Since, FreshAt time.Time
+	// CaughtUp is set once the replica has the change.
+	CaughtUp bool
 }
 
 // lagState tracks the changes that a replica lacks.
@@ -49,15 +49,15 @@
 		return
 	}
 	now, held, wasReported := s.Clock.Now(), k.Newest(), l.reported
-	lag := Lag{Kind: kind, Held: held, Named: l.missing, Since: l.since, Fresh: k.freshAt, Over: held >= l.missing}
-	if lag.Over {
+	lag := Lag{Kind: kind, Held: held, Missing: l.missing, Since: l.since, FreshAt: k.freshAt, CaughtUp: held >= l.missing}
+	if lag.CaughtUp {
 		l.since, l.reported = time.Time{}, false
 		l.observe(l.newest, held, now)
 	} else {
 		l.reported = wasReported || now.Sub(l.since) >= lagThreshold
 	}
-	if s.Behind != nil && (lag.Over && wasReported || l.reported && !wasReported) {
-		s.Behind(lag)
+	if s.OnLag != nil && (lag.CaughtUp && wasReported || l.reported && !wasReported) {
+		s.OnLag(lag)
 	}
 }
 
--- a/io/peer/lag_test.go
+++ b/io/peer/lag_test.go
@@ -25,7 +25,7 @@
 
 func newLagFixture() *lagFixture {
 	l := &lagFixture{clock: &manualClock{now: time.Unix(1000, 0)}}
-	l.Store = &Store{Kinds: []core.Kind{core.KindModel}, Clock: l.clock, Behind: func(lag Lag) { l.reports = append(l.reports, lag) }}
+	l.Store = &Store{Kinds: []core.Kind{core.KindModel}, Clock: l.clock, OnLag: func(lag Lag) { l.reports = append(l.reports, lag) }}
 	l.init()
 	return l
 }
@@ -62,8 +62,8 @@
 		assert.Equal(t, l.Lag(core.KindModel), 2*lagThreshold)
 		l.receive(5)
 		assert.Equal(t, len(l.reports), 2)
-		assert.Assert(t, !l.reports[0].Over && l.reports[1].Over)
-		assert.Equal(t, l.reports[1].Named, core.Version(5))
+		assert.Assert(t, !l.reports[0].CaughtUp && l.reports[1].CaughtUp)
+		assert.Equal(t, l.reports[1].Missing, core.Version(5))
 	})
 	t.Run("a replica that is always one change behind is not reported", func(t *testing.T) {
 		l := newLagFixture()
--- a/io/peer/large_test.go
+++ b/io/peer/large_test.go
@@ -53,7 +53,7 @@
 	r.process = f.start(func(s *Store) {
 		s.Platform = &objapi.Client{Address: netip.MustParseAddrPort("127.0.0.1:9")}
 		s.Peers = func() []Target { return slices.Clone(through) }
-		s.Failed = func(err error) {
+		s.OnError = func(err error) {
 			var failed *CallError
 			if errors.As(err, &failed) {
 				r.failedCalls <- err
--- a/io/peer/reflector.go
+++ b/io/peer/reflector.go
@@ -57,8 +57,8 @@
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
-		if s.Failed != nil {
-			s.Failed(err)
+		if s.OnError != nil {
+			s.OnError(err)
 		}
 		var failed *core.PlatformError
 		if errors.As(err, &failed) && failed.Fault == core.Gone {
@@ -159,8 +159,8 @@
 // apply joins a delta that the platform itself has sent.
 func (r *reflector) apply(d replic.Delta) {
 	r.received = true
-	if r.Reached != nil {
-		r.Reached()
+	if r.OnAnswer != nil {
+		r.OnAnswer()
 	}
 	r.join(r.kind, d)
 	r.mu.Lock()
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -141,8 +141,8 @@
 	// certificates and accept only those of this system's processes.
 	TLS     *tls.Config
 	Handler *Handler
-	// Refused, if set, is called for each client whose TLS handshake failed.
-	Refused func(caller netip.AddrPort, cause error)
+	// OnRefused, if set, is called for each client whose TLS handshake failed.
+	OnRefused func(caller netip.AddrPort, cause error)
 
 	listener net.Listener
 	rpc      *rpc.Server
@@ -212,8 +212,8 @@
 	if s.TLS != nil {
 		tlsConn, err := s.handshake(ctx, conn)
 		if err != nil {
-			if s.Refused != nil && ctx.Err() == nil {
-				s.Refused(conn.RemoteAddr().(*net.TCPAddr).AddrPort(), err)
+			if s.OnRefused != nil && ctx.Err() == nil {
+				s.OnRefused(conn.RemoteAddr().(*net.TCPAddr).AddrPort(), err)
 			}
 			return
 		}
--- a/io/peer/soft.go
+++ b/io/peer/soft.go
@@ -190,9 +190,9 @@
 	return s.soft.list(s.Clock.Now())
 }
 
-// Kick starts the next exchange with peers at once. It is called when there are new
+// SyncNow starts the next exchange with peers at once. It is called when there are new
 // strikes to send.
-func (s *Store) Kick() {
+func (s *Store) SyncNow() {
 	s.init()
 	loop.Poke(s.syncWake)
 }
@@ -207,8 +207,8 @@
 		return
 	}
 	loop.Poke(s.syncWake)
-	if s.Marked != nil {
-		s.Marked(news)
+	if s.OnMarks != nil {
+		s.OnMarks(news)
 	}
 }
 
@@ -227,7 +227,7 @@
 		}
 		s.addMarks(in)
 	}
-	if len(strikes) > 0 && s.Struck != nil && s.Struck(strikes) {
+	if len(strikes) > 0 && s.JoinStrikes != nil && s.JoinStrikes(strikes) {
 		loop.Poke(s.syncWake)
 	}
 }
--- a/io/peer/store.go
+++ b/io/peer/store.go
@@ -44,27 +44,27 @@
 	// Seed seeds the choice of peers and all jitter.
 	Seed uint64
 
-	// Changed, if set, is called with the latest state of objects that changed, including
+	// OnChange, if set, is called with the latest state of objects that changed, including
 	// deletions. All calls come from one goroutine. Changes of one object in quick
 	// succession may be combined.
-	Changed func([]core.Object)
-	// Marked, if set, is called with marks that are new or changed, from several
+	OnChange func([]core.Object)
+	// OnMarks, if set, is called with marks that are new or changed, from several
 	// goroutines.
-	Marked func([]Mark)
+	OnMarks func([]Mark)
 	// Strikes returns the strikes to send to peers. Struck is called with the strikes of
 	// a peer and reports whether any of them was new. Both may be nil and are called from
 	// several goroutines.
 	Strikes func() []*wire.Strike
-	Struck  func([]*wire.Strike) bool
-	// Reached, if set, is called for each answer of the platform to this process.
-	Reached func()
-	// Failed, if set, is called for each failed call with a PlatformError or an error of
+	JoinStrikes  func([]*wire.Strike) bool
+	// OnAnswer, if set, is called for each answer of the platform to this process.
+	OnAnswer func()
+	// OnError, if set, is called for each failed call with a PlatformError or an error of
 	// Client, and for each payload that arrived corrupt with a CorruptError.
-	Failed func(error)
-	// Behind, if set, is called for each replica that has lacked a change for
+	OnError func(error)
+	// OnLag, if set, is called for each replica that has lacked a change for
 	// lagThreshold, and again, with Lag.Over set, once the replica has the change. It
 	// must not call back into the Store.
-	Behind func(Lag)
+	OnLag func(Lag)
 
 	once  sync.Once
 	mu    sync.Mutex
@@ -196,9 +196,9 @@
 	// Confirmed is set if the platform itself has listed the kind to this process since
 	// it started.
 	Confirmed bool
-	// Fresh is when the platform last confirmed, to this process or to a peer, that there
+	// FreshAt is when the platform last confirmed, to this process or to a peer, that there
 	// was no newer change; zero if it never did.
-	Fresh time.Time
+	FreshAt time.Time
 }
 
 // Status describes the replica of a kind.
@@ -210,7 +210,7 @@
 	if k == nil {
 		return Status{}
 	}
-	return Status{Through: k.Through(), Objects: k.Len(), Confirmed: k.confirmed, Fresh: k.freshAt}
+	return Status{Through: k.Through(), Objects: k.Len(), Confirmed: k.confirmed, FreshAt: k.freshAt}
 }
 
 // Confirmed reports whether the platform itself has listed a kind to this process since
@@ -263,8 +263,8 @@
 			return nil
 		case <-s.changeWake:
 		}
-		if objects := s.takeDirty(); len(objects) > 0 && s.Changed != nil {
-			s.Changed(objects)
+		if objects := s.takeDirty(); len(objects) > 0 && s.OnChange != nil {
+			s.OnChange(objects)
 		}
 	}
 }
--- a/io/peer/store_test.go
+++ b/io/peer/store_test.go
@@ -71,12 +71,12 @@
 		Client:   p.client,
 		Peers:    f.peers,
 		Seed:     uint64(n) + 1,
-		Changed:  func([]core.Object) { loop.Poke(p.changed) },
+		OnChange:  func([]core.Object) { loop.Poke(p.changed) },
 	}
 	if edit != nil {
 		edit(p.Store)
 	}
-	p.server = &Server{Address: netip.MustParseAddrPort("127.0.0.1:0"), Handler: &Handler{Sync: p.Serve, Fetch: p.ServeFetch}}
+	p.server = &Server{Address: netip.MustParseAddrPort("127.0.0.1:0"), Handler: &Handler{Sync: p.ServeSync, Fetch: p.ServeFetch}}
 	assert.NilError(f.t, p.server.Listen())
 	p.Self.Address = p.server.Address
 	f.mu.Lock()
@@ -240,7 +240,7 @@
 	received := make(chan Mark, 16)
 	for range 4 {
 		f.start(func(s *Store) {
-			s.Marked = func(marks []Mark) {
+			s.OnMarks = func(marks []Mark) {
 				for _, m := range marks {
 					received <- m
 				}
@@ -262,7 +262,7 @@
 	f := startFleet(t, &apisrv.Server{})
 	var received atomic.Bool
 	f.start(func(s *Store) {
-		s.Struck = func(strikes []*wire.Strike) bool {
+		s.JoinStrikes = func(strikes []*wire.Strike) bool {
 			return !received.Swap(strikes[0].GetFingerprint() == 42)
 		}
 	})
--- a/io/peer/sync.go
+++ b/io/peer/sync.go
@@ -113,8 +113,8 @@
 		s.mu.Lock()
 		s.peers.drop(p)
 		s.mu.Unlock()
-		if s.Failed != nil && context.Cause(ctx) != context.Canceled {
-			s.Failed(err)
+		if s.OnError != nil && context.Cause(ctx) != context.Canceled {
+			s.OnError(err)
 		}
 		return
 	}
@@ -194,9 +194,9 @@
 	}
 }
 
-// Serve answers a peer's exchange with the changes that the peer lacks. It is the handler
+// ServeSync answers a peer's exchange with the changes that the peer lacks. It is the handler
 // of Sync. If the peer has newer objects, an exchange with it follows at once.
-func (s *Store) Serve(call *wire.SyncCall) (*wire.SyncReply, error) {
+func (s *Store) ServeSync(call *wire.SyncCall) (*wire.SyncReply, error) {
 	s.init()
 	s.joinSoft(call.GetMarks(), call.GetStrikes())
 	strikes := s.strikes()
--- a/io/peer/tls_test.go
+++ b/io/peer/tls_test.go
@@ -26,7 +26,7 @@
 		Address: netip.MustParseAddrPort("127.0.0.1:0"),
 		TLS:     &tls.Config{Certificates: web.TLS.Certificates, ClientAuth: tls.RequireAnyClientCert},
 		Handler: &Handler{Probe: func(*wire.ProbeCall) (*wire.HostLoad, error) { return &wire.HostLoad{}, nil }},
-		Refused: func(_ netip.AddrPort, cause error) { refused <- cause },
+		OnRefused: func(_ netip.AddrPort, cause error) { refused <- cause },
 	}
 	assert.NilError(t, s.Listen())
 	ctx, stop := context.WithCancel(t.Context())
--- a/io/stale/stale.go
+++ b/io/stale/stale.go
@@ -13,7 +13,7 @@
 // Feed exports the lag and age of a store's replicas to the meter, and logs replicas that
 // are behind. It must be called before the store is used.
 func Feed(m *meter.Meter, s *peer.Store) {
-	s.Behind = func(l peer.Lag) { logLag(s.Clock.Now(), l) }
+	s.OnLag = func(l peer.Lag) { logLag(s.Clock.Now(), l) }
 	for _, kind := range s.Kinds {
 		m.ReplicaLag(kind, func() time.Duration { return s.Lag(kind) })
 		m.ReplicaAge(kind, func() time.Duration { return Age(s, kind) })
@@ -21,12 +21,12 @@
 }
 
 func logLag(now time.Time, l peer.Lag) {
-	if l.Over {
+	if l.CaughtUp {
 		events.Log(events.ReplicaCaughtUp, "kind", l.Kind, "revision", l.Held, "after", now.Sub(l.Since))
 		return
 	}
-	events.Log(events.ReplicaBehind, "kind", l.Kind, "revision", l.Held, "named", l.Named, "since", now.Sub(l.Since),
-		"platform-word-age", ageOf(l.Fresh, now))
+	events.Log(events.ReplicaBehind, "kind", l.Kind, "revision", l.Held, "named", l.Missing, "since", now.Sub(l.Since),
+		"platform-word-age", ageOf(l.FreshAt, now))
 }
 
 // Failed logs a failed call to a peer. A call that failed while its reply was arriving
@@ -43,7 +43,7 @@
 // Age returns the time since the platform last confirmed that a replica lacks nothing, or
 // a negative value if it never did.
 func Age(s *peer.Store, kind core.Kind) time.Duration {
-	return ageOf(s.Status(kind).Fresh, s.Clock.Now())
+	return ageOf(s.Status(kind).FreshAt, s.Clock.Now())
 }
 
 func ageOf(at, now time.Time) time.Duration {
