--- a/io/deploy/adapters.go
+++ b/io/deploy/adapters.go
@@ -73,7 +73,7 @@
 func (l *links) Used(host core.HostName, model core.ModelName, adapter string) {
 	h, _, _ := l.host(host)
 	if !l.entry.feed.Direct() {
-		l.entry.feed.Used(h.Address, string(model)+"/"+adapter)
+		l.entry.feed.RecordAdapterUse(h.Address, string(model)+"/"+adapter)
 		return
 	}
 	k := l.at(h.Address)
--- a/io/deploy/entry.go
+++ b/io/deploy/entry.go
@@ -108,8 +108,8 @@
 		}
 	}
 	e.feed = &feed.Feed{
-		Self: self, MostDirect: s.Managed.DirectAgents, Clock: e.clock, Proxy: e.proxy, Ask: e.client.Digest, Ping: e.client.Ping,
-		Members: e.members.others, Engines: e.links.centres, Planner: e.links.informAll,
+		Self: self, MaxDirect: s.Managed.DirectAgents, Clock: e.clock, Proxy: e.proxy, Digest: e.client.Digest, Ping: e.client.Ping,
+		Members: e.members.others, Engines: e.links.centres, OnPlanner: e.links.informAll,
 	}
 	e.feed.Start()
 	e.handler.Digest = e.feed.Serve
--- a/io/deploy/link.go
+++ b/io/deploy/link.go
@@ -102,7 +102,7 @@
 	l.entry.proxy.Update(func(v *fleet.View, _ time.Time) {
 		life = v.Newest(k.address)
 		if h := v.Host(life.ID); h != nil && direct {
-			in.Active = feed.CountsOut(h.OwnActive())
+			in.Active = feed.EncodeCounts(h.OwnActive())
 		}
 	})
 	in.Instance, in.Born = string(life.ID), life.Born
@@ -128,10 +128,10 @@
 
 // askAsRelay adds to a question what a relay tells an agent for other entries.
 func (l *links) askAsRelay(k *link, in *wire.UpstreamCall) {
-	planner := l.entry.feed.Plans()
+	planner := l.entry.feed.CurrentPlanner()
 	in.Planner, in.PlannerControl = string(planner.Name), planner.Control.String()
-	in.Active = feed.CountsOut(l.entry.feed.Active(k.address))
-	in.Used = l.entry.feed.TakeUsed(k.address)
+	in.Active = feed.EncodeCounts(l.entry.feed.Active(k.address))
+	in.Used = l.entry.feed.TakeUsedAdapters(k.address)
 }
 
 func (l *links) take(k *link, reply *wire.UpstreamReply) {
@@ -148,7 +148,7 @@
 			l.entry.members.add(core.HostName(e.GetName()), at)
 		}
 	}
-	h := feed.HostIn(k.address, reply.GetReport(), now)
+	h := feed.DecodeHost(k.address, reply.GetReport(), now)
 	h.Planner = core.HostName(reply.GetPlanner())
 	l.entry.proxy.Update(func(v *fleet.View, _ time.Time) { feed.Apply(v, &h) })
 	l.entry.feed.Put(h)
--- a/io/deploy/planner.go
+++ b/io/deploy/planner.go
@@ -119,7 +119,7 @@
 // decideByRelays plans where the relays call this entry the planner. Otherwise it has
 // them told at once what is waited for.
 func (p *planner) decideByRelays(ctx context.Context, now time.Time) {
-	plans := p.entry.feed.Plans().Name == p.entry.Settings.Name
+	plans := p.entry.feed.CurrentPlanner().Name == p.entry.Settings.Name
 	p.lead(plans)
 	if p.entry.feed.HasFollowers(linkTime) {
 		p.entry.proxy.NoteLoader()
@@ -129,7 +129,7 @@
 		return
 	}
 	if len(p.entry.proxy.WaitingFor()) > 0 {
-		p.entry.feed.Hurry(ctx)
+		p.entry.feed.PollNow(ctx)
 	}
 }
 
@@ -230,7 +230,7 @@
 		}
 	}
 	p.entry.proxy.SetForecasts(ready)
-	p.entry.feed.Foresee(ready)
+	p.entry.feed.SetForecasts(ready)
 }
 
 // hosts returns a service's hosts as the planner of copies sees them.
--- a/io/deploy/watch.go
+++ b/io/deploy/watch.go
@@ -61,7 +61,7 @@
 			}
 		}
 	})
-	e.feed.Listed()
+	e.feed.RegistryChanged()
 }
 
 // takeHost applies a registry entry, and logs one after which its host gets no new work.
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -70,7 +70,7 @@
 	in, sent := f.newCall(r, wait)
 	call, stop := context.WithTimeout(ctx, wait+pollMargin)
 	defer stop()
-	reply, err := f.Ask(call, r.target(), in)
+	reply, err := f.Digest(call, r.target(), in)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Clock.Now()
@@ -103,7 +103,7 @@
 	sent, r.pending = r.pending, map[core.ModelName]demand.Arrivals{}
 	in = &wire.DigestCall{
 		Entry: string(f.Self.Name), Relay: asRelay, Epoch: r.epoch, Seen: r.seen, SeenReady: r.seenReady, Wait: int64(wait),
-		Arrivals: encodeArrivals(sent), Waiting: CountsOut(f.waiting(now)), Uses: f.encodeUses(now, r),
+		Arrivals: encodeArrivals(sent), Waiting: EncodeCounts(f.waiting(now)), Uses: f.encodeUses(now, r),
 	}
 	return in, sent
 }
@@ -125,7 +125,7 @@
 		if len(active) == 0 && len(used) == 0 {
 			continue
 		}
-		u := &wire.HostUse{Address: encodeAddress(h), Active: CountsOut(active)}
+		u := &wire.HostUse{Address: encodeAddress(h), Active: EncodeCounts(active)}
 		for name := range used {
 			u.Used = append(u.Used, name)
 		}
@@ -201,7 +201,7 @@
 			Active: decodeActive(old.Report.Models, s.GetActive()),
 		})
 	}
-	h := HostIn(address, s.GetReport(), now)
+	h := DecodeHost(address, s.GetReport(), now)
 	h.Planner = core.HostName(s.GetPlanner())
 	h.Report.Taken = taken
 	h.Report.Waiting, h.Report.Running, h.Report.Reading = int(s.GetWaiting()), int(s.GetRunning()), int(s.GetReading())
--- a/io/feed/encode.go
+++ b/io/feed/encode.go
@@ -23,8 +23,8 @@
 	v.Report(h.Report)
 }
 
-// HostIn decodes an agent's report on the host at an address.
-func HostIn(address netip.AddrPort, r *wire.UpstreamReport, now time.Time) digest.Host {
+// DecodeHost decodes an agent's report on the host at an address.
+func DecodeHost(address netip.AddrPort, r *wire.UpstreamReport, now time.Time) digest.Host {
 	out := digest.Host{
 		Address: address, Lost: r.GetLost(), Born: r.GetBorn(), Ended: core.Names[core.HostName](r.GetEnded()),
 		Report: fleet.Report{
@@ -82,8 +82,8 @@
 	return out
 }
 
-// CountsOut encodes counts by model.
-func CountsOut(counts map[core.ModelName]int) []*wire.ModelActive {
+// EncodeCounts encodes counts by model.
+func EncodeCounts(counts map[core.ModelName]int) []*wire.ModelActive {
 	out := make([]*wire.ModelActive, 0, len(counts))
 	for name, n := range counts {
 		out = append(out, &wire.ModelActive{Model: string(name), Count: uint32(n)})
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -37,21 +37,21 @@
 // methods may be called from several goroutines.
 type Feed struct {
 	Self follow.Member
-	// MostDirect is the largest number of agents that an entry follows itself.
-	MostDirect int
+	// MaxDirect is the largest number of agents that an entry follows itself.
+	MaxDirect int
 	Clock      core.Clock
 	// Proxy holds the view of the hosts and the requests of callers.
 	Proxy *proxy.Proxy
-	// Ask and Ping call other entries.
-	Ask  func(ctx context.Context, to peer.Target, in *wire.DigestCall) (*wire.DigestReply, error)
+	// Digest and Ping call other entries.
+	Digest  func(ctx context.Context, to peer.Target, in *wire.DigestCall) (*wire.DigestReply, error)
 	Ping func(ctx context.Context, to peer.Target) error
 	// Members returns all other entries in the registry, Engines the upstream hosts in
 	// the registry that have agents, with their data centres.
 	Members func() follow.Ranked
 	Engines func() map[netip.AddrPort]core.DataCentre
-	// Planner, if set, is called when another entry becomes the planner, which is the
+	// OnPlanner, if set, is called when another entry becomes the planner, which is the
 	// entry that places models.
-	Planner func()
+	OnPlanner func()
 
 	// epoch distinguishes the change numbers of this process from those of its previous
 	// run.
@@ -94,7 +94,7 @@
 func (f *Feed) Start() {
 	now := f.Clock.Now()
 	f.epoch = uint64(now.UnixNano())
-	f.chooser = follow.Chooser{Self: f.Self, MostDirect: f.MostDirect, Started: now}
+	f.chooser = follow.Chooser{Self: f.Self, MostDirect: f.MaxDirect, Started: now}
 	f.relays = map[core.HostName]*relay{}
 	f.pollers = map[core.HostName]*poller{}
 	f.uses = map[core.HostName]use{}
@@ -219,9 +219,9 @@
 
 func (f *Feed) wakeChoose() { loop.Poke(f.chooseWake) }
 
-// Listed is called when the registry has changed. The first list decides whether this
+// RegistryChanged is called when the registry has changed. The first list decides whether this
 // entry follows agents.
-func (f *Feed) Listed() {
+func (f *Feed) RegistryChanged() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.choice.Scope == follow.None && len(f.choice.Relays) == 0 {
--- a/io/feed/feed_test.go
+++ b/io/feed/feed_test.go
@@ -87,10 +87,10 @@
 		}
 	}
 	f := &feed.Feed{
-		Self: m, MostDirect: 1, Clock: clock{}, Proxy: p,
+		Self: m, MaxDirect: 1, Clock: clock{}, Proxy: p,
 		Members: func() follow.Ranked { return follow.Rank(others) },
 		Engines: func() map[netip.AddrPort]core.DataCentre { return c.listed() },
-		Ask: func(ctx context.Context, to peer.Target, in *wire.DigestCall) (*wire.DigestReply, error) {
+		Digest: func(ctx context.Context, to peer.Target, in *wire.DigestCall) (*wire.DigestReply, error) {
 			return c.ask(ctx, m.Name, to.Host, in)
 		},
 		Ping: func(ctx context.Context, to peer.Target) error { return c.ping(ctx, to.Host) },
@@ -209,7 +209,7 @@
 		for _, m := range c.members[1:] {
 			c.assertWaiting(m.Name, 0, 5)
 		}
-		assert.Equal(t, c.feeds["e-2"].Plans().Name, core.HostName("e-1"))
+		assert.Equal(t, c.feeds["e-2"].CurrentPlanner().Name, core.HostName("e-1"))
 	})
 }
 
@@ -227,7 +227,7 @@
 		time.Sleep(500 * time.Millisecond)
 		d := c.feeds["e-0"].Demand()["m"]
 		assert.Assert(t, d.Rate > 0.1 && d.Work > 0.05 && d.Waiting == 1, "%+v", d)
-		c.feeds["e-0"].Foresee(map[core.ModelName]time.Time{"m": time.Now().Add(4 * time.Second)})
+		c.feeds["e-0"].SetForecasts(map[core.ModelName]time.Time{"m": time.Now().Add(4 * time.Second)})
 		call.Arrivals = nil
 		reply := &wire.DigestReply{}
 		for range 4 {
@@ -260,7 +260,7 @@
 		}
 		time.Sleep(700 * time.Millisecond)
 		assert.Equal(t, c.feeds["e-0"].Active(hostAt(0))["m"], 4)
-		assert.DeepEqual(t, c.feeds["e-0"].TakeUsed(hostAt(0)), []string{"m/a1"})
+		assert.DeepEqual(t, c.feeds["e-0"].TakeUsedAdapters(hostAt(0)), []string{"m/a1"})
 	})
 }
 
--- a/io/feed/plan.go
+++ b/io/feed/plan.go
@@ -25,13 +25,13 @@
 		return
 	}
 	f.planner = planner
-	if f.Planner != nil {
-		go f.Planner()
+	if f.OnPlanner != nil {
+		go f.OnPlanner()
 	}
 }
 
-// Plans returns the planner as this entry sees it; the zero Member if it sees none.
-func (f *Feed) Plans() follow.Member {
+// CurrentPlanner returns the planner as this entry sees it; the zero Member if it sees none.
+func (f *Feed) CurrentPlanner() follow.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.planner
@@ -75,8 +75,8 @@
 	return false
 }
 
-// Foresee sets the forecasts of the planner if this entry is the planner.
-func (f *Feed) Foresee(ready map[core.ModelName]time.Time) {
+// SetForecasts sets the forecasts of the planner if this entry is the planner.
+func (f *Feed) SetForecasts(ready map[core.ModelName]time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if sameReady(f.ready, ready) {
@@ -122,10 +122,10 @@
 	}
 }
 
-// Hurry sends the number of waiting requests with an extra poll at once, unless the last
+// PollNow sends the number of waiting requests with an extra poll at once, unless the last
 // one was less than minExtraPollGap ago. A relay sends it to the planner, another entry
 // to its first relay.
-func (f *Feed) Hurry(ctx context.Context) {
+func (f *Feed) PollNow(ctx context.Context) {
 	f.mu.Lock()
 	now := f.Clock.Now()
 	var to *relay
--- a/io/feed/use.go
+++ b/io/feed/use.go
@@ -49,8 +49,8 @@
 	f.uses[f.Self.Name] = own
 }
 
-// Used records that a request for an adapter, as MODEL/NAME, was sent to a host.
-func (f *Feed) Used(address netip.AddrPort, adapter string) {
+// RecordAdapterUse records that a request for an adapter, as MODEL/NAME, was sent to a host.
+func (f *Feed) RecordAdapterUse(address netip.AddrPort, adapter string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.recordUsed(address, []string{adapter}, false)
@@ -75,9 +75,9 @@
 	}
 }
 
-// TakeUsed returns the adapters for which requests were sent to a host since the last
+// TakeUsedAdapters returns the adapters for which requests were sent to a host since the last
 // call.
-func (f *Feed) TakeUsed(address netip.AddrPort) []string {
+func (f *Feed) TakeUsedAdapters(address netip.AddrPort) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
