--- a/io/agent/explain.go
+++ b/io/agent/explain.go
@@ -19,7 +19,7 @@
 	switch {
 	case !r.ended.IsZero():
 		lines = append(lines, "ended at "+r.ended.UTC().Format("15:04:05.000"))
-		if refusal := r.spool.Refused(a.Host); refusal != nil {
+		if refusal := r.spool.Refusal(a.Host); refusal != nil {
 			lines = append(lines, refusal.Error())
 		}
 	case r.began:
--- a/io/agent/take.go
+++ b/io/agent/take.go
@@ -56,7 +56,7 @@
 	if a.leaving && a.runs[call.ID] == nil {
 		return nil, a.leavingRefusal(now)
 	}
-	a.book.Merge(now, relay.StrikesIn(h.GetStrikes()))
+	a.book.Merge(now, relay.DecodeStrikes(h.GetStrikes()))
 	verdict := a.table.Begin(now, call)
 	if verdict.Refusal != nil {
 		return nil, verdict.Refusal
@@ -180,7 +180,7 @@
 	e := relay.EndOf(refusal)
 	e.Cold = r.cold
 	e.Load = a.load(now, []core.ModelName{r.target.Model, r.target.Base})
-	e.Strikes = relay.StrikesOut(r.strikes)
+	e.Strikes = relay.EncodeStrikes(r.strikes)
 	r.spool.End(e)
 	r.trace(refusal, now)
 }
@@ -192,13 +192,13 @@
 	if !r.keyed() {
 		return r.spool.Next
 	}
-	return func(offset int64) (relay.Step, error) {
+	return func(offset int64) (relay.Chunk, error) {
 		step := r.spool.Peek()
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		view, ok := a.table.Read(r.call.ID, r.call.Attempt, offset)
 		if !ok && step.End == nil {
-			return relay.Step{}, &relay.LostError{Offset: offset}
+			return relay.Chunk{}, &relay.LostError{Offset: offset}
 		}
 		if len(view.Chunks) > 0 {
 			step.Data = view.Chunks[0]
--- a/io/entry/note.go
+++ b/io/entry/note.go
@@ -83,7 +83,7 @@
 	defer e.mu.Unlock()
 	e.recordLoad(h.Name, end.GetLoad())
 	if len(end.GetStrikes()) > 0 {
-		e.mergeStrikes(relay.StrikesIn(end.GetStrikes()))
+		e.mergeStrikes(relay.DecodeStrikes(end.GetStrikes()))
 	}
 }
 
@@ -114,7 +114,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
-	return relay.StrikesOut(e.book.Against(now, f)), !e.book.Settled(now, f).IsZero()
+	return relay.EncodeStrikes(e.book.Against(now, f)), !e.book.Settled(now, f).IsZero()
 }
 
 // cancelAt notifies a host in the background that a request's caller has left.
--- a/io/node/mesh.go
+++ b/io/node/mesh.go
@@ -37,7 +37,7 @@
 	n.store = &peer.Store{
 		Self: self, Kinds: storedKinds(), Confirm: n.confirmKinds(), Platform: n.Platform, Client: n.client, Clock: n.clock,
 		Peers: n.peers, Seed: uint64(n.incarnation), OnChange: n.world.apply, OnMarks: n.members.marked,
-		Strikes: func() []*wire.Strike { return relay.StrikesOut(n.strikes()) },
+		Strikes: func() []*wire.Strike { return relay.EncodeStrikes(n.strikes()) },
 		JoinStrikes:  n.struck, OnError: n.failed,
 	}
 	stale.Feed(n.meter, n.store)
@@ -212,12 +212,12 @@
 	defer stop()
 	// A lost call is made up for by the exchange between peers.
 	_, _ = n.client.Sync(ctx, peer.Target{Host: host, Address: h.spec.Control}, &wire.SyncCall{
-		From: string(n.Settings.Name), Strikes: relay.StrikesOut(list),
+		From: string(n.Settings.Name), Strikes: relay.EncodeStrikes(list),
 	})
 }
 
 // struck takes peers' strikes and tells whether any was news.
-func (n *Node) struck(list []*wire.Strike) bool { return n.mergeStrikes(relay.StrikesIn(list)) }
+func (n *Node) struck(list []*wire.Strike) bool { return n.mergeStrikes(relay.DecodeStrikes(list)) }
 
 // failed logs calls of platform and peers that failed.
 func (n *Node) failed(err error) {
--- a/io/relay/copy.go
+++ b/io/relay/copy.go
@@ -6,20 +6,20 @@
 	"radishwell/wire"
 )
 
-// Step is the state of an answer at an offset.
-type Step struct {
+// Chunk is the state of an answer at an offset.
+type Chunk struct {
 	// Head is nil until the upstream has answered.
 	Head *wire.AnswerHead
 	// Data is the part of the body that begins at the offset. It must not be changed.
 	Data []byte
 	// End is set once the answer is complete. It applies only if Data is empty.
 	End *wire.End
-	// Turn is closed when the answer has changed.
-	Turn <-chan struct{}
+	// Changed is closed when the answer has changed.
+	Changed <-chan struct{}
 }
 
 // Source returns the step of a growing answer at an offset in bytes of its body.
-type Source func(offset int64) (Step, error)
+type Source func(offset int64) (Chunk, error)
 
 // Copy writes an answer from an offset to a connection until the answer ends. The head is
 // sent first if the offset is zero. Its error is that of the context, the connection or
@@ -57,7 +57,7 @@
 			continue
 		}
 		select {
-		case <-step.Turn:
+		case <-step.Changed:
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
--- a/io/relay/spool.go
+++ b/io/relay/spool.go
@@ -98,10 +98,10 @@
 }
 
 // Peek returns the answer's head and end without data.
-func (s *Spool) Peek() Step {
+func (s *Spool) Peek() Chunk {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Step{Head: s.head, End: s.end, Turn: s.changed}
+	return Chunk{Head: s.head, End: s.end, Changed: s.changed}
 }
 
 // End completes the answer. Calls after the first have no effect.
@@ -134,12 +134,12 @@
 const maxData = 64 << 10
 
 // Next implements Source. Its error is a LostError.
-func (s *Spool) Next(offset int64) (Step, error) {
+func (s *Spool) Next(offset int64) (Chunk, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := offset - s.start
 	if at < 0 || at > int64(len(s.data)) {
-		return Step{}, &LostError{Offset: offset, First: s.start}
+		return Chunk{}, &LostError{Offset: offset, First: s.start}
 	}
 	if offset > s.readerOffset {
 		s.readerOffset = offset
@@ -151,11 +151,11 @@
 	if len(piece) > maxData {
 		piece = piece[:maxData]
 	}
-	return Step{Head: s.head, Data: piece, End: s.end, Turn: s.changed}, nil
+	return Chunk{Head: s.head, Data: piece, End: s.end, Changed: s.changed}, nil
 }
 
-// Refused returns the refusal with which the answer ended, or nil.
-func (s *Spool) Refused(host core.HostName) *core.Refusal {
+// Refusal returns the refusal with which the answer ended, or nil.
+func (s *Spool) Refusal(host core.HostName) *core.Refusal {
 	if e := s.Ended(); e != nil {
 		return RefusalOf(e, host)
 	}
--- a/io/relay/strike.go
+++ b/io/relay/strike.go
@@ -6,8 +6,8 @@
 	"radishwell/wire"
 )
 
-// StrikesIn decodes strikes.
-func StrikesIn(list []*wire.Strike) []strike.Record {
+// DecodeStrikes decodes strikes.
+func DecodeStrikes(list []*wire.Strike) []strike.Record {
 	out := make([]strike.Record, 0, len(list))
 	for _, s := range list {
 		out = append(out, strike.Record{
@@ -18,8 +18,8 @@
 	return out
 }
 
-// StrikesOut encodes strikes.
-func StrikesOut(list []strike.Record) []*wire.Strike {
+// EncodeStrikes encodes strikes.
+func EncodeStrikes(list []strike.Record) []*wire.Strike {
 	out := make([]*wire.Strike, 0, len(list))
 	for _, r := range list {
 		out = append(out, &wire.Strike{
