--- a/io/agent/drive.go
+++ b/io/agent/drive.go
@@ -124,7 +124,7 @@
 			a.end(r, now, a.unreached(now))
 		}
 	}
-	loop.Poke(a.orders)
+	loop.Wake(a.orders)
 }
 
 func (a *Agent) unreached(now time.Time) *core.Refusal {
@@ -330,7 +330,7 @@
 		}
 		if a.ledger.Unload(now, i.Name) {
 			a.Meter.Unload(meter.UnloadRevoked)
-			loop.Poke(a.orders)
+			loop.Wake(a.orders)
 		}
 	}
 }
--- a/io/agent/sched.go
+++ b/io/agent/sched.go
@@ -182,7 +182,7 @@
 		a.refuseLane(now, l, core.CodeNoMemory, "no accelerator has room for "+l.name)
 	case ledger.Ready, ledger.Coming, ledger.Evicting, ledger.Leaving, ledger.NotReady:
 		a.queue.SetReady(now, l.name, a.readyAt(now, l))
-		loop.Poke(a.orders)
+		loop.Wake(a.orders)
 	}
 }
 
@@ -313,5 +313,5 @@
 		events.Log(events.RequestMayHaveRun, "request", r.id, "code", refusal.Code, "reason", refusal.Reason)
 	}
 	a.schedule(now)
-	loop.Poke(a.alarm)
+	loop.Wake(a.alarm)
 }
--- a/io/agent/slots.go
+++ b/io/agent/slots.go
@@ -51,7 +51,7 @@
 			s.ask.Owner, s.ask.Size = e.Owner, e.Memory
 		}
 		a.slots[name] = s
-		loop.Poke(a.slotAlarm)
+		loop.Wake(a.slotAlarm)
 	}
 	s.ask.Class = min(s.ask.Class, class)
 	if deadline.Before(s.ask.Deadline) {
--- a/io/agent/take.go
+++ b/io/agent/take.go
@@ -152,7 +152,7 @@
 		return
 	}
 	a.schedule(now)
-	loop.Poke(a.alarm)
+	loop.Wake(a.alarm)
 }
 
 // refused ends a run that the queue has given up.
--- a/io/agent/warm.go
+++ b/io/agent/warm.go
@@ -74,7 +74,7 @@
 		}
 		if a.ledger.Unload(now, i.Name) {
 			a.Meter.Unload(meter.UnloadIdle)
-			loop.Poke(a.orders)
+			loop.Wake(a.orders)
 		}
 	}
 	if now.After(a.prewarmed.Add(prewarmTime)) {
@@ -155,7 +155,7 @@
 	}
 	if a.loadItem(now, name, e.Target.Base, core.Overnight, now.Add(prewarmTime)) == ledger.Coming {
 		events.Log(events.LoadStarted, "model", name, "host", a.Host, "ahead-of-need", true)
-		loop.Poke(a.orders)
+		loop.Wake(a.orders)
 	}
 }
 
--- a/io/deploy/members.go
+++ b/io/deploy/members.go
@@ -207,7 +207,7 @@
 // setOrders notes whether this entry orders engines, for its record.
 func (e *entry) setOrders(now bool) {
 	if e.ordering.Swap(now) != now {
-		loop.Poke(e.rewrite)
+		loop.Wake(e.rewrite)
 	}
 }
 
--- a/io/deploy/watch.go
+++ b/io/deploy/watch.go
@@ -39,7 +39,7 @@
 		Peers: e.members.peers, Near: e.members.isNear, Watchers: watchers, Seed: rand.Uint64(), MaxRetry: storeRetry,
 		OnChange: e.changed, OnAnswer: e.platformBack, OnError: e.stateFailed,
 	}
-	stale.Feed(e.meter, e.state)
+	stale.Export(e.meter, e.state)
 	e.handler.Sync, e.handler.Fetch = e.state.ServeSync, e.state.ServeFetch
 	e.parts = append(e.parts, e.state.Run)
 }
@@ -115,7 +115,7 @@
 	var failed *core.PlatformError
 	switch {
 	case !errors.As(err, &failed):
-		stale.Failed(err)
+		stale.LogFailure(err)
 	case failed.Fault == core.Gone:
 		events.Log(events.WatchRestarted, "kind", failed.Kind, "cause", "history dropped")
 	default:
--- a/io/driver/serve.go
+++ b/io/driver/serve.go
@@ -174,7 +174,7 @@
 	}
 	d.goal = g
 	d.tell()
-	loop.Poke(d.kick)
+	loop.Wake(d.kick)
 	events.Log(events.GoalTaken, "planner", d.planner, "load", g.load, "evict", g.evict)
 	return &wire.GoalReply{Taken: true}, nil
 }
--- a/io/entry/queue.go
+++ b/io/entry/queue.go
@@ -66,7 +66,7 @@
 	// A request that the queue refuses is not counted against its owner's rate.
 	e.admit.Take(now, c.Request, bounds)
 	e.schedule(now)
-	loop.Poke(e.alarm)
+	loop.Wake(e.alarm)
 	return t, nil
 }
 
@@ -180,5 +180,5 @@
 	e.lane(c.Request.Target).running--
 	e.running[c.Request.Class]--
 	e.schedule(now)
-	loop.Poke(e.alarm)
+	loop.Wake(e.alarm)
 }
--- a/io/events/outlet.go
+++ b/io/events/outlet.go
@@ -52,7 +52,7 @@
 		return len(line), nil
 	}
 	o.pending.Write(line)
-	loop.Poke(o.news)
+	loop.Wake(o.news)
 	return len(line), nil
 }
 
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -217,7 +217,7 @@
 	}
 }
 
-func (f *Feed) wakeChoose() { loop.Poke(f.chooseWake) }
+func (f *Feed) wakeChoose() { loop.Wake(f.chooseWake) }
 
 // RegistryChanged is called when the registry has changed. The first list decides whether this
 // entry follows agents.
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -13,9 +13,9 @@
 // whose next time has passed from running in a busy loop.
 const minInterval = time.Millisecond
 
-// Poke wakes a loop without blocking. The channel must have a capacity of one, so that
+// Wake wakes a loop without blocking. The channel must have a capacity of one, so that
 // wakes during a step are combined.
-func Poke(c chan struct{}) {
+func Wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/io/loop/loop_test.go
+++ b/io/loop/loop_test.go
@@ -17,8 +17,8 @@
 
 func TestPokesAreCombined(t *testing.T) {
 	wake := make(chan struct{}, 1)
-	loop.Poke(wake)
-	loop.Poke(wake)
+	loop.Wake(wake)
+	loop.Wake(wake)
 	assert.Equal(t, len(wake), 1)
 }
 
@@ -39,7 +39,7 @@
 			})
 		}()
 		time.Sleep(1300 * time.Millisecond)
-		loop.Poke(wake)
+		loop.Wake(wake)
 		synctest.Wait()
 		stop()
 		assert.NilError(t, <-ended)
--- a/io/node/decide.go
+++ b/io/node/decide.go
@@ -78,7 +78,7 @@
 	case core.KindGrant:
 		d.seenGrant(o)
 	}
-	loop.Poke(d.poke)
+	loop.Wake(d.poke)
 }
 
 func (d *decider) seenHost(o core.Object) {
@@ -122,7 +122,7 @@
 			d.setOwner(core.OwnerName(r.Name), s)
 		}
 	}
-	loop.Poke(d.poke)
+	loop.Wake(d.poke)
 }
 
 // setEntry tells the planner of a model or adapter. One that is merely pending,
--- a/io/node/mesh.go
+++ b/io/node/mesh.go
@@ -40,7 +40,7 @@
 		Strikes: func() []*wire.Strike { return relay.EncodeStrikes(n.strikes()) },
 		JoinStrikes:  n.struck, OnError: n.failed,
 	}
-	stale.Feed(n.meter, n.store)
+	stale.Export(n.meter, n.store)
 	n.handler.Sync, n.handler.Fetch = n.store.ServeSync, n.store.ServeFetch
 	n.addPart("store", n.store.Run)
 	return nil
@@ -226,7 +226,7 @@
 		events.Fail(events.WatchRestarted, err, "kind", platform.Kind)
 		return
 	}
-	stale.Failed(err)
+	stale.LogFailure(err)
 }
 
 // catalogueKnown tells that this process has the whole catalogue, the hosts
--- a/io/peer/fetch.go
+++ b/io/peer/fetch.go
@@ -162,7 +162,7 @@
 	if !slices.Contains(d.sources, from) && len(d.sources) < maxSources {
 		d.sources = append(d.sources, from)
 	}
-	loop.Poke(s.downloadWake)
+	loop.Wake(s.downloadWake)
 }
 
 // runDownloads downloads payloads as peers offer them. Those offered in the first
--- a/io/peer/soft.go
+++ b/io/peer/soft.go
@@ -194,7 +194,7 @@
 // strikes to send.
 func (s *Store) SyncNow() {
 	s.init()
-	loop.Poke(s.syncWake)
+	loop.Wake(s.syncWake)
 }
 
 // addMarks joins marks. If any of them is new or changed, it starts the next exchange and
@@ -206,7 +206,7 @@
 	if len(news) == 0 {
 		return
 	}
-	loop.Poke(s.syncWake)
+	loop.Wake(s.syncWake)
 	if s.OnMarks != nil {
 		s.OnMarks(news)
 	}
@@ -228,6 +228,6 @@
 		s.addMarks(in)
 	}
 	if len(strikes) > 0 && s.JoinStrikes != nil && s.JoinStrikes(strikes) {
-		loop.Poke(s.syncWake)
+		loop.Wake(s.syncWake)
 	}
 }
--- a/io/peer/store.go
+++ b/io/peer/store.go
@@ -249,8 +249,8 @@
 	for _, o := range changed {
 		names[o.Name] = true
 	}
-	loop.Poke(s.changeWake)
-	loop.Poke(s.syncWake)
+	loop.Wake(s.changeWake)
+	loop.Wake(s.syncWake)
 	return true
 }
 
--- a/io/proxy/proxy.go
+++ b/io/proxy/proxy.go
@@ -213,7 +213,7 @@
 }
 
 // Kick wakes the receiver of Waiting.
-func (p *Proxy) Kick() { loop.Poke(p.waiting) }
+func (p *Proxy) Kick() { loop.Wake(p.waiting) }
 
 // ShareRetries sets this process's share of the spare retries, which changes with the
 // number of entries.
--- a/io/stale/stale.go
+++ b/io/stale/stale.go
@@ -10,9 +10,9 @@
 	"radishwell/io/peer"
 )
 
-// Feed exports the lag and age of a store's replicas to the meter, and logs replicas that
+// Export exports the lag and age of a store's replicas to the meter, and logs replicas that
 // are behind. It must be called before the store is used.
-func Feed(m *meter.Meter, s *peer.Store) {
+func Export(m *meter.Meter, s *peer.Store) {
 	s.OnLag = func(l peer.Lag) { logLag(s.Clock.Now(), l) }
 	for _, kind := range s.Kinds {
 		m.ReplicaLag(kind, func() time.Duration { return s.Lag(kind) })
@@ -29,9 +29,9 @@
 		"platform-word-age", ageOf(l.FreshAt, now))
 }
 
-// Failed logs a failed call to a peer. A call that failed while its reply was arriving
+// LogFailure logs a failed call to a peer. A call that failed while its reply was arriving
 // has a separate event.
-func Failed(err error) {
+func LogFailure(err error) {
 	var callErr *peer.CallError
 	if errors.As(err, &callErr) && callErr.Read > 0 {
 		events.Fail(events.TransferCut, err, "bytes", callErr.Read)
