--- a/io/deploy/process.go
+++ b/io/deploy/process.go
@@ -89,7 +89,7 @@
 		WatchWaits: map[core.Kind]time.Duration{core.KindEntry: recordWait},
 	}
 	p.client = &peer.Client{
-		OnCall: p.meter.Peer,
+		OnCall:   p.meter.Peer,
 		OnSilent: func(t peer.Target) { events.Log(events.ConnectionSilent, "host", t.Host, "address", t.Address) },
 	}
 }
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -39,12 +39,12 @@
 	Self follow.Member
 	// MaxDirect is the largest number of agents that an entry follows itself.
 	MaxDirect int
-	Clock      core.Clock
+	Clock     core.Clock
 	// Proxy holds the view of the hosts and the requests of callers.
 	Proxy *proxy.Proxy
 	// Digest and Ping call other entries.
-	Digest  func(ctx context.Context, to peer.Target, in *wire.DigestCall) (*wire.DigestReply, error)
-	Ping func(ctx context.Context, to peer.Target) error
+	Digest func(ctx context.Context, to peer.Target, in *wire.DigestCall) (*wire.DigestReply, error)
+	Ping   func(ctx context.Context, to peer.Target) error
 	// Members returns all other entries in the registry, Engines the upstream hosts in
 	// the registry that have agents, with their data centres.
 	Members func() follow.Ranked
--- a/io/loop/loop_test.go
+++ b/io/loop/loop_test.go
@@ -15,7 +15,7 @@
 
 func (fakeClock) Now() time.Time { return time.Now() }
 
-func TestPokesAreCombined(t *testing.T) {
+func TestWakesAreCombined(t *testing.T) {
 	wake := make(chan struct{}, 1)
 	loop.Wake(wake)
 	loop.Wake(wake)
--- a/io/node/mesh.go
+++ b/io/node/mesh.go
@@ -37,8 +37,8 @@
 	n.store = &peer.Store{
 		Self: self, Kinds: storedKinds(), Confirm: n.confirmKinds(), Platform: n.Platform, Client: n.client, Clock: n.clock,
 		Peers: n.peers, Seed: uint64(n.incarnation), OnChange: n.world.apply, OnMarks: n.members.marked,
-		Strikes: func() []*wire.Strike { return relay.EncodeStrikes(n.strikes()) },
-		JoinStrikes:  n.struck, OnError: n.failed,
+		Strikes:     func() []*wire.Strike { return relay.EncodeStrikes(n.strikes()) },
+		JoinStrikes: n.struck, OnError: n.failed,
 	}
 	stale.Export(n.meter, n.store)
 	n.handler.Sync, n.handler.Fetch = n.store.ServeSync, n.store.ServeFetch
--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// discardDead closes a connection whose ping failed, and calls Silent if the ping timed
+// discardDead closes a connection whose ping failed, and calls OnSilent if the ping timed
 // out.
 func (c *Client) discardDead(to Target, conn *clientConn, cause error) {
 	c.discard(to, conn)
--- a/io/peer/lag.go
+++ b/io/peer/lag.go
@@ -13,10 +13,10 @@
 // version.
 type Lag struct {
 	Kind core.Kind
-	// Held is the newest version in the replica, Missing the missing version.
+	// Held is the newest version in the replica, Missing the version that it lacks.
 	Held, Missing core.Version
-	// Since is when Named was first reported. FreshAt is when the platform last confirmed,
-	// to this process or a peer, that the replica lacked nothing.
+	// Since is when Missing was first reported. FreshAt is when the platform last
+	// confirmed, to this process or a peer, that the replica lacked nothing.
 	Since, FreshAt time.Time
 	// CaughtUp is set once the replica has the change.
 	CaughtUp bool
@@ -29,7 +29,7 @@
 	missing, newest core.Version
 	// since is when missing was reported; zero if the replica lacks nothing.
 	since time.Time
-	// reported is set if the lag was passed to Store.Behind.
+	// reported is set if the lag was passed to Store.OnLag.
 	reported bool
 }
 
--- a/io/peer/soft.go
+++ b/io/peer/soft.go
@@ -198,7 +198,7 @@
 }
 
 // addMarks joins marks. If any of them is new or changed, it starts the next exchange and
-// calls Marked.
+// calls OnMarks.
 func (s *Store) addMarks(marks []Mark) {
 	s.mu.Lock()
 	news := s.soft.add(marks, s.Clock.Now())
--- a/io/peer/store.go
+++ b/io/peer/store.go
@@ -44,25 +44,25 @@
 	// Seed seeds the choice of peers and all jitter.
 	Seed uint64
 
-	// OnChange, if set, is called with the latest state of objects that changed, including
-	// deletions. All calls come from one goroutine. Changes of one object in quick
-	// succession may be combined.
+	// OnChange, if set, is called with the latest state of objects that changed,
+	// including deletions. All calls come from one goroutine. Changes of one object in
+	// quick succession may be combined.
 	OnChange func([]core.Object)
 	// OnMarks, if set, is called with marks that are new or changed, from several
 	// goroutines.
 	OnMarks func([]Mark)
-	// Strikes returns the strikes to send to peers. Struck is called with the strikes of
-	// a peer and reports whether any of them was new. Both may be nil and are called from
-	// several goroutines.
-	Strikes func() []*wire.Strike
-	JoinStrikes  func([]*wire.Strike) bool
+	// Strikes returns the strikes to send to peers. JoinStrikes is called with the
+	// strikes of a peer and reports whether any of them was new. Both may be nil and are
+	// called from several goroutines.
+	Strikes     func() []*wire.Strike
+	JoinStrikes func([]*wire.Strike) bool
 	// OnAnswer, if set, is called for each answer of the platform to this process.
 	OnAnswer func()
 	// OnError, if set, is called for each failed call with a PlatformError or an error of
 	// Client, and for each payload that arrived corrupt with a CorruptError.
 	OnError func(error)
 	// OnLag, if set, is called for each replica that has lacked a change for
-	// lagThreshold, and again, with Lag.Over set, once the replica has the change. It
+	// lagThreshold, and again, with Lag.CaughtUp set, once the replica has the change. It
 	// must not call back into the Store.
 	OnLag func(Lag)
 
@@ -254,7 +254,7 @@
 	return true
 }
 
-// runNotify passes changes to Changed. Joins never wait for it: pending changes are kept
+// runNotify passes changes to OnChange. Joins never wait for it: pending changes are kept
 // by name, so their number is bounded by that of the objects.
 func (s *Store) runNotify(ctx context.Context) error {
 	for {
--- a/io/peer/store_test.go
+++ b/io/peer/store_test.go
@@ -71,7 +71,7 @@
 		Client:   p.client,
 		Peers:    f.peers,
 		Seed:     uint64(n) + 1,
-		OnChange:  func([]core.Object) { loop.Wake(p.changed) },
+		OnChange: func([]core.Object) { loop.Wake(p.changed) },
 	}
 	if edit != nil {
 		edit(p.Store)
--- a/io/peer/tls_test.go
+++ b/io/peer/tls_test.go
@@ -23,9 +23,9 @@
 	roots.AddCert(web.Certificate())
 	refused := make(chan error, 1)
 	s := &Server{
-		Address: netip.MustParseAddrPort("127.0.0.1:0"),
-		TLS:     &tls.Config{Certificates: web.TLS.Certificates, ClientAuth: tls.RequireAnyClientCert},
-		Handler: &Handler{Probe: func(*wire.ProbeCall) (*wire.HostLoad, error) { return &wire.HostLoad{}, nil }},
+		Address:   netip.MustParseAddrPort("127.0.0.1:0"),
+		TLS:       &tls.Config{Certificates: web.TLS.Certificates, ClientAuth: tls.RequireAnyClientCert},
+		Handler:   &Handler{Probe: func(*wire.ProbeCall) (*wire.HostLoad, error) { return &wire.HostLoad{}, nil }},
 		OnRefused: func(_ netip.AddrPort, cause error) { refused <- cause },
 	}
 	assert.NilError(t, s.Listen())
--- a/io/relay/copy.go
+++ b/io/relay/copy.go
@@ -6,7 +6,7 @@
 	"radishwell/wire"
 )
 
-// Chunk is the state of an answer at an offset.
+// Chunk is the state of an answer at an offset, with some of the data there.
 type Chunk struct {
 	// Head is nil until the upstream has answered.
 	Head *wire.AnswerHead
@@ -18,7 +18,7 @@
 	Changed <-chan struct{}
 }
 
-// Source returns the step of a growing answer at an offset in bytes of its body.
+// Source returns the chunk of a growing answer at an offset in bytes of its body.
 type Source func(offset int64) (Chunk, error)
 
 // Copy writes an answer from an offset to a connection until the answer ends. The head is
@@ -27,37 +27,37 @@
 func Copy(ctx context.Context, w *Writer, from Source, offset int64) error {
 	headSent := offset > 0
 	for {
-		step, err := from(offset)
+		chunk, err := from(offset)
 		if err != nil {
 			return err
 		}
-		if !headSent && step.Head != nil {
-			if err := w.Head(step.Head); err != nil {
+		if !headSent && chunk.Head != nil {
+			if err := w.Head(chunk.Head); err != nil {
 				return err
 			}
 			headSent = true
 		}
-		if len(step.Data) > 0 {
-			if err := w.Data(step.Data); err != nil {
+		if len(chunk.Data) > 0 {
+			if err := w.Data(chunk.Data); err != nil {
 				return err
 			}
-			offset += int64(len(step.Data))
-			if len(step.Data) < maxData {
+			offset += int64(len(chunk.Data))
+			if len(chunk.Data) < maxData {
 				continue
 			}
 		}
-		if len(step.Data) == 0 && step.End != nil {
-			return Finish(w, step.End)
+		if len(chunk.Data) == 0 && chunk.End != nil {
+			return Finish(w, chunk.End)
 		}
 		// Tokens are not delayed: pending data is sent before the wait for more.
 		if err := w.Flush(); err != nil {
 			return err
 		}
-		if len(step.Data) > 0 {
+		if len(chunk.Data) > 0 {
 			continue
 		}
 		select {
-		case <-step.Changed:
+		case <-chunk.Changed:
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
