--- a/io/objapi/call.go
+++ b/io/objapi/call.go
@@ -15,7 +15,7 @@
 
 	"radishwell/core"
 	"radishwell/io/loop"
-	"radishwell/io/steady"
+	"radishwell/io/stall"
 )
 
 // Limits of one call. A slow platform is still worth waiting for, so the
@@ -79,7 +79,7 @@
 	if err := c.spend(ctx, what.read); err != nil {
 		return what.fail(core.Unavailable, err)
 	}
-	answer := steady.Start(ctx, timeout)
+	answer := stall.Start(ctx, timeout)
 	defer answer.Stop()
 	resp, failed := c.send(answer.Context, what, nil)
 	if failed != nil {
--- a/io/steady/steady.go
+++ b/io/stall/stall.go
@@ -1,4 +1,4 @@
-package steady
+package stall
 
 import (
 	"context"
--- a/io/steady/steady_test.go
+++ b/io/stall/stall_test.go
@@ -1,4 +1,4 @@
-package steady_test
+package stall_test
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"radishwell/io/steady"
+	"radishwell/io/stall"
 )
 
 const timeout = time.Second
@@ -31,7 +31,7 @@
 func read(t *testing.T, pieces int, gap time.Duration, closes bool) (int, error) {
 	t.Helper()
 	r, w := io.Pipe()
-	c := steady.Start(t.Context(), timeout)
+	c := stall.Start(t.Context(), timeout)
 	defer c.Stop()
 	sent := make(chan struct{})
 	go func() {
@@ -49,7 +49,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	var silent *steady.SilenceError
+	var silent *stall.SilenceError
 	for _, c := range []struct {
 		name     string
 		pieces   int
--- a/io/steady/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package steady bounds calls by inactivity instead of by total duration. A fixed total
-// would end every attempt to read a long answer over a slow link at the same point.
-package steady
