--- a/io/agent/drive.go
+++ b/io/agent/drive.go
@@ -127,7 +127,7 @@
 			a.end(r, now, a.unreachableRefusal(now))
 		}
 	}
-	loop.Poke(a.driveWake)
+	loop.Wake(a.driveWake)
 }
 
 func (a *Agent) unreachableRefusal(now time.Time) *core.Refusal {
@@ -335,7 +335,7 @@
 		}
 		if a.ledger.Unload(now, i.Name) {
 			a.Meter.Unload(meter.UnloadRevoked)
-			loop.Poke(a.driveWake)
+			loop.Wake(a.driveWake)
 		}
 	}
 }
--- a/io/agent/sched.go
+++ b/io/agent/sched.go
@@ -182,7 +182,7 @@
 		a.refuseLane(now, l, core.CodeNoMemory, "no accelerator has room for "+l.name)
 	case ledger.Ready, ledger.Loading, ledger.Evicting, ledger.Unloading, ledger.NotReady:
 		a.queue.SetReady(now, l.name, a.estimateReady(now, l))
-		loop.Poke(a.driveWake)
+		loop.Wake(a.driveWake)
 	}
 }
 
@@ -317,5 +317,5 @@
 		events.Log(events.RequestMayHaveRun, "request", r.id, "code", refusal.Code, "reason", refusal.Reason)
 	}
 	a.schedule(now)
-	loop.Poke(a.deadlineWake)
+	loop.Wake(a.deadlineWake)
 }
--- a/io/agent/slots.go
+++ b/io/agent/slots.go
@@ -57,7 +57,7 @@
 			s.request.Owner, s.request.Size = e.Owner, e.Memory
 		}
 		a.slots[name] = s
-		loop.Poke(a.slotWake)
+		loop.Wake(a.slotWake)
 	}
 	s.request.Class = min(s.request.Class, class)
 	if deadline.Before(s.request.Deadline) {
--- a/io/agent/warm.go
+++ b/io/agent/warm.go
@@ -75,7 +75,7 @@
 		}
 		if a.ledger.Unload(now, i.Name) {
 			a.Meter.Unload(meter.UnloadIdle)
-			loop.Poke(a.driveWake)
+			loop.Wake(a.driveWake)
 		}
 	}
 	if now.After(a.lastPrewarm.Add(prewarmInterval)) {
@@ -158,7 +158,7 @@
 	}
 	if a.loadItem(now, name, e.Target.Base, core.Overnight, now.Add(prewarmInterval)) == ledger.Loading {
 		events.Log(events.LoadStarted, "model", name, "host", a.Host, "ahead-of-need", true)
-		loop.Poke(a.driveWake)
+		loop.Wake(a.driveWake)
 	}
 }
 
--- a/io/deploy/entry.go
+++ b/io/deploy/entry.go
@@ -109,8 +109,8 @@
 		}
 	}
 	e.feed = &feed.Feed{
-		Self: self, MostDirect: s.Managed.DirectAgents, Clock: e.clock, Proxy: e.proxy, Ask: e.client.Digest, Ping: e.client.Ping,
-		Members: e.members.others, Engines: e.links.centres, Planner: e.links.notifyAll,
+		Self: self, MaxDirect: s.Managed.DirectAgents, Clock: e.clock, Proxy: e.proxy, Digest: e.client.Digest, Ping: e.client.Ping,
+		Members: e.members.others, Engines: e.links.centres, OnPlanner: e.links.notifyAll,
 	}
 	e.feed.Start()
 	e.handler.Digest = e.feed.Serve
@@ -133,7 +133,7 @@
 	e.handler.Allow = e.quota.Serve
 	e.proxy.Quotas, e.proxy.Pacer = e.quota, e.quota
 	e.proxy.Behind = func() bool {
-		return e.clock.Now().Sub(e.state.Status(core.KindTable).Fresh) > maxTableAge
+		return e.clock.Now().Sub(e.state.Status(core.KindTable).FreshAt) > maxTableAge
 	}
 }
 
--- a/io/deploy/link.go
+++ b/io/deploy/link.go
@@ -111,7 +111,7 @@
 	l.entry.proxy.Update(func(v *fleet.View, _ time.Time) {
 		life = v.Newest(k.address)
 		if h := v.Host(life.ID); h != nil && direct {
-			in.Active = feed.CountsOut(h.OwnActive())
+			in.Active = feed.EncodeCounts(h.OwnActive())
 		}
 	})
 	in.Instance, in.Born = string(life.ID), life.Born
@@ -138,10 +138,10 @@
 // addRelayed adds the planner and the use of the upstream by other entries to a call, for
 // which a relay is responsible.
 func (l *links) addRelayed(k *link, in *wire.UpstreamCall) {
-	planner := l.entry.feed.Plans()
+	planner := l.entry.feed.CurrentPlanner()
 	in.Planner, in.PlannerControl = string(planner.Name), planner.Control.String()
-	in.Active = feed.CountsOut(l.entry.feed.Active(k.address))
-	in.Used = l.entry.feed.TakeUsed(k.address)
+	in.Active = feed.EncodeCounts(l.entry.feed.Active(k.address))
+	in.Used = l.entry.feed.TakeUsedAdapters(k.address)
 }
 
 // applyReply applies an agent's reply.
@@ -159,7 +159,7 @@
 			l.entry.members.addNamed(core.HostName(e.GetName()), at)
 		}
 	}
-	h := feed.HostIn(k.address, reply.GetReport(), now)
+	h := feed.DecodeHost(k.address, reply.GetReport(), now)
 	h.Planner = core.HostName(reply.GetPlanner())
 	l.entry.proxy.Update(func(v *fleet.View, _ time.Time) { feed.Apply(v, &h) })
 	l.entry.feed.Put(h)
--- a/io/deploy/members.go
+++ b/io/deploy/members.go
@@ -213,7 +213,7 @@
 // change.
 func (e *entry) setOrders(now bool) {
 	if e.ordersEngines.Swap(now) != now {
-		loop.Poke(e.recordChanged)
+		loop.Wake(e.recordChanged)
 	}
 }
 
--- a/io/deploy/planner.go
+++ b/io/deploy/planner.go
@@ -126,7 +126,7 @@
 // It plans if this entry is the planner by the relays' information. Otherwise, if requests
 // wait, it reports the demand to the relays at once.
 func (p *planner) decideWithRelays(ctx context.Context, now time.Time) {
-	plans := p.entry.feed.Plans().Name == p.entry.Settings.Name
+	plans := p.entry.feed.CurrentPlanner().Name == p.entry.Settings.Name
 	p.setLeading(plans)
 	if p.entry.feed.HasFollowers(reportTimeout) {
 		p.entry.proxy.NoteLoader()
@@ -136,7 +136,7 @@
 		return
 	}
 	if len(p.entry.proxy.WaitingFor()) > 0 {
-		p.entry.feed.Hurry(ctx)
+		p.entry.feed.PollNow(ctx)
 	}
 }
 
@@ -241,7 +241,7 @@
 		}
 	}
 	p.entry.proxy.SetForecasts(ready)
-	p.entry.feed.Foresee(ready)
+	p.entry.feed.SetForecasts(ready)
 }
 
 // hosts returns the running hosts of a service as copies.Planner takes them, and their
--- a/io/deploy/signal.go
+++ b/io/deploy/signal.go
@@ -13,7 +13,7 @@
 // them late, and the limits apply to the requests of all entries together.
 func (e *entry) shareSignals() {
 	e.proxy.OnRateLimit, e.proxy.OnLeaving = e.broadcastLimit, e.broadcastLeaving
-	e.state.Marked = e.applyMarks
+	e.state.OnMarks = e.applyMarks
 	e.meter.LimitedUpstreams(e.proxy.LimitedHosts)
 }
 
--- a/io/deploy/watch.go
+++ b/io/deploy/watch.go
@@ -37,10 +37,10 @@
 		// with peers: after all processes have been killed, no peer answers.
 		Kinds: kinds, Confirm: kinds, Platform: e.store, Client: e.client, Clock: e.clock,
 		Peers: e.members.peers, Near: e.members.isNear, Watchers: watchers, Seed: rand.Uint64(), MaxRetry: maxStoreRetry,
-		Changed: e.applyChanges, Reached: e.storeReached, Failed: e.readFailed,
+		OnChange: e.applyChanges, OnAnswer: e.storeReached, OnError: e.readFailed,
 	}
-	stale.Feed(e.meter, e.state)
-	e.handler.Sync, e.handler.Fetch = e.state.Serve, e.state.ServeFetch
+	stale.Export(e.meter, e.state)
+	e.handler.Sync, e.handler.Fetch = e.state.ServeSync, e.state.ServeFetch
 	e.parts = append(e.parts, e.state.Run)
 }
 
@@ -61,7 +61,7 @@
 			}
 		}
 	})
-	e.feed.Listed()
+	e.feed.RegistryChanged()
 }
 
 // applyHost applies a registry entry. It logs a change after which the host gets no new work.
@@ -117,7 +117,7 @@
 	var failed *core.PlatformError
 	switch {
 	case !errors.As(err, &failed):
-		stale.Failed(err)
+		stale.LogFailure(err)
 	case failed.Fault == core.Gone:
 		events.Log(events.WatchRestarted, "kind", failed.Kind, "cause", "history dropped")
 	default:
--- a/io/driver/serve.go
+++ b/io/driver/serve.go
@@ -178,7 +178,7 @@
 	}
 	d.goal = g
 	d.notify()
-	loop.Poke(d.wake)
+	loop.Wake(d.wake)
 	events.Log(events.GoalTaken, "planner", d.planner, "load", g.load, "evict", g.evict)
 	return &wire.GoalReply{Taken: true}, nil
 }
--- a/io/node/decide.go
+++ b/io/node/decide.go
@@ -79,7 +79,7 @@
 	case core.KindGrant:
 		d.observeGrant(o)
 	}
-	loop.Poke(d.wake)
+	loop.Wake(d.wake)
 }
 
 func (d *decider) observeHost(o core.Object) {
@@ -123,7 +123,7 @@
 			d.setOwner(core.OwnerName(r.Name), s)
 		}
 	}
-	loop.Poke(d.wake)
+	loop.Wake(d.wake)
 }
 
 // setEntry passes a model or adapter to the planner. An entry that is pending
--- a/io/node/mesh.go
+++ b/io/node/mesh.go
@@ -33,16 +33,16 @@
 		}
 	}
 	n.Platform = &meteredPlatform{Platform: n.Platform, meter: n.meter, clock: n.clock}
-	n.client = &peer.Client{TLS: n.tlsToPeer(), Silent: n.recordSilence, Called: n.meter.Peer}
+	n.client = &peer.Client{TLS: n.tlsToPeer(), OnSilent: n.recordSilence, OnCall: n.meter.Peer}
 	self := peer.Target{Host: n.Settings.Name, Address: n.Settings.Listen.Control}
 	n.store = &peer.Store{
 		Self: self, Kinds: storedKinds(), Confirm: n.confirmKinds(), Platform: n.Platform, Client: n.client, Clock: n.clock,
-		Peers: n.peers, Seed: uint64(n.incarnation), Changed: n.fleet.apply, Marked: n.members.applyMarks,
-		Strikes: func() []*wire.Strike { return relay.StrikesOut(n.strikes()) },
-		Struck:  n.receiveStrikes, Failed: n.logFailure,
+		Peers: n.peers, Seed: uint64(n.incarnation), OnChange: n.fleet.apply, OnMarks: n.members.applyMarks,
+		Strikes:     func() []*wire.Strike { return relay.EncodeStrikes(n.strikes()) },
+		JoinStrikes: n.receiveStrikes, OnError: n.logFailure,
 	}
-	stale.Feed(n.meter, n.store)
-	n.handler.Sync, n.handler.Fetch = n.store.Serve, n.store.ServeFetch
+	stale.Export(n.meter, n.store)
+	n.handler.Sync, n.handler.Fetch = n.store.ServeSync, n.store.ServeFetch
 	n.addComponent("store", n.store.Run)
 	return nil
 }
@@ -192,7 +192,7 @@
 // broadcastStrikes sends strikes to up to maxStrikeCalls entries and waits for the
 // calls to end. Other processes get the strikes by the next exchange between peers.
 func (n *Node) broadcastStrikes(list []strike.Record) {
-	n.store.Kick()
+	n.store.SyncNow()
 	entries := n.fleet.entries()
 	entries = entries[:min(len(entries), maxStrikeCalls)]
 	ended := make(chan struct{}, len(entries))
@@ -217,12 +217,14 @@
 	defer stop()
 	// If the call fails, the exchange between peers delivers the strikes.
 	_, _ = n.client.Sync(ctx, peer.Target{Host: host, Address: h.spec.Control}, &wire.SyncCall{
-		From: string(n.Settings.Name), Strikes: relay.StrikesOut(list),
+		From: string(n.Settings.Name), Strikes: relay.EncodeStrikes(list),
 	})
 }
 
 // receiveStrikes merges strikes from peers and reports whether any was new.
-func (n *Node) receiveStrikes(list []*wire.Strike) bool { return n.mergeStrikes(relay.StrikesIn(list)) }
+func (n *Node) receiveStrikes(list []*wire.Strike) bool {
+	return n.mergeStrikes(relay.DecodeStrikes(list))
+}
 
 // logFailure logs a failed call to the platform or a peer.
 func (n *Node) logFailure(err error) {
@@ -231,7 +233,7 @@
 		events.Fail(events.WatchRestarted, err, "kind", platform.Kind)
 		return
 	}
-	stale.Failed(err)
+	stale.LogFailure(err)
 }
 
 // replicasFilled reports whether this process has replicas of the whole catalogue,
--- a/io/peer/tls_test.go
+++ b/io/peer/tls_test.go
@@ -14,8 +14,8 @@
 	"radishwell/wire"
 )
 
-// TestTLS: somebody who is no own process finds a control port. It must get no
-// answer, and operators must see that it tried.
+// TestTLS: a client without a certificate of this system connects to a control port. Its
+// call must fail, and the attempt must be reported.
 func TestTLS(t *testing.T) {
 	web := httptest.NewTLSServer(nil)
 	defer web.Close()
@@ -23,10 +23,10 @@
 	roots.AddCert(web.Certificate())
 	refused := make(chan error, 1)
 	s := &Server{
-		Address: netip.MustParseAddrPort("127.0.0.1:0"),
-		TLS:     &tls.Config{Certificates: web.TLS.Certificates, ClientAuth: tls.RequireAnyClientCert},
-		Handler: &Handler{Probe: func(*wire.ProbeCall) (*wire.HostLoad, error) { return &wire.HostLoad{}, nil }},
-		Refused: func(_ netip.AddrPort, cause error) { refused <- cause },
+		Address:   netip.MustParseAddrPort("127.0.0.1:0"),
+		TLS:       &tls.Config{Certificates: web.TLS.Certificates, ClientAuth: tls.RequireAnyClientCert},
+		Handler:   &Handler{Probe: func(*wire.ProbeCall) (*wire.HostLoad, error) { return &wire.HostLoad{}, nil }},
+		OnRefused: func(_ netip.AddrPort, cause error) { refused <- cause },
 	}
 	assert.NilError(t, s.Listen())
 	ctx, stop := context.WithCancel(t.Context())
