--- a/core/claims/call_test.go
+++ b/core/claims/call_test.go
@@ -10,7 +10,7 @@
 	"radishwell/core/dedupe"
 )
 
-// picked returns a call that is about to claim its first attempt.
+// picked returns a call whose next step is to claim its first attempt.
 func picked() *Call {
 	c := &Call{Fingerprint: 7, Claimant: 1, Deadline: start.Add(time.Minute), Expires: start.Add(time.Hour)}
 	c.Start(start)
@@ -27,28 +27,30 @@
 	assert.Equal(t, s.Refusal.Outcome, outcome)
 }
 
-// An entry is paused while it waits for its claim. Meanwhile the caller's
-// repeat has the attempt sealed and runs the next. When the entry goes on, its
-// deadline has passed; it must not say that the request didn't run.
+// TestClaimWonAfterDeadline guards against a wrong "not run". An entry pauses
+// while it waits for its claim; meanwhile a repeated request seals the attempt
+// and runs the next one. The entry resumes after its deadline.
 func TestClaimWonAfterDeadline(t *testing.T) {
 	c := picked()
-	assertRefusal(t, c.Claimed(start.Add(time.Minute), won(c)), core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefusal(t, c.Claimed(start.Add(time.Minute), won(c)), core.CodeAnswerLost, core.MayHaveRun)
 }
 
-// An entry loses contact in a hand-over and finds its attempt sealed: by its own
-// question, or by that of a repeat that has run the next attempt since. If it
-// can't claim the next one itself, it must not say that the request didn't run.
+// TestOwnAttemptFoundSealed guards against a wrong "not run". An entry loses the
+// connection during a hand-over and finds its attempt sealed, either by its own
+// query or by that of a repeated request, which may have run the next attempt.
+// The entry then can't claim the next attempt itself.
 func TestOwnAttemptFoundSealed(t *testing.T) {
 	c := picked()
 	assert.Equal(t, c.Claimed(start, won(c)).Kind, StepHandOver)
 	assert.Equal(t, c.Ended(start, EndLost, nil, false).Kind, StepAsk)
-	assert.Equal(t, c.Asked(start, Standing{Reached: true, State: dedupe.Sealed}).Kind, StepPick)
+	assert.Equal(t, c.Asked(start, AttemptStatus{Reached: true, State: dedupe.Sealed}).Kind, StepPick)
 	no := core.Refuse(core.CodeNoHost, "no host")
-	assertRefusal(t, c.NoHost(no), core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefusal(t, c.NoHost(no), core.CodeAnswerLost, core.MayHaveRun)
 }
 
-// The attempt arrives after a repeat's entry has sealed it. Its entry goes on to
-// the next attempt and finds there what the repeat claimed.
+// TestSealedHandOverFollowsTheNextAttempt checks that an entry whose attempt was
+// sealed before it arrived goes on to the next attempt and attaches to the one
+// that the repeated request claimed.
 func TestSealedHandOverFollowsTheNextAttempt(t *testing.T) {
 	c := picked()
 	c.Claimed(start, won(c))
@@ -61,24 +63,26 @@
 	s = c.Claimed(start, Answer{Result: Held, Holder: other})
 	assert.Equal(t, s.Kind, StepAsk)
 	assert.Equal(t, s.Claim.Host, core.HostName("agent-2"))
-	assert.Equal(t, c.Asked(start, Standing{Reached: true, State: dedupe.Done}).Kind, StepAttach)
-	assert.Equal(t, c.Ended(start, EndWhole, nil, false).Kind, StepDone)
+	assert.Equal(t, c.Asked(start, AttemptStatus{Reached: true, State: dedupe.Done}).Kind, StepAttach)
+	assert.Equal(t, c.Ended(start, EndComplete, nil, false).Kind, StepDone)
 }
 
-// An entry loses contact in a hand-over and attaches again. The agent has refused
-// the attempt from its queue since, and a repeat has run the next one before the
-// entry hears of that. The refusal is old; the entry must look for the next claim.
-func TestRefusalReadLaterIsNoNews(t *testing.T) {
+// TestRefusalReadLaterMayBeStale guards against a wrong "not run". An entry
+// loses the connection during a hand-over and attaches to the attempt. The agent
+// then refuses the attempt from its queue, and a repeated request runs the next
+// one before the entry learns of the refusal. The refusal is out of date, so the
+// entry must look for the next claim.
+func TestRefusalReadLaterMayBeStale(t *testing.T) {
 	c := picked()
 	c.Claimed(start, won(c))
 	c.Ended(start, EndLost, nil, false)
-	assert.Equal(t, c.Asked(start, Standing{Reached: true, State: dedupe.Running}).Kind, StepAttach)
+	assert.Equal(t, c.Asked(start, AttemptStatus{Reached: true, State: dedupe.Running}).Kind, StepAttach)
 	full := core.Refuse(core.CodeQueueFull, "full")
 	assert.Equal(t, c.Ended(start, EndRefused, full, false).Kind, StepPick)
-	assertRefusal(t, c.NoHost(full), core.CodeRanElsewhere, core.MayHaveRun)
+	assertRefusal(t, c.NoHost(full), core.CodeAnswerLost, core.MayHaveRun)
 }
 
-func TestRefusedFirstHandIsNotRun(t *testing.T) {
+func TestRefusedHandOverIsNotRun(t *testing.T) {
 	c := picked()
 	c.Claimed(start, won(c))
 	full := core.Refuse(core.CodeQueueFull, "full")
@@ -91,10 +95,10 @@
 	s := c.Ended(start, EndLost, nil, false)
 	asks := 0
 	for ; s.Kind == StepAsk; asks++ {
-		s = c.Asked(s.At, Standing{})
+		s = c.Asked(s.At, AttemptStatus{})
 	}
-	assert.Equal(t, asks, int(time.Minute/askAgain))
-	assertRefusal(t, s, core.CodeRanElsewhere, core.MayHaveRun)
+	assert.Equal(t, asks, int(time.Minute/askInterval))
+	assertRefusal(t, s, core.CodeAnswerLost, core.MayHaveRun)
 }
 
 func TestAttemptsAreBounded(t *testing.T) {
--- a/core/losses/losses_test.go
+++ b/core/losses/losses_test.go
@@ -17,21 +17,21 @@
 		r    losses.Request
 		want losses.Cause
 	}{
-		{"in time", losses.Request{Target: target, Answered: true, Took: 5 * time.Second, First: time.Second, Waited: 900 * time.Millisecond}, losses.None},
-		{"no target known", losses.Request{Answered: true, Took: time.Minute}, losses.None},
-		{"a copy came late", losses.Request{Target: target, Answered: true, First: 3 * time.Second, Waited: 2 * time.Second}, losses.LateNoCopy},
-		{"an adapter came late", losses.Request{Target: target, Answered: true, First: 3 * time.Second, Waited: time.Second, Fetched: 1500 * time.Millisecond}, losses.LateAdapter},
-		{"the engine was late", losses.Request{Target: target, Answered: true, First: 3 * time.Second, Waited: time.Second}, losses.LateQueue},
-		{"a plain answer came late", losses.Request{Target: target, Answered: true, Took: 3 * time.Second}, losses.LateQueue},
-		{"a stream paused", losses.Request{Target: target, Answered: true, First: time.Second, Longest: time.Second, Pause: 200 * time.Millisecond}, losses.LatePauses},
+		{"in time", losses.Request{Target: target, Answered: true, Duration: 5 * time.Second, FirstEvent: time.Second, NoCopyWait: 900 * time.Millisecond}, losses.None},
+		{"no target known", losses.Request{Answered: true, Duration: time.Minute}, losses.None},
+		{"a copy came late", losses.Request{Target: target, Answered: true, FirstEvent: 3 * time.Second, NoCopyWait: 2 * time.Second}, losses.LateNoCopy},
+		{"an adapter came late", losses.Request{Target: target, Answered: true, FirstEvent: 3 * time.Second, NoCopyWait: time.Second, AdapterWait: 1500 * time.Millisecond}, losses.LateAdapter},
+		{"the engine was late", losses.Request{Target: target, Answered: true, FirstEvent: 3 * time.Second, NoCopyWait: time.Second}, losses.LateQueue},
+		{"a plain answer came late", losses.Request{Target: target, Answered: true, Duration: 3 * time.Second}, losses.LateQueue},
+		{"a stream paused", losses.Request{Target: target, Answered: true, FirstEvent: time.Second, LongestPause: time.Second, PauseTarget: 200 * time.Millisecond}, losses.LatePauses},
 		{"the upstream's own failure", losses.Request{Target: target, Answered: true, Failed: true}, losses.FailedUpstream},
-		{"spoilt", losses.Request{Code: core.CodeUpstreamLost, Spoilt: true}, losses.FailedSpoilt},
+		{"unusable answer", losses.Request{Code: core.CodeUpstreamLost, Spoilt: true}, losses.FailedSpoilt},
 		{"lost", losses.Request{Code: core.CodeUpstreamLost}, losses.FailedLost},
 		{"not answered", losses.Request{Code: core.CodeUpstreamLate}, losses.FailedLate},
-		{"left without a copy", losses.Request{Code: core.CodeCancelled, Took: 2 * time.Second, Waited: 2 * time.Second}, losses.LeftNoCopy},
-		{"left without a word", losses.Request{Code: core.CodeCancelled, Took: 2 * time.Second, Sends: 1}, losses.LeftQueue},
-		{"held to the end", losses.Request{Target: target, Code: core.CodeWaitTooLong, Took: 8 * time.Second, Waited: 8 * time.Second}, losses.HeldToEnd},
-		{"refused while it waited", losses.Request{Target: target, Code: core.CodeWaitTooLong, Took: time.Second, Waited: time.Second}, losses.RefusedWaiting},
+		{"left without a copy", losses.Request{Code: core.CodeCancelled, Duration: 2 * time.Second, NoCopyWait: 2 * time.Second}, losses.CancelledNoCopy},
+		{"left without an event", losses.Request{Code: core.CodeCancelled, Duration: 2 * time.Second, Sends: 1}, losses.CancelledQueue},
+		{"refused at its deadline", losses.Request{Target: target, Code: core.CodeWaitTooLong, Duration: 8 * time.Second, NoCopyWait: 8 * time.Second}, losses.RefusedAtDeadline},
+		{"refused while it waited", losses.Request{Target: target, Code: core.CodeWaitTooLong, Duration: time.Second, NoCopyWait: time.Second}, losses.RefusedWaiting},
 		{"refused at once", losses.Request{Target: target, Code: core.CodeOverload}, losses.RefusedAtOnce},
 		{"the entry stops", losses.Request{Code: core.CodeLeaving}, losses.RefusedOther},
 	}
@@ -51,6 +51,6 @@
 	assert.DeepEqual(t, table.Rows("b"), []losses.Row{{losses.None, 1}, {losses.FailedLost, 2}, {losses.RefusedOther, 1}})
 	all, lost := table.Total("b")
 	assert.Equal(t, all, 4)
-	assert.Equal(t, lost, 3, "what is lost adds up to all but what was in time")
+	assert.Equal(t, lost, 3, "all requests but those served in time count as lost")
 	assert.Equal(t, len(table.Rows("c")), 0)
 }
--- a/core/refuse.go
+++ b/core/refuse.go
@@ -8,51 +8,52 @@
 // Code is the stable code of a refusal or failure, as callers see it.
 type Code string
 
-// Codes of refusals and failures. docs/ERRORS.md lists them; a test holds the
-// page to this table.
+// Codes of refusals and failures. docs/ERRORS.md lists them; TestErrorsPage
+// checks that the page matches codeTable.
 const (
-	CodeBadRequest     Code = "bad-request"
-	CodeBadKey         Code = "bad-credentials"
-	CodeForbidden      Code = "not-permitted"
-	CodeUnknownModel   Code = "unknown-model"
-	CodeUnknownPath    Code = "unknown-path"
-	CodeMethod         Code = "method-not-allowed"
-	CodeTooLarge       Code = "body-too-large"
-	CodeKeyReused      Code = "key-reused"
-	CodeDeadline       Code = "deadline-passed"
-	CodeWaitTooLong    Code = "wait-too-long"
-	CodeRateLimit      Code = "rate-limit"
-	CodeConcurrency    Code = "concurrency-limit"
-	CodeQueueFull      Code = "queue-full"
-	CodeOverload       Code = "overload"
-	CodeNoHost         Code = "no-host"
-	CodeNoMemory       Code = "no-memory"
-	CodeNotGranted     Code = "not-granted"
-	CodeLoadFailed     Code = "load-failed"
-	CodeLeaving        Code = "leaving"
-	CodeQuarantined    Code = "quarantined"
-	CodeClaimUnknown   Code = "claim-unavailable"
-	CodeRanElsewhere   Code = "answer-lost"
-	CodeSealed         Code = "attempt-sealed"
-	CodeUnreached      Code = "host-unreached"
-	CodeUpstreamFailed Code = "upstream-failed"
-	CodeUpstreamLost   Code = "upstream-lost"
-	CodeUpstreamLate   Code = "upstream-late"
-	CodeCancelled      Code = "cancelled"
-	CodeNotReady       Code = "not-ready"
-	CodeInternal       Code = "internal"
+	CodeBadRequest       Code = "bad-request"
+	CodeBadKey           Code = "bad-credentials"
+	CodeForbidden        Code = "not-permitted"
+	CodeUnknownModel     Code = "unknown-model"
+	CodeUnknownPath      Code = "unknown-path"
+	CodeMethod           Code = "method-not-allowed"
+	CodeTooLarge         Code = "body-too-large"
+	CodeKeyReused        Code = "key-reused"
+	CodeDeadline         Code = "deadline-passed"
+	CodeWaitTooLong      Code = "wait-too-long"
+	CodeRateLimit        Code = "rate-limit"
+	CodeConcurrency      Code = "concurrency-limit"
+	CodeQueueFull        Code = "queue-full"
+	CodeOverload         Code = "overload"
+	CodeNoHost           Code = "no-host"
+	CodeNoMemory         Code = "no-memory"
+	CodeNotGranted       Code = "not-granted"
+	CodeLoadFailed       Code = "load-failed"
+	CodeLeaving          Code = "leaving"
+	CodeQuarantined      Code = "quarantined"
+	CodeClaimUnavailable Code = "claim-unavailable"
+	CodeAnswerLost       Code = "answer-lost"
+	CodeSealed           Code = "attempt-sealed"
+	CodeUnreached        Code = "host-unreached"
+	CodeUpstreamFailed   Code = "upstream-failed"
+	CodeUpstreamLost     Code = "upstream-lost"
+	CodeUpstreamLate     Code = "upstream-late"
+	CodeCancelled        Code = "cancelled"
+	CodeNotReady         Code = "not-ready"
+	CodeInternal         Code = "internal"
 )
 
 // CodeInfo describes a code to callers and operators.
 type CodeInfo struct {
 	Code Code
-	// Status is the HTTP status callers get.
+	// Status is the HTTP status that callers receive.
 	Status int
-	// Type is the OpenAI error type, which clients' libraries map to classes.
+	// Type is the error type of the OpenAI API, which client libraries map to
+	// exception classes.
 	Type string
-	// Again tells that a later try can pass, so that Retry-After is sent.
-	Again bool
-	// Text says in a sentence what the code means.
+	// Retryable is set if a later attempt can succeed, so that Retry-After is sent.
+	Retryable bool
+	// Text explains the code in one sentence.
 	Text string
 }
 
@@ -77,8 +78,8 @@
 	{CodeLoadFailed, 503, "overloaded_error", true, "The model could not be loaded."},
 	{CodeLeaving, 503, "overloaded_error", true, "The host is leaving and takes no new work."},
 	{CodeQuarantined, 422, "invalid_request_error", false, "The same request has crashed upstreams and is refused."},
-	{CodeClaimUnknown, 503, "overloaded_error", true, "The platform cannot record the idempotency key at present."},
-	{CodeRanElsewhere, 502, "api_error", false, "The request with this key ran or may have run and its answer is lost."},
+	{CodeClaimUnavailable, 503, "overloaded_error", true, "The platform cannot record the idempotency key at present."},
+	{CodeAnswerLost, 502, "api_error", false, "The request with this key ran or may have run and its answer is lost."},
 	{CodeSealed, 503, "overloaded_error", true, "This attempt was given up before it ran; another may have followed it."},
 	{CodeUnreached, 503, "overloaded_error", true, "No connection to a host that may serve the target could be made."},
 	{CodeUpstreamFailed, 502, "api_error", false, "The upstream answered with a failure."},
@@ -89,10 +90,11 @@
 	{CodeInternal, 500, "api_error", false, "The entry failed; the log has the cause under the request id."},
 }
 
-// Codes returns the table of all codes.
+// Codes returns the descriptions of all codes.
 func Codes() []CodeInfo { return slices.Clone(codeTable) }
 
-// Info returns the code's row of the table, or that of CodeInternal.
+// Info returns the code's description, or that of CodeInternal if the code is
+// unknown.
 func (c Code) Info() CodeInfo {
 	for _, row := range codeTable {
 		if row.Code == c {
@@ -102,16 +104,16 @@
 	return CodeInternal.Info()
 }
 
-// Refusal is the typed answer to a request that is not (wholly) served. It is
-// what every hop returns instead of an answer.
+// Refusal is the error answer to a request that was not served, or not
+// completely. Every hop returns it in place of an answer.
 type Refusal struct {
 	Code    Code
 	Outcome Outcome
-	// Reason tells the caller what happened, in a sentence.
+	// Reason explains to the caller what happened, in one sentence.
 	Reason string
-	// RetryAt is when a later try can pass; zero where none is foreseen.
+	// RetryAt is when a later attempt can succeed; zero if unknown.
 	RetryAt time.Time
-	// Host is the upstream host that refused; empty where an entry did.
+	// Host is the upstream host that refused; empty if an entry did.
 	Host HostName
 }
 
@@ -125,7 +127,8 @@
 	return &Refusal{Code: code, Outcome: NotRun, Reason: reason}
 }
 
-// RefuseUntil is Refuse with the time from which a later try can pass.
+// RefuseUntil is like Refuse, with the time from which a later attempt can
+// succeed.
 func RefuseUntil(code Code, reason string, at time.Time) *Refusal {
 	return &Refusal{Code: code, Outcome: NotRun, Reason: reason, RetryAt: at}
 }
--- a/io/proxy/answer.go
+++ b/io/proxy/answer.go
@@ -61,7 +61,7 @@
 		return outcome{sent: sent, cause: causeOf(ctx, err)}
 	}
 	defer resp.Body.Close()
-	head := c.proxy.Protocol.Answer(resp.Header, resp.StatusCode, c.proxy.Clock.Now())
+	head := c.proxy.Protocol.ParseAnswer(resp.Header, resp.StatusCode, c.proxy.Clock.Now())
 	c.applySignals(t, head, sentAt)
 	if head.ID == c.ask.ID && (head.NotRun || resp.StatusCode == http.StatusMisdirectedRequest) {
 		c.recordEnd(t, func(h *fleet.Host, now time.Time) { c.recordRejection(h, now, resp.StatusCode) })
@@ -158,7 +158,7 @@
 		resp.Body = &replayedBody{Reader: io.MultiReader(bytes.NewReader(body), resp.Body), Closer: resp.Body}
 		return false
 	}
-	c.failure = &failure{status: resp.StatusCode, header: c.proxy.Protocol.Reply(resp.Header), body: body}
+	c.failure = &failure{status: resp.StatusCode, header: c.proxy.Protocol.ReplyHeader(resp.Header), body: body}
 	return true
 }
 
@@ -264,7 +264,7 @@
 func (c *call) copyHead(resp *http.Response) {
 	c.status = resp.StatusCode
 	head := c.writer.Header()
-	for name, values := range c.proxy.Protocol.Reply(resp.Header) {
+	for name, values := range c.proxy.Protocol.ReplyHeader(resp.Header) {
 		head[name] = values
 	}
 }
--- a/io/proxy/customer.go
+++ b/io/proxy/customer.go
@@ -23,14 +23,14 @@
 	if !t.Keyed() {
 		return nil
 	}
-	if c.ask.KeyFault == nil {
+	if c.ask.KeyRefusal == nil {
 		c.customer = t.Holder(c.ask.Key)
 	}
 	switch {
 	case c.customer != nil || c.route.Open:
 		return nil
-	case c.ask.KeyFault != nil:
-		return c.ask.KeyFault
+	case c.ask.KeyRefusal != nil:
+		return c.ask.KeyRefusal
 	}
 	return c.proxy.refuseKey(c.ask.Key, c.arrived)
 }
@@ -88,5 +88,5 @@
 		return
 	}
 	c.chargedAt = time.Time{}
-	c.proxy.Quotas.Put(c.customer.Name, c.units)
+	c.proxy.Quotas.Refund(c.customer.Name, c.units)
 }
--- a/io/proxy/customer_test.go
+++ b/io/proxy/customer_test.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func (c *fakeQuotas) Put(_ core.OwnerName, units float64) {
+func (c *fakeQuotas) Refund(_ core.OwnerName, units float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.left += units
