--- a/core/catlog/build.go
+++ b/core/catlog/build.go
@@ -2,7 +2,7 @@
 
 import "radishwell/core"
 
-// snapshot builds the lookups from the records in force.
+// snapshot builds the lookup tables from the entries in force.
 func (v *View) snapshot() *Snapshot {
 	b := builder{
 		s: &Snapshot{
@@ -16,8 +16,8 @@
 		shared: map[Digest]bool{},
 	}
 	for _, r := range v.sorted {
-		if r.chosen != nil {
-			b.add(r.chosen)
+		if r.served != nil {
+			b.add(r.served)
 		}
 	}
 	return b.s
@@ -25,11 +25,12 @@
 
 type builder struct {
 	s *Snapshot
-	// shared holds digests that more than one owner lists.
+	// shared holds the digests that more than one owner lists. They authenticate
+	// nobody.
 	shared map[Digest]bool
 }
 
-func (b *builder) add(g *good) {
+func (b *builder) add(g *validSpec) {
 	switch g.spec.kind {
 	case core.KindOwner:
 		b.owner(g)
@@ -42,7 +43,7 @@
 	}
 }
 
-func (b *builder) owner(g *good) {
+func (b *builder) owner(g *validSpec) {
 	o := g.spec.owner
 	a := &Account{
 		Name:         core.OwnerName(g.spec.name),
@@ -63,7 +64,7 @@
 	}
 }
 
-func (b *builder) service(g *good) {
+func (b *builder) service(g *validSpec) {
 	s := g.spec.service
 	p := &Pool{
 		Name:        core.ServiceName(g.spec.name),
@@ -89,11 +90,11 @@
 	if e.Repeatable == "" {
 		e.Repeatable = core.RepeatSafe
 	}
-	share(e, s.SharedWith)
+	setSharing(e, s.SharedWith)
 	b.s.services[p.Name] = e
 }
 
-func (b *builder) model(g *good) {
+func (b *builder) model(g *validSpec) {
 	m := g.spec.model
 	e := &Entry{
 		Kind:         core.KindModel,
@@ -107,11 +108,11 @@
 		ChecksFence:  b.s.pools[m.Service].ChecksFence,
 		Version:      g.version,
 	}
-	share(e, m.SharedWith)
+	setSharing(e, m.SharedWith)
 	b.item(e)
 }
 
-func (b *builder) adapter(g *good) {
+func (b *builder) adapter(g *validSpec) {
 	a := g.spec.adapter
 	base := b.s.models[a.Base]
 	e := &Entry{
@@ -126,7 +127,7 @@
 		ChecksFence:  base.ChecksFence,
 		Version:      g.version,
 	}
-	share(e, a.SharedWith)
+	setSharing(e, a.SharedWith)
 	b.item(e)
 }
 
@@ -135,7 +136,8 @@
 	b.s.items = append(b.s.items, e)
 }
 
-func share(e *Entry, with []core.OwnerName) {
+// setSharing sets the owners other than its own whose callers may use the entry.
+func setSharing(e *Entry, with []core.OwnerName) {
 	for _, n := range with {
 		if n == everyone {
 			e.Shared = true
@@ -145,8 +147,8 @@
 	e.SharedWith = with
 }
 
-// repeatRule turns an entry's flag into a rule: model requests are repeatable
-// unless it says false.
+// repeatRule converts the optional repeatable flag of a model or adapter to a
+// rule. Its requests are repeatable unless the flag is false.
 func repeatRule(flag *bool) core.RepeatRule {
 	if flag != nil && !*flag {
 		return core.RepeatNone
--- a/core/catlog/cross.go
+++ b/core/catlog/cross.go
@@ -6,54 +6,56 @@
 	"radishwell/core"
 )
 
-// index finds the entries in force by name while others are held against them.
+// index holds the entries in force by name while further entries are checked
+// against them.
 type index struct {
 	owners   map[core.OwnerName]*core.OwnerSpec
 	services map[core.ServiceName]*core.ServiceSpec
 	models   map[core.ModelName]*core.ModelSpec
 	// known holds the models and adapters that are not deleted, in force or not.
 	known map[id]bool
-	// listed counts the owners in force that list a digest.
+	// listed counts, by digest, the owners in force that list it.
 	listed map[Digest]int
-	// names and digests count the entries that had one when they were served last,
-	// before the changes at hand. Whoever was served first keeps it: an operator's
-	// slip in a new entry must not take an old one out of service, or let its
-	// callers pass for somebody else's.
-	names   map[string]int
-	digests map[Digest]int
+	// reservedNames and reservedDigests count the entries that had a name or digest
+	// when they were last served, before the current batch of changes. The entry that
+	// was served first keeps it: a mistake in a new entry must not take an existing
+	// one out of service, or attribute its callers to another owner.
+	reservedNames   map[string]int
+	reservedDigests map[Digest]int
 }
 
 func newIndex() *index {
 	return &index{
-		owners:   map[core.OwnerName]*core.OwnerSpec{},
-		services: map[core.ServiceName]*core.ServiceSpec{},
-		models:   map[core.ModelName]*core.ModelSpec{},
-		known:    map[id]bool{},
-		listed:   map[Digest]int{},
-		names:    map[string]int{},
-		digests:  map[Digest]int{},
+		owners:          map[core.OwnerName]*core.OwnerSpec{},
+		services:        map[core.ServiceName]*core.ServiceSpec{},
+		models:          map[core.ModelName]*core.ModelSpec{},
+		known:           map[id]bool{},
+		listed:          map[Digest]int{},
+		reservedNames:   map[string]int{},
+		reservedDigests: map[Digest]int{},
 	}
 }
 
-// note takes in that an entry is there, and what it had when it was served last.
-func (x *index) note(r *record) {
+// addRecord adds an entry to the known ones and reserves the name and digests that
+// it had when it was last served.
+func (x *index) addRecord(r *record) {
 	if !r.object.Deleted {
 		x.known[r.at] = true
 	}
-	g := r.holder()
+	g := r.reserved()
 	switch {
 	case g == nil:
 	case r.at.kind == core.KindOwner:
 		for d := range g.has {
-			x.digests[d]++
+			x.reservedDigests[d]++
 		}
 	default:
-		x.names[r.at.name]++
+		x.reservedNames[r.at.name]++
 	}
 }
 
-// add puts an entry in force.
-func (x *index) add(g *good) {
+// addServed adds a version that is in force.
+func (x *index) addServed(g *validSpec) {
 	switch s := g.spec; s.kind {
 	case core.KindOwner:
 		x.owners[core.OwnerName(s.name)] = s.owner
@@ -67,11 +69,11 @@
 	}
 }
 
-// faults holds a version of an entry against the entries in force.
-func (x *index) faults(r *record, g *good) []Fault {
+// faults checks a version of an entry against the entries in force.
+func (x *index) faults(r *record, g *validSpec) []Fault {
 	switch r.at.kind {
 	case core.KindOwner:
-		return x.ownerFaults(g, r.holder())
+		return x.ownerFaults(g, r.reserved())
 	case core.KindService:
 		return append(x.nameFaults(r, false), x.serviceFaults(g.spec.service)...)
 	case core.KindModel:
@@ -83,15 +85,15 @@
 	}
 }
 
-// ownerFaults finds digests that other owners list. A key that stood for two
-// owners would run requests in the wrong one's name.
-func (x *index) ownerFaults(g, before *good) []Fault {
+// ownerFaults reports digests that other owners list. If a key belonged to two
+// owners, requests would be charged to the wrong one.
+func (x *index) ownerFaults(g, previous *validSpec) []Fault {
 	var faults []Fault
 	for i, d := range g.digests {
-		had := before != nil && before.has[d]
+		had := previous != nil && previous.has[d]
 		key := "keys[" + strconv.Itoa(i) + "].digest"
 		switch {
-		case !had && x.digests[d] > 0:
+		case !had && x.reservedDigests[d] > 0:
 			faults = append(faults, fault(CheckKeyTaken, key, "another owner has it already"))
 		case x.listed[d] > 1:
 			faults = append(faults, fault(CheckKeyShared, key, "another owner lists it too, so that it opens to none"))
@@ -100,10 +102,11 @@
 	return faults
 }
 
-// nameFaults tells whether another entry has the name. Entries that were served
-// before go first; among the rest, those of the kind that is resolved first.
+// nameFaults reports a name that belongs to another entry. Entries that were served
+// before take precedence; among the others, those of the kind that is resolved
+// first.
 func (x *index) nameFaults(r *record, inForce bool) []Fault {
-	taken := r.holder() == nil && x.names[r.at.name] > 0
+	taken := r.reserved() == nil && x.reservedNames[r.at.name] > 0
 	if !taken && !inForce {
 		return nil
 	}
@@ -114,30 +117,30 @@
 	if s.Type == core.EngineService {
 		return nil
 	}
-	return append(x.ownerThere(s.Owner), x.sharedThere(s.SharedWith)...)
+	return append(x.missingOwner(s.Owner), x.missingShared(s.SharedWith)...)
 }
 
 func (x *index) modelFaults(m *core.ModelSpec) []Fault {
-	faults := x.ownerThere(m.Owner)
+	faults := x.missingOwner(m.Owner)
 	switch service := x.services[m.Service]; {
 	case service == nil:
-		faults = append(faults, absent(CheckServiceThere, "service", core.KindService, string(m.Service), x.why(core.KindService, string(m.Service))))
+		faults = append(faults, referenceFault(CheckServiceExists, "service", core.KindService, string(m.Service), x.unservedReason(core.KindService, string(m.Service))))
 	case service.Type != core.EngineService:
 		faults = append(faults, fault(CheckServiceKind, "service", strconv.Quote(string(m.Service))+" is a plain service"))
 	}
-	faults = append(faults, x.fits(m.Owner, m.Memory*core.Bytes(max(m.Accelerators, 1)), m.Limits.Replicas)...)
-	return append(faults, x.sharedThere(m.SharedWith)...)
+	faults = append(faults, x.memoryFaults(m.Owner, m.Memory*core.Bytes(max(m.Accelerators, 1)), m.Limits.Replicas)...)
+	return append(faults, x.missingShared(m.SharedWith)...)
 }
 
 func (x *index) adapterFaults(a *core.AdapterSpec) []Fault {
-	faults := x.ownerThere(a.Owner)
+	faults := x.missingOwner(a.Owner)
 	faults = append(faults, x.baseFaults(a.Base)...)
 	accelerators := 1
 	if base := x.models[a.Base]; base != nil {
 		accelerators = max(base.Accelerators, 1)
 	}
-	faults = append(faults, x.fits(a.Owner, a.Memory*core.Bytes(accelerators), a.Limits.Replicas)...)
-	return append(faults, x.sharedThere(a.SharedWith)...)
+	faults = append(faults, x.memoryFaults(a.Owner, a.Memory*core.Bytes(accelerators), a.Limits.Replicas)...)
+	return append(faults, x.missingShared(a.SharedWith)...)
 }
 
 func (x *index) baseFaults(base core.ModelName) []Fault {
@@ -145,36 +148,36 @@
 	case x.models[base] != nil:
 		return nil
 	case x.known[id{core.KindModel, string(base)}]:
-		return []Fault{absent(CheckBasePending, "base", core.KindModel, string(base), "is not in force")}
+		return []Fault{referenceFault(CheckBasePending, "base", core.KindModel, string(base), "is not in force")}
 	case x.known[id{core.KindAdapter, string(base)}]:
 		return []Fault{fault(CheckBaseModel, "base", strconv.Quote(string(base))+" is an adapter")}
 	default:
-		return []Fault{absent(CheckBaseThere, "base", core.KindModel, string(base), isMissing)}
+		return []Fault{referenceFault(CheckBaseExists, "base", core.KindModel, string(base), notInCatalogue)}
 	}
 }
 
-func (x *index) ownerThere(name core.OwnerName) []Fault {
+func (x *index) missingOwner(name core.OwnerName) []Fault {
 	if x.owners[name] != nil {
 		return nil
 	}
-	return []Fault{absent(CheckOwnerThere, "owner", core.KindOwner, string(name), isMissing)}
+	return []Fault{referenceFault(CheckOwnerExists, "owner", core.KindOwner, string(name), notInCatalogue)}
 }
 
-func (x *index) sharedThere(names []core.OwnerName) []Fault {
+func (x *index) missingShared(names []core.OwnerName) []Fault {
 	var faults []Fault
 	for i, n := range names {
 		if x.owners[n] == nil && n != everyone {
-			faults = append(faults, absent(CheckSharedThere, "shared-with["+strconv.Itoa(i)+"]", core.KindOwner, string(n), isMissing))
+			faults = append(faults, referenceFault(CheckSharedExists, "shared-with["+strconv.Itoa(i)+"]", core.KindOwner, string(n), notInCatalogue))
 		}
 	}
 	return faults
 }
 
-// fits holds the memory of one replica, and of all the limit allows, against the
-// owner's limit. Both are advice: the placement keeps to the owner's limit
-// whatever the entry says, and taking a model out of service because its owner's
-// limit was lowered would be worse than running fewer replicas.
-func (x *index) fits(owner core.OwnerName, replica core.Bytes, replicas int) []Fault {
+// memoryFaults compares the memory of one replica, and of as many as the entry's
+// limit allows, with the owner's limit. Both checks are advice: placement observes
+// the owner's limit in any case, and taking a model out of service because its
+// owner's limit was lowered would be worse than running fewer replicas.
+func (x *index) memoryFaults(owner core.OwnerName, replica core.Bytes, replicas int) []Fault {
 	o := x.owners[owner]
 	if o == nil || o.Limits.Memory == 0 {
 		return nil
@@ -189,19 +192,19 @@
 	return nil
 }
 
-// why tells how an entry that is needed is not in force.
-func (x *index) why(kind core.Kind, name string) string {
+// unservedReason returns why a referenced entry is not in force.
+func (x *index) unservedReason(kind core.Kind, name string) string {
 	if x.known[id{kind, name}] {
 		return "is not in force"
 	}
-	return isMissing
+	return notInCatalogue
 }
 
-const isMissing = "is not in the catalogue"
+const notInCatalogue = "is not in the catalogue"
 
-// absent returns a fault about another entry.
-func absent(check CheckID, key string, kind core.Kind, name, reason string) Fault {
+// referenceFault returns a fault about another entry.
+func referenceFault(check CheckID, key string, kind core.Kind, name, reason string) Fault {
 	f := fault(check, key, strconv.Quote(name)+" "+reason)
-	f.about = id{kind, name}
+	f.target = id{kind, name}
 	return f
 }
--- a/core/catlog/doc.go
+++ b/core/catlog/doc.go
@@ -1,20 +1,21 @@
-// Package catlog holds the catalogue in force: it reads the entries that
-// operators edit, says what is wrong with them and answers who may ask for what.
+// Package catlog holds the catalogue in force: it reads the entries that operators
+// edit, validates them, and answers which callers may use which model, adapter or
+// service.
 //
-// A View is fed with the platform's objects. Each entry passes two gates:
+// A View receives the platform's objects and checks each entry in two stages:
 //
-//  1. By itself (checks RC1001 and on). An edit that fails is rejected: the last
-//     good version of the entry stays, and a Status tells why. The Status carries
-//     the good version too, so that a process that starts after a rejected edit
-//     finds it.
-//  2. Against the others (checks RC1101 and on). This is worked out anew from all
-//     good entries at every change, whatever order they came in, so that all
-//     processes that hold the same entries agree. An entry that refers to one
-//     that is not there is pending: it is not served, and is again as soon as
-//     the other is back.
+//  1. The entry alone (checks RC1001 and up). An edit that fails is rejected: the
+//     last valid version of the entry stays in force, and a Status reports why. The
+//     Status also contains the valid version, so that a process that starts after a
+//     rejected edit can load it.
+//  2. The entry against all others (checks RC1101 and up). The result is recomputed
+//     from all valid entries at every change and does not depend on the order in
+//     which they arrived, so that all processes that hold the same entries agree. An
+//     entry that refers to a missing one is pending: it is not served until the
+//     other entry is back.
 //
-// Versions of an entry never go back: a deletion counts as a version.
+// Versions of an entry never go back. A deletion counts as a version.
 //
-// A View has one writer. Readers use Snapshots, which never change; their
-// lookups allocate nothing.
+// A View has one writer. Readers use Snapshots, which are immutable; their lookups
+// do not allocate.
 package catlog
--- a/core/catlog/fault.go
+++ b/core/catlog/fault.go
@@ -2,22 +2,23 @@
 
 import "radishwell/core/strict"
 
-// Fault is a check that an entry does not pass.
+// Fault is a check that an entry fails.
 type Fault struct {
 	Check CheckID `json:"check"`
-	// Key is the path of the key at fault within the spec.
+	// Key is the path of the faulty key within the spec. It is empty if the fault is
+	// about the whole entry.
 	Key string `json:"key,omitempty"`
-	// Reason tells what is wrong, in words for an operator.
+	// Reason describes the fault to an operator.
 	Reason string `json:"reason"`
-	// about is the other entry that the fault is about, if there is one.
-	about id
+	// target is the other entry that the fault is about; zero if there is none.
+	target id
 }
 
 func fault(check CheckID, key, reason string) Fault {
 	return Fault{Check: check, Key: key, Reason: reason}
 }
 
-// String returns the fault as a line.
+// String returns the fault as one line of text.
 func (f Fault) String() string {
 	s := string(f.Check) + " "
 	if f.Key != "" {
@@ -26,7 +27,7 @@
 	return s + f.Reason
 }
 
-// formFaults turns the problems of a decoded document into faults.
+// formFaults converts the problems found while decoding a document to faults.
 func formFaults(problems strict.Problems) []Fault {
 	faults := make([]Fault, len(problems))
 	for i, p := range problems {
--- a/core/catlog/file.go
+++ b/core/catlog/file.go
@@ -8,35 +8,36 @@
 	"radishwell/core/strict"
 )
 
-// Source is a catalogue file as operators write it: YAML documents, each with a
+// Source is the name and content of a catalogue file: YAML documents, each with a
 // kind, a name and a spec.
 type Source struct {
 	Name string
 	Text []byte
 }
 
-// entryFile is the shape of one document of a catalogue file.
+// entryFile is one document of a catalogue file.
 type entryFile struct {
 	Kind core.Kind   `yaml:"kind" required:"true"`
 	Name string      `yaml:"name" required:"true"`
 	Spec strict.Part `yaml:"spec" required:"true"`
 }
 
-// located is an entry with the place it came from.
-type located struct {
+// fileEntry is an entry read from a file.
+type fileEntry struct {
 	object core.Object
-	doc    *strict.Document
-	// head is the document around the spec.
+	// doc is the spec. It is nil if the entry has problems.
+	doc *strict.Document
+	// head is the document that contains the spec.
 	head *strict.Document
 }
 
-// Read parses and checks catalogue files together, so that entries of one may
+// Read parses and checks catalogue files together, so that entries of one file may
 // refer to those of another. It returns the entries as objects with a kind, name
-// and spec, in the order of the files, and all problems found. Advice is among
-// them: a file can still be mended before it is put in force.
+// and spec, in the order of the files, and all problems found. These include
+// advice, since a file can still be corrected before it is put in force.
 func Read(sources ...Source) ([]core.Object, strict.Problems) {
 	var problems strict.Problems
-	var entries []located
+	var entries []fileEntry
 	faulty := map[id]bool{}
 	for _, src := range sources {
 		docs, faults := strict.Parse(src.Name, src.Text)
@@ -52,7 +53,7 @@
 			}
 		}
 	}
-	entries, twice := dropTwice(entries)
+	entries, twice := dropDuplicates(entries)
 	problems = append(problems, twice...)
 	problems = append(problems, crossProblems(entries, faulty)...)
 	problems.Sort()
@@ -60,10 +61,10 @@
 }
 
 // readEntry returns an entry, or one without a doc if there are problems.
-func readEntry(doc *strict.Document) (located, strict.Problems) {
+func readEntry(doc *strict.Document) (fileEntry, strict.Problems) {
 	var head entryFile
 	problems := doc.Decode(&head)
-	bad := located{object: core.Object{Kind: head.Kind, Name: head.Name}}
+	bad := fileEntry{object: core.Object{Kind: head.Kind, Name: head.Name}}
 	if !head.Spec.Given() {
 		return bad, problems
 	}
@@ -79,7 +80,7 @@
 	problems = append(problems, faults...)
 	if len(faults) == 0 {
 		for _, f := range checkSpec(s, part) {
-			problems = append(problems, placed(doc, part, f))
+			problems = append(problems, problemOf(doc, part, f))
 		}
 	}
 	if len(problems) > 0 {
@@ -90,12 +91,12 @@
 		return bad, strict.Problems{doc.Problem("spec", err.Error())}
 	}
 	object := core.Object{Kind: head.Kind, Name: head.Name, Spec: text}
-	return located{object: object, doc: part, head: doc}, nil
+	return fileEntry{object: object, doc: part, head: doc}, nil
 }
 
-// placed turns a fault into a problem at its place; one without a key is about
-// the entry's name.
-func placed(head, part *strict.Document, f Fault) strict.Problem {
+// problemOf converts a fault to a problem with its position in the file. A fault
+// without a key is reported at the entry's name.
+func problemOf(head, part *strict.Document, f Fault) strict.Problem {
 	reason := string(f.Check) + " " + f.Reason
 	if f.Key == "" {
 		return head.Problem("name", reason)
@@ -103,25 +104,27 @@
 	return part.Problem(f.Key, reason)
 }
 
-func dropTwice(entries []located) ([]located, strict.Problems) {
+// dropDuplicates removes all but the first entry of each kind and name, and reports
+// the others.
+func dropDuplicates(entries []fileEntry) ([]fileEntry, strict.Problems) {
 	var problems strict.Problems
 	seen := map[id]bool{}
-	kept := slices.DeleteFunc(entries, func(e located) bool {
+	kept := slices.DeleteFunc(entries, func(e fileEntry) bool {
 		at := id{e.object.Kind, e.object.Name}
 		twice := seen[at]
 		seen[at] = true
 		if twice {
-			problems = append(problems, placed(e.head, e.doc, fault(CheckEntryTwice, "", "the entry is given twice")))
+			problems = append(problems, problemOf(e.head, e.doc, fault(CheckEntryDuplicate, "", "the entry is given twice")))
 		}
 		return twice
 	})
 	return kept, problems
 }
 
-// crossProblems holds the good entries against each other in a catalogue of their
-// own. Faults about entries that are in the files but have problems themselves
-// are left out: they go away with those problems.
-func crossProblems(entries []located, faulty map[id]bool) strict.Problems {
+// crossProblems checks the valid entries against each other in a catalogue of their
+// own. It leaves out faults about entries that are in the files but have problems
+// themselves: these faults disappear once those problems are fixed.
+func crossProblems(entries []fileEntry, faulty map[id]bool) strict.Problems {
 	var v View
 	objects := objectsOf(entries)
 	for i := range objects {
@@ -129,23 +132,23 @@
 	}
 	v.Apply(objects...)
 	var problems strict.Problems
-	from := map[id]located{}
+	from := map[id]fileEntry{}
 	for _, e := range entries {
 		from[id{e.object.Kind, e.object.Name}] = e
 	}
 	for _, r := range v.sorted {
-		for _, f := range r.cross {
-			if faulty[f.about] {
+		for _, f := range r.crossFaults {
+			if faulty[f.target] {
 				faulty[r.at] = true
 				continue
 			}
-			problems = append(problems, placed(from[r.at].head, from[r.at].doc, f))
+			problems = append(problems, problemOf(from[r.at].head, from[r.at].doc, f))
 		}
 	}
 	return problems
 }
 
-func objectsOf(entries []located) []core.Object {
+func objectsOf(entries []fileEntry) []core.Object {
 	objects := make([]core.Object, len(entries))
 	for i, e := range entries {
 		objects[i] = e.object
--- a/core/catlog/file_test.go
+++ b/core/catlog/file_test.go
@@ -13,16 +13,16 @@
 	"radishwell/core/catlog"
 )
 
-// update writes what the checks report into their testdata, to be read and
-// committed like any other change.
+// update makes TestEachCheck write the problems found to testdata/checks. The
+// differences are to be reviewed before they are committed.
 var update = flag.Bool("update-checks", false, "write the problems found into testdata/checks")
 
-// Each check has a file that breaks it and, as far as that can be had, nothing
-// else; the file's want part holds all problems.
+// Each check has a file that fails it and, if possible, no other check. The second
+// part of the file lists all expected problems.
 func TestEachCheck(t *testing.T) {
 	for _, check := range catlog.Checks() {
 		if check.ID == catlog.CheckKeyTaken {
-			// It is about an edit to a catalogue in force: TestDigestOfAnother.
+			// This check needs a catalogue in force; see TestDigestOfAnother.
 			continue
 		}
 		t.Run(string(check.ID), func(t *testing.T) {
--- a/core/catlog/fleet_test.go
+++ b/core/catlog/fleet_test.go
@@ -33,7 +33,7 @@
 	return o
 }
 
-// writeStatus writes a status if the entry is still at the version judged.
+// writeStatus writes a status if the entry is still at the version of o.
 func (p *platform) writeStatus(o core.Object) (core.Object, bool) {
 	if p.objects[p.key(o.Kind, o.Name)].Version != o.Version {
 		return core.Object{}, false
@@ -44,8 +44,8 @@
 	return o, true
 }
 
-// rivalSpec draws specs of which some are invalid, some refer to what is not
-// there, and some list digests of other owners.
+// rivalSpec draws specs, of which some are invalid, some refer to missing entries,
+// and some list digests of other owners.
 func rivalSpec(t *rapid.T, kind core.Kind) string {
 	pick := func(label string) int { return rapid.IntRange(0, 2).Draw(t, label) }
 	if rapid.IntRange(0, 5).Draw(t, "invalid") == 0 {
@@ -64,11 +64,12 @@
 	}
 }
 
-// Operators race with edits to entries of the same names, some of them invalid or
-// with another's digest. The deciding process sees each version; others see some of
-// them, late and in another order; one starts at the end. Once the statuses have
-// gone round all have to serve the same, and a status is written a bounded number
-// of times.
+// Guards against processes that permanently serve different catalogues after
+// concurrent edits of entries with the same names, some of them invalid or with
+// another owner's digest. The deciding process receives every version, others receive
+// only some of them, late and in another order, and one process starts at the end.
+// Once all have received the statuses they must serve the same entries, and the
+// number of status writes must be bounded.
 func TestFleetAgrees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &platform{objects: map[string]core.Object{}}
@@ -95,10 +96,10 @@
 	})
 }
 
-// assertAgrees checks that what the deciding process has accepted is in force in
-// another one, and that a key never opens to another owner there. Where the newest
-// edit is not accepted, a process may go on with a good version that the deciding
-// one did not get to see: no process goes back.
+// assertAgrees checks that the entries that the deciding process has accepted are in
+// force in another process, and that no key belongs to another owner there. If the
+// newest edit is not accepted, a process may continue with a valid version that the
+// deciding process never received, since no process goes back to an older version.
 func assertAgrees(t *rapid.T, decider, other *catlog.View) {
 	want, got := decider.Snapshot(), other.Snapshot()
 	for _, e := range want.Items() {
@@ -141,7 +142,7 @@
 	return written
 }
 
-// settle brings everybody up to the platform until no status is due.
+// settle applies the platform's objects to all views until no status is due.
 func settle(t *rapid.T, p *platform, decider *catlog.View, others []*catlog.View) {
 	const rounds = 4
 	for range rounds {
--- a/core/catlog/naive_test.go
+++ b/core/catlog/naive_test.go
@@ -13,16 +13,15 @@
 	"radishwell/core/catlog"
 )
 
-// A fixed seed gives the same verdict every run; -rapid.seed on the command line
-// goes before it.
+// A fixed seed makes runs reproducible; -rapid.seed on the command line overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
 }
 
-// naive holds the newest object of each entry and works everything out by
-// looking through all of them.
+// naive is a reference implementation of the catalogue: it holds the newest object of
+// each entry and derives everything else from these on demand.
 type naive struct{ newest map[string]core.Object }
 
 func (n *naive) apply(o core.Object) {
@@ -32,7 +31,8 @@
 	}
 }
 
-// spec decodes an entry's newest version; ok is false where there is none.
+// spec decodes the spec of an entry's newest version. It reports whether there is
+// one.
 func (n *naive) spec(kind core.Kind, name string, to any) bool {
 	o, ok := n.newest[string(kind)+"/"+name]
 	return ok && !o.Deleted && json.Unmarshal(o.Spec, to) == nil
@@ -40,8 +40,8 @@
 
 func (n *naive) exists(kind core.Kind, name string) bool { return n.spec(kind, name, &struct{}{}) }
 
-// complete tells whether all that the newest version of a model or adapter refers
-// to is there. serves tells whether a base is in force.
+// complete reports whether everything that the newest version of a model or adapter
+// refers to exists. serves reports whether a base is in force.
 func (n *naive) complete(kind core.Kind, name string, serves func(core.ModelName) bool) bool {
 	if kind == core.KindModel {
 		var m core.ModelSpec
@@ -87,8 +87,9 @@
 	return e.Version
 }
 
-// Whatever the order, repetition and grouping of what arrives, the newest
-// versions are in force wherever what they refer to is, and nothing goes back.
+// Guards against a result that depends on the order, repetition or batching of the
+// objects received: the newest version of an entry must be in force whenever the
+// entries it refers to are, and no entry may go back to an older version.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := schedule(t)
@@ -132,7 +133,7 @@
 	}
 }
 
-// assertContent checks that what is served is the newest version's content.
+// assertContent checks that the served content is that of the newest version.
 func assertContent(t *rapid.T, v *catlog.View, want *naive, name string) {
 	e, ok := v.Snapshot().Model(core.ModelName(name))
 	assert.Assert(t, ok)
@@ -149,7 +150,7 @@
 	assert.Equal(t, e.Target.Base, a.Base)
 }
 
-// assertSound checks that all that a served entry refers to is in force too.
+// assertSound checks that everything that a served entry refers to is in force too.
 func assertSound(t *rapid.T, v *catlog.View, name string) {
 	s := v.Snapshot()
 	e, _ := s.Model(core.ModelName(name))
@@ -162,7 +163,7 @@
 	}
 }
 
-// large is a catalogue of the size of the next two years.
+// large returns a catalogue of the size expected within two years.
 func large() []core.Object {
 	all := []core.Object{
 		object(core.KindService, "services-0", 1, specOf(core.KindService, 0, 0)),
@@ -220,7 +221,8 @@
 	}
 }
 
-// FuzzEntry feeds any spec: no panic, and what is accepted can be looked up.
+// FuzzEntry applies arbitrary specs and statuses. There must be no panic, and accepted
+// entries must be found by lookups.
 func FuzzEntry(f *testing.F) {
 	for _, text := range []string{ownerText, serviceText, modelText, modelBad, adapterText, `{}`, `null`, `[]`} {
 		f.Add(text, `{"state":"rejected","in-force":{"uid":"one","spec":`+text+`}}`)
@@ -240,8 +242,8 @@
 	})
 }
 
-// FuzzFile feeds any catalogue file: no panic, and only entries without problems
-// are returned.
+// FuzzFile reads arbitrary catalogue files. There must be no panic, and the entries of
+// a file without problems must be accepted.
 func FuzzFile(f *testing.F) {
 	f.Add([]byte("kind: models\nname: ledger\nspec: " + modelText + "\n"))
 	f.Add([]byte("kind: owners\nname: nadi\nspec:\n  keys: []\n---\nkind: services\nname: qalam\nspec: {type: engine}\n"))
--- a/core/catlog/page_test.go
+++ b/core/catlog/page_test.go
@@ -17,54 +17,55 @@
 const pageHead = `# Catalogue
 
 Operators drive radishwell by editing catalogue entries: objects of the platform of
-the kinds below. In files they are YAML documents with a kind, a name and a spec:
+the kinds below. In files, they are YAML documents with a kind, a name and a spec:
 
     kind: models
     name: ledger
     spec: {owner: nadi, service: qalam, class: evening, memory: 8GiB}
 
 ` + "`radishwell check FILE...`" + ` checks files together, as one catalogue, before they go to
-the platform. In the platform each entry has a status that says how it stands:
+the platform. In the platform, each entry has a status with one of these states:
 
 | state | meaning |
 | --- | --- |
 | ` + "`accepted`" + ` | The newest edit is in force. Faults, if any, are advice. |
-| ` + "`pending`" + ` | What the newest edit refers to is not in force. The version served before stays as long as it can be; else the entry is not served until the reference is there. |
+| ` + "`pending`" + ` | An entry that the newest edit refers to is not in force. The version served before stays in force if its own references allow it; otherwise the entry is not served until the reference exists. |
 | ` + "`rejected`" + ` | The newest edit is invalid. The version served before stays in force. |
 
-` + "`faults`" + ` tells why, by the checks below, and ` + "`in-force`" + ` which version was served last.
-An entry whose deletion is in force is unknown at once. Created again, it starts anew.
+The status lists in ` + "`faults`" + ` which of the checks below the entry fails, and in ` + "`in-force`" + `
+the version that was served last. A deleted entry is unknown as soon as the deletion is
+in force. If it is created again, nothing of its earlier versions remains.
 
-This page is made from the tables in core/spec.go and core/catlog/check.go; a test
-holds it to them: ` + "`go test ./core/catlog -run TestPage -update`" + ` writes it anew.
+This page is generated from the tables in core/spec.go and core/catlog/check.go, and a
+test compares it with them; ` + "`go test ./core/catlog -run TestPage -update`" + ` regenerates it.
 `
 
-// meanings tells what the keys of specs mean; a key may have another meaning in
-// one kind, under "kind/key".
+// meanings describes the keys of specs. A description under "kind/key" applies to
+// that kind only.
 var meanings = map[string]string{
-	"owner":           "Owner who is charged and whose callers may use it.",
+	"owner":           "Owner that is charged and whose callers may use the entry.",
 	"service":         "Engine service whose hosts can hold the model.",
 	"class":           "Service class of requests that do not name one: `interactive`, `evening` or `overnight`.",
-	"memory":          "Memory on each accelerator, working space included.",
-	"adapters/memory": "Memory beside its base on each of the base's accelerators.",
-	"accelerators":    "How many accelerators one replica takes; one if absent.",
+	"memory":          "Memory on each accelerator, including working space.",
+	"adapters/memory": "Memory in addition to the base's, on each of the base's accelerators.",
+	"accelerators":    "Number of accelerators that one replica takes; one if absent.",
 	"base":            "Model that the adapter is loaded on.",
-	"shared-with":     "Other owners whose callers may use it; `\"*\"` is all.",
-	"repeatable":      "Whether running a request twice does no harm; true if absent.",
-	"type":            "`engine` (loads models by order) or `plain` (a service that is routed to as it is).",
+	"shared-with":     "Other owners whose callers may use the entry; `\"*\"` stands for all.",
+	"repeatable":      "Whether a request may safely run twice; true if absent.",
+	"type":            "`engine` (loads models when ordered to) or `plain` (a service without models).",
 	"checks-fence":    "Whether the engines refuse orders with an old fencing number. Engine services only.",
 	"keys[].caller":   "Name of the caller, unique within its owner.",
-	"keys[].digest":   "SHA-256 of the caller's bearer key, 64 lower-case hexadecimal digits. The key itself is never here.",
-	"replicas":        "Most hosts that may hold it at once.",
-	"concurrency":     "Most requests in progress at once.",
-	"rate":            "Most requests accepted in a second.",
-	"burst":           "Most requests accepted at once after a pause.",
-	"queue":           "Most requests waiting.",
-	"queue-bytes":     "Most bytes of requests waiting.",
-	"owners/memory":   "Most accelerator memory that the owner's models may hold together.",
-	"services/owner":  "Owner whose callers may use it. Plain services only.",
+	"keys[].digest":   "SHA-256 of the caller's bearer key, 64 lower-case hexadecimal digits. The key itself is never stored.",
+	"replicas":        "Maximum number of hosts that may hold it at the same time.",
+	"concurrency":     "Maximum number of requests in progress.",
+	"rate":            "Maximum number of requests accepted per second.",
+	"burst":           "Maximum number of requests accepted at once after a pause.",
+	"queue":           "Maximum number of waiting requests.",
+	"queue-bytes":     "Maximum size of all waiting requests together.",
+	"owners/memory":   "Maximum accelerator memory that the owner's models may hold together.",
+	"services/owner":  "Owner whose callers may use the service. Plain services only.",
 	"services/class":  "Service class of requests that do not name one. Plain services only.",
-	"services/repeatable": "Which calls may be run twice without harm: `safe-methods` (GET, HEAD, OPTIONS; " +
+	"services/repeatable": "Which requests may safely run twice: `safe-methods` (GET, HEAD, OPTIONS; " +
 		"the default), `all` or `none`. Plain services only.",
 }
 
@@ -88,7 +89,7 @@
 			}
 		}
 	}
-	b.WriteString("\n## Checks\n\n| number | holds that | if not |\n| --- | --- | --- |\n")
+	b.WriteString("\n## Checks\n\n| number | condition | result if it fails |\n| --- | --- | --- |\n")
 	for _, c := range catlog.Checks() {
 		fmt.Fprintf(&b, "| %s | %s | %s |\n", c.ID, c.Text, consequence(c))
 	}
@@ -99,16 +100,17 @@
 	switch {
 	case c.Advice:
 		return "advice"
-	case c.ID == catlog.CheckEntryTwice:
+	case c.ID == catlog.CheckEntryDuplicate:
 		return "`check` fails"
-	case c.ID >= catlog.CheckOwnerThere:
+	case c.ID >= catlog.CheckOwnerExists:
 		return "pending"
 	default:
 		return "rejected"
 	}
 }
 
-// keyLine returns a key's row, or nothing for limits without a meaning there.
+// keyLine returns the table row of a key. It is empty for limits that the kind does
+// not have.
 func keyLine(t *testing.T, kind core.Kind, f strict.Field) string {
 	t.Helper()
 	last := f.Key[strings.LastIndex(f.Key, ".")+1:]
@@ -128,7 +130,7 @@
 	}
 	assert.Assert(t, ok, "no meaning for %s of %s", f.Key, kind)
 	if strings.HasPrefix(f.Key, "caller-limits.") {
-		text = "The same for each single caller of the owner."
+		text = "Limit of the same kind for each single caller of the owner."
 	}
 	return fmt.Sprintf("| `%s` | %s | %s |\n", f.Key, valueName(f.Type), text)
 }
@@ -152,7 +154,8 @@
 	}
 }
 
-// The page lists the limits that RC1015 lets through, no others.
+// Guards against a page that lists limits that check RC1015 refuses, or omits limits
+// that it accepts.
 func TestPageListsLimitsInForce(t *testing.T) {
 	specs := map[core.Kind]string{
 		core.KindModel:   `"owner":"o","service":"s","class":"evening","memory":"1GiB"`,
--- a/core/catlog/record.go
+++ b/core/catlog/record.go
@@ -8,47 +8,49 @@
 	"radishwell/core"
 )
 
-// record is what is known of one entry.
+// record is the state of one entry.
 type record struct {
 	at id
-	// rank is the place of the kind in resolveOrder.
+	// rank is the index of the kind in resolveOrder.
 	rank int
-	// touched tells that a newer object has come since the last resolve.
-	touched bool
-	// object is the newest version met; a tombstone where it was deleted.
+	// changed is set if a newer object has arrived since the last resolve.
+	changed bool
+	// object is the newest version received; a tombstone if it was deleted.
 	object core.Object
-	// met is the version at which the object's present spec was met first.
-	met core.Version
-	// own are the faults of the present spec by itself, cross those of the spec
-	// that would be served against other entries.
-	own, cross []Fault
-	// newest is the present spec if it is good by itself.
-	newest *good
-	// last is the version served last, and chosen is last if it is served now.
-	last, chosen *good
-	// settled tells that the status in the platform is about the present spec;
-	// confirmed is then the version that it says was served last, if any.
-	settled   bool
-	confirmed *good
-	// stood is how the entry stood at the last Report.
-	stood standing
-	// due is the status to be written; nil where the platform has it.
+	// firstSeen is the version at which the current spec was received first.
+	firstSeen core.Version
+	// ownFaults are the faults of the current spec alone; crossFaults are those found
+	// against other entries in the spec that would be served.
+	ownFaults, crossFaults []Fault
+	// current is the current spec; nil if it is invalid.
+	current *validSpec
+	// lastServed is the version served last. served equals lastServed while the entry
+	// is served, and is nil otherwise.
+	lastServed, served *validSpec
+	// statusCurrent is set if the status in the platform is about the current spec.
+	// confirmed is then the version that this status names as served last, if any.
+	statusCurrent bool
+	confirmed     *validSpec
+	// reported is the entry's state at the last Report.
+	reported summary
+	// due is the status to write; nil if the platform has it already.
 	due []byte
 }
 
-// good is a spec that passes the checks of single entries.
-type good struct {
+// validSpec is a version of an entry whose spec passes the checks of single entries.
+type validSpec struct {
 	spec       spec
 	version    core.Version
 	generation int64
 	text       []byte
-	// digests are those of an owner's keys, in their order, and as a set.
+	// digests are those of an owner's keys, in the order of the spec.
 	digests []Digest
-	has     map[Digest]bool
+	// has is the set of digests.
+	has map[Digest]bool
 }
 
-func newGood(s spec, version core.Version, generation int64, text []byte) *good {
-	g := &good{spec: s, version: version, generation: generation, text: text}
+func newValidSpec(s spec, version core.Version, generation int64, text []byte) *validSpec {
+	g := &validSpec{spec: s, version: version, generation: generation, text: text}
 	if s.kind != core.KindOwner {
 		return g
 	}
@@ -61,50 +63,51 @@
 	return g
 }
 
-// take brings the record up to an object and tells whether that was newer.
-func (r *record) take(o core.Object) bool {
+// update replaces the record's object by a newer one. It reports whether o was
+// newer.
+func (r *record) update(o core.Object) bool {
 	if o.Version <= r.object.Version {
 		return false
 	}
 	old := r.object
 	r.object = o
 	if o.Deleted || old.UID != o.UID {
-		r.newest, r.last = nil, nil
+		r.current, r.lastServed = nil, nil
 	}
 	if o.Deleted {
-		r.met, r.own = o.Version, nil
-		r.settled, r.confirmed = false, nil
+		r.firstSeen, r.ownFaults = o.Version, nil
+		r.statusCurrent, r.confirmed = false, nil
 		return true
 	}
 	if old.UID != o.UID || old.Deleted || !bytes.Equal(old.Spec, o.Spec) {
-		r.judge()
+		r.validate()
 	}
-	r.adopt()
+	r.adoptStatus()
 	return true
 }
 
-// judge checks a spec that is new to the process.
-func (r *record) judge() {
+// validate checks a spec that is new to this process.
+func (r *record) validate() {
 	o := r.object
-	r.met, r.newest = o.Version, nil
+	r.firstSeen, r.current = o.Version, nil
 	s, faults := parseSpec(o.Kind, o.Name, o.Spec)
-	r.own = faults
+	r.ownFaults = faults
 	if len(faults) == 0 {
-		r.newest = newGood(s, o.Version, o.Generation, o.Spec)
+		r.current = newValidSpec(s, o.Version, o.Generation, o.Spec)
 	}
 }
 
-// adopt takes the version served last from the object's status, where the process
-// that decides for the fleet has put it. Without it a process that starts after a
-// rejected edit would not know the entry that all others serve, and one that
-// missed an edit in between would hold on to an older version.
-func (r *record) adopt() {
-	r.settled, r.confirmed = false, nil
+// adoptStatus takes the version served last from the object's status, to which the
+// deciding process writes it. Without it, a process that starts after a rejected
+// edit would not know the version that all others serve, and a process that missed
+// an edit in between would keep an older version.
+func (r *record) adoptStatus() {
+	r.statusCurrent, r.confirmed = false, nil
 	status, ok := ParseStatus(r.object.Status)
 	if !ok {
 		return
 	}
-	r.settled = status.Generation == r.object.Generation
+	r.statusCurrent = status.Generation == r.object.Generation
 	f := status.InForce
 	if f == nil || f.UID != r.object.UID {
 		return
@@ -112,21 +115,22 @@
 	if f.Version >= r.object.Version || f.Generation > r.object.Generation {
 		return
 	}
-	r.confirmed = r.goodOf(f)
-	if r.confirmed != nil && (r.last == nil || r.last.generation < f.Generation) {
-		r.last = r.confirmed
+	r.confirmed = r.specInForce(f)
+	if r.confirmed != nil && (r.lastServed == nil || r.lastServed.generation < f.Generation) {
+		r.lastServed = r.confirmed
 	}
 }
 
-// goodOf returns the version that a status names, nil where it is invalid here.
-func (r *record) goodOf(f *InForce) *good {
-	for _, g := range []*good{r.newest, r.last} {
-		if g == nil || g.generation != f.Generation || !sameText(g.text, f.Spec) {
+// specInForce returns the version that a status names, or nil if it is invalid for
+// this process.
+func (r *record) specInForce(f *InForce) *validSpec {
+	for _, g := range []*validSpec{r.current, r.lastServed} {
+		if g == nil || g.generation != f.Generation || !equalSpecs(g.text, f.Spec) {
 			continue
 		}
-		// All processes name a version by the number at which the deciding one met
-		// it, but for those that have served it under another number already.
-		if g == r.newest && r.met == r.object.Version {
+		// All processes use the version number at which the deciding process received
+		// the spec, unless they have already served the spec under another number.
+		if g == r.current && r.firstSeen == r.object.Version {
 			g.version = min(g.version, f.Version)
 		}
 		return g
@@ -135,26 +139,28 @@
 	if len(faults) > 0 {
 		return nil
 	}
-	return newGood(s, f.Version, f.Generation, f.Spec)
+	return newValidSpec(s, f.Version, f.Generation, f.Spec)
 }
 
-// holder returns the version whose names and digests the entry keeps against
-// others: the one served last, by the word of the deciding process where there is
-// one. Else a process that met two rivals in the other order than the deciding one
-// would serve the wrong one for good.
-func (r *record) holder() *good {
-	if r.settled {
+// reserved returns the version whose name and digests no other entry may take. It
+// is the version served last according to the deciding process, or according to this
+// process if there is no current status. Without the status, a process that received
+// two rival entries in another order than the deciding process would serve the wrong
+// one forever.
+func (r *record) reserved() *validSpec {
+	if r.statusCurrent {
 		return r.confirmed
 	}
-	return r.last
+	return r.lastServed
 }
 
-// sameText tells whether two specs are the same document but for white space.
-func sameText(a, b []byte) bool {
+// equalSpecs reports whether two specs are the same document apart from white space.
+func equalSpecs(a, b []byte) bool {
 	return bytes.Equal(compact(a), compact(b))
 }
 
-// compact drops white space, so that specs compare by their content.
+// compact removes insignificant white space, so that specs can be compared. It
+// returns a text that is not JSON unchanged.
 func compact(text []byte) json.RawMessage {
 	var b bytes.Buffer
 	if json.Compact(&b, text) != nil {
@@ -163,16 +169,16 @@
 	return b.Bytes()
 }
 
-func (r *record) faults() []Fault { return slices.Concat(r.own, r.cross) }
+func (r *record) faults() []Fault { return slices.Concat(r.ownFaults, r.crossFaults) }
 
-// state returns how the entry stands; a deleted one has no state.
+// state returns the state of the entry; empty if it is deleted.
 func (r *record) state() State {
 	switch {
 	case r.object.Deleted:
 		return ""
-	case len(r.own) > 0:
+	case len(r.ownFaults) > 0:
 		return Rejected
-	case r.chosen == nil || r.chosen != r.newest:
+	case r.served == nil || r.served != r.current:
 		return Pending
 	default:
 		return Accepted
@@ -182,34 +188,35 @@
 func (r *record) status() Status {
 	s := Status{
 		State:      r.state(),
-		Version:    r.met,
+		Version:    r.firstSeen,
 		Generation: r.object.Generation,
-		Faults:     clipFaults(r.faults()),
+		Faults:     truncateFaults(r.faults()),
 	}
-	if r.last != nil {
+	if r.lastServed != nil {
 		s.InForce = &InForce{
 			UID:        r.object.UID,
-			Version:    r.last.version,
-			Generation: r.last.generation,
-			Spec:       compact(r.last.text),
+			Version:    r.lastServed.version,
+			Generation: r.lastServed.generation,
+			Spec:       compact(r.lastServed.text),
 		}
 	}
 	return s
 }
 
-// dueStatus returns the status that the platform lacks, or nil.
-func (r *record) dueStatus() []byte {
+// statusToWrite returns the status that the platform lacks, or nil if the platform
+// has it.
+func (r *record) statusToWrite() []byte {
 	if r.object.Deleted {
 		return nil
 	}
 	want := r.status()
-	if have, ok := ParseStatus(r.object.Status); ok && have.same(want) {
+	if have, ok := ParseStatus(r.object.Status); ok && have.equivalent(want) {
 		return nil
 	}
 	return want.encode()
 }
 
-// blocked tells whether any fault keeps an entry out of service.
+// blocked reports whether any of the faults keeps an entry out of service.
 func blocked(faults []Fault) bool {
 	return slices.ContainsFunc(faults, func(f Fault) bool {
 		c, ok := f.Check.Check()
--- a/core/catlog/resolve.go
+++ b/core/catlog/resolve.go
@@ -6,102 +6,105 @@
 	"radishwell/core"
 )
 
-// resolve works out anew which entries are in force, from nothing but the newest
-// good and the last served version of each. It runs once for each batch of changes.
+// resolve recomputes which entries are in force, from the current valid version and
+// the last served version of each entry only. It runs once for each batch of
+// changes.
 func (v *View) resolve() []Report {
 	x := newIndex()
 	for _, r := range v.sorted {
-		x.note(r)
+		x.addRecord(r)
 	}
 	owners := 0
 	for i, r := range v.sorted {
-		// Faults of owners are about other owners: they need all of them.
+		// Owners are checked against other owners, so all of them must be in the index.
 		if r.at.kind == core.KindOwner {
 			owners = i + 1
 		} else if i == owners {
-			v.holdOwners(x, owners)
+			v.checkOwners(x, owners)
 		}
 		r.choose(x)
 	}
 	if owners == len(v.sorted) {
-		v.holdOwners(x, owners)
+		v.checkOwners(x, owners)
 	}
 	reports := v.reports()
 	if len(reports) > 0 {
 		v.revision++
-		v.now.Store(v.snapshot())
+		v.latest.Store(v.snapshot())
 	}
 	return reports
 }
 
-// choose sets which version of an entry is in force: the newest good one, or else
-// the one served before, or else the one that the deciding process says was. The
-// last two differ only where this process met the entries in another order. So a
-// version that was replaced in force comes back only by the word of the deciding
-// process, and then in all processes.
+// choose selects the version of an entry that is in force: the current valid one, or
+// else the one this process served last, or else the one that the deciding process
+// names as served last. The last two differ only if this process received the
+// entries in another order. A replaced version can therefore come back into force
+// only if the deciding process says so, and then in all processes.
 func (r *record) choose(x *index) {
-	r.cross, r.chosen = nil, nil
-	for _, g := range []*good{r.newest, r.last, r.holder()} {
+	r.crossFaults, r.served = nil, nil
+	for _, g := range []*validSpec{r.current, r.lastServed, r.reserved()} {
 		if g == nil {
 			continue
 		}
 		faults := x.faults(r, g)
-		if r.cross == nil {
-			r.cross = faults
+		if r.crossFaults == nil {
+			r.crossFaults = faults
 		}
 		if !blocked(faults) {
-			r.last, r.chosen = g, g
-			x.add(g)
+			r.lastServed, r.served = g, g
+			x.addServed(g)
 			return
 		}
 	}
 }
 
-func (v *View) holdOwners(x *index, owners int) {
+// checkOwners checks the first owners records, which are the owners, against each
+// other.
+func (v *View) checkOwners(x *index, owners int) {
 	for _, r := range v.sorted[:owners] {
-		// A pending edit keeps its own faults: they tell why it is pending.
-		if r.chosen != nil && (r.newest == nil || r.chosen == r.newest) {
-			r.cross = x.faults(r, r.chosen)
+		// A pending edit keeps its faults, which explain why it is pending.
+		if r.served != nil && (r.current == nil || r.served == r.current) {
+			r.crossFaults = x.faults(r, r.served)
 		}
 	}
 }
 
-// reports returns the entries whose standing has changed, remembers it, and works
-// out whose status is due.
+// reports returns a Report for each entry whose summary has changed since its last
+// Report, and updates which statuses are due.
 func (v *View) reports() []Report {
 	var out []Report
 	for _, r := range v.sorted {
-		now := r.stand()
-		changed := !now.equal(r.stood)
-		if !r.touched && !changed {
+		now := r.summarize()
+		differs := !now.equal(r.reported)
+		if !r.changed && !differs {
 			continue
 		}
-		r.touched, r.stood = false, now
-		r.due = r.dueStatus()
-		if changed {
+		r.changed, r.reported = false, now
+		r.due = r.statusToWrite()
+		if differs {
 			out = append(out, r.report())
 		}
 	}
 	return out
 }
 
-// standing is what a Report tells of an entry.
-type standing struct {
+// summary is the part of a Report that decides whether there is a new one.
+type summary struct {
 	state  State
 	served core.Version
-	// spec is the version whose spec was judged.
+	// spec is the version at which the current spec was received first.
 	spec   core.Version
 	faults []Fault
 }
 
-func (s standing) equal(o standing) bool {
+func (s summary) equal(o summary) bool {
 	return s.state == o.state && s.served == o.served && s.spec == o.spec && slices.Equal(s.faults, o.faults)
 }
 
-func (r *record) stand() standing {
-	s := standing{state: r.state(), spec: r.met, faults: r.faults()}
-	if r.chosen != nil {
-		s.served = r.chosen.version
+func (r *record) summarize() summary {
+	s := summary{state: r.state(), spec: r.firstSeen, faults: r.faults()}
+	if r.served != nil {
+		s.served = r.served.version
 	}
 	return s
 }
@@ -110,10 +113,10 @@
 	return Report{
 		Kind:    r.at.kind,
 		Name:    r.at.name,
-		State:   r.stood.state,
+		State:   r.reported.state,
 		Version: r.object.Version,
-		Served:  r.stood.served,
+		Served:  r.reported.served,
 		Deleted: r.object.Deleted,
-		Faults:  r.stood.faults,
+		Faults:  r.reported.faults,
 	}
 }
--- a/core/catlog/snap.go
+++ b/core/catlog/snap.go
@@ -7,35 +7,35 @@
 	"radishwell/core"
 )
 
-// Entry is a model, adapter or plain service in force: what a caller may ask
-// for. Engine services are Pools.
+// Entry is a model, adapter or plain service in force, which callers may request.
+// Engine services are Pools only.
 type Entry struct {
 	Kind   core.Kind
 	Target core.Target
 	Owner  core.OwnerName
-	// SharedWith lists other owners whose callers may use it; Shared is all.
+	// SharedWith lists other owners whose callers may use it. Shared is set if the
+	// callers of all owners may.
 	SharedWith []core.OwnerName
 	Shared     bool
 	Class      core.Class
 	Limits     core.Limits
-	// Memory is what one replica holds on each of its Accelerators; zero for a
-	// plain service. An adapter lies on the accelerators of its base.
+	// Memory is what one replica occupies on each of its Accelerators; zero for a
+	// plain service. An adapter is loaded on the accelerators of its base.
 	Memory       core.Bytes
 	Accelerators int
 	Repeatable   core.RepeatRule
-	// ChecksFence tells that the upstreams refuse orders of an old fencing number.
+	// ChecksFence is set if the upstreams refuse orders with an old fencing number.
 	ChecksFence bool
 	// Version is the resource version whose spec is in force.
 	Version core.Version
 }
 
-// Allows tells whether callers of an owner may use the entry.
+// Allows reports whether callers of an owner may use the entry.
 func (e *Entry) Allows(owner core.OwnerName) bool {
 	return e.Shared || e.Owner == owner || slices.Contains(e.SharedWith, owner)
 }
 
-// Repeats tells whether a request with an HTTP method may be run twice without
-// harm.
+// Repeats reports whether a request with an HTTP method may safely run twice.
 func (e *Entry) Repeats(method string) bool {
 	switch e.Repeatable {
 	case core.RepeatAll:
@@ -47,7 +47,7 @@
 	}
 }
 
-// Pool is a service in force: a set of upstream hosts.
+// Pool is a service of either type in force: a set of upstream hosts.
 type Pool struct {
 	Name        core.ServiceName
 	Type        core.ServiceType
@@ -64,15 +64,15 @@
 	Version      core.Version
 }
 
-// Caller is who holds a bearer key.
+// Caller is the caller to whom a bearer key belongs.
 type Caller struct {
 	Account *Account
 	Name    core.CallerName
 }
 
-// Snapshot is the catalogue in force at one moment. It never changes; all of
-// its methods may be called at once by any number of readers and allocate
-// nothing. What its pointers and slices lead to must not be changed.
+// Snapshot is the catalogue in force at one moment. It is immutable and safe for
+// concurrent use, and its methods do not allocate. Callers must not modify what its
+// pointers and slices refer to.
 type Snapshot struct {
 	keys     map[Digest]Caller
 	accounts map[core.OwnerName]*Account
@@ -85,10 +85,11 @@
 	revision uint64
 }
 
-// Revision grows by one with every change of what is in force.
+// Revision returns the number of the snapshot. It grows by one with every change of
+// the entries in force.
 func (s *Snapshot) Revision() uint64 { return s.revision }
 
-// Caller returns who holds the bearer key of a digest.
+// Caller returns the caller to whom the bearer key with a digest belongs.
 func (s *Snapshot) Caller(d Digest) (Caller, bool) {
 	c, ok := s.keys[d]
 	return c, ok
@@ -109,13 +110,13 @@
 	return e, ok
 }
 
-// Service returns a plain service that callers may ask for.
+// Service returns a plain service, which callers may request by its name.
 func (s *Snapshot) Service(name core.ServiceName) (*Entry, bool) {
 	e, ok := s.services[name]
 	return e, ok
 }
 
-// Entry returns what a target names: a model or adapter, or a plain service.
+// Entry returns the model, adapter or plain service that a target names.
 func (s *Snapshot) Entry(t core.Target) (*Entry, bool) {
 	if t.Model == "" {
 		return s.Service(t.Service)
@@ -132,8 +133,8 @@
 // Pools lists the services of both types by name.
 func (s *Snapshot) Pools() []*Pool { return s.poolList }
 
-// Items lists all models, then all adapters, each by name. An adapter always
-// comes after its base.
+// Items lists all models, then all adapters, each sorted by name. An adapter always
+// follows its base.
 func (s *Snapshot) Items() []*Entry { return s.items }
 
 // Usable yields the models and adapters that callers of an owner may use, in
--- a/core/catlog/spec.go
+++ b/core/catlog/spec.go
@@ -8,7 +8,7 @@
 	"radishwell/core/strict"
 )
 
-// spec is one decoded and checked entry; one of the pointers is set.
+// spec is the decoded spec of an entry. Exactly one of the pointers is set.
 type spec struct {
 	kind    core.Kind
 	name    string
@@ -18,8 +18,8 @@
 	service *core.ServiceSpec
 }
 
-// newSpec returns an empty entry of a kind; ok is false for kinds that are not
-// of the catalogue.
+// newSpec returns an empty spec for an entry of a kind. ok is false if the kind is
+// not one of the catalogue.
 func newSpec(kind core.Kind, name string) (s spec, ok bool) {
 	s = spec{kind: kind, name: name}
 	switch kind {
@@ -37,7 +37,7 @@
 	return s, true
 }
 
-// target returns the struct that the entry is decoded into.
+// target returns the struct into which the spec is decoded.
 func (s spec) target() any {
 	switch s.kind {
 	case core.KindModel:
@@ -51,18 +51,19 @@
 	}
 }
 
-// maxSpec bounds a spec. The status holds a copy of the last good one, and both
-// together have to stay under the megabyte that the platform holds.
-const maxSpec = 384 << 10
+// maxSpecBytes bounds a spec. The status holds a copy of the last valid spec, and
+// both together must stay below the megabyte that the platform stores per object.
+const maxSpecBytes = 384 << 10
 
-// parseSpec decodes and checks the spec of an object of the platform.
+// parseSpec decodes and checks the spec of an object from the platform. The spec is
+// valid if there are no faults.
 func parseSpec(kind core.Kind, name string, text []byte) (spec, []Fault) {
 	s, ok := newSpec(kind, name)
 	if !ok {
 		return s, []Fault{fault(CheckForm, "", string(kind)+" is no kind of the catalogue")}
 	}
-	if len(text) > maxSpec {
-		return s, []Fault{fault(CheckTooLarge, "", "the spec is larger than "+strconv.Itoa(maxSpec)+" bytes")}
+	if len(text) > maxSpecBytes {
+		return s, []Fault{fault(CheckTooLarge, "", "the spec is larger than "+strconv.Itoa(maxSpecBytes)+" bytes")}
 	}
 	if !json.Valid(text) {
 		return s, []Fault{fault(CheckForm, "", "the spec is no JSON document")}
--- a/core/catlog/status.go
+++ b/core/catlog/status.go
@@ -8,38 +8,38 @@
 	"radishwell/core"
 )
 
-// State is how an entry stands.
+// State is the state of the newest edit of an entry.
 type State string
 
 // States of an entry.
 const (
 	// Accepted: the newest edit is in force.
 	Accepted State = "accepted"
-	// Pending: the newest edit is good by itself, but what it refers to is not in
-	// force. The version served before stays where there is one that still can be;
-	// otherwise the entry is not served until the reference is there.
+	// Pending: the newest edit is valid, but an entry that it refers to is not in
+	// force. The version served before stays in force if its own references allow it;
+	// otherwise the entry is not served until the reference exists.
 	Pending State = "pending"
-	// Rejected: the newest edit is invalid. The last good version stays in force
-	// where there is one.
+	// Rejected: the newest edit is invalid. The last valid version, if there is one,
+	// stays in force.
 	Rejected State = "rejected"
 )
 
-// Status is the status document of a catalogue entry in the platform.
+// Status is the status document of a catalogue entry, as stored in the platform.
 type Status struct {
 	State State `json:"state"`
-	// Version is the resource version at which the judged spec was met first,
-	// Generation its count of spec changes.
+	// Version is the resource version at which the deciding process first received the
+	// current spec. Generation is the platform's count of spec changes.
 	Version    core.Version `json:"version"`
 	Generation int64        `json:"generation"`
-	// Faults tell why the entry is rejected or pending. With an accepted entry
-	// they are advice.
+	// Faults are the reasons why the entry is rejected or pending. Those of an accepted
+	// entry are advice.
 	Faults []Fault `json:"faults,omitempty"`
-	// InForce is the version served last; nil where there was none.
+	// InForce is the version served last; nil if there was none.
 	InForce *InForce `json:"in-force,omitempty"`
 }
 
-// InForce is the version of an entry that was served last. UID guards against taking over
-// the version of a deleted object of the same name.
+// InForce is the version of an entry that was served last. UID keeps a new object
+// from inheriting the version of a deleted object with the same name.
 type InForce struct {
 	UID        string          `json:"uid"`
 	Version    core.Version    `json:"version"`
@@ -47,7 +47,7 @@
 	Spec       json.RawMessage `json:"spec"`
 }
 
-// ParseStatus reads a status document; ok is false where it is none of ours.
+// ParseStatus decodes a status document. ok is false if the text is not one.
 func ParseStatus(text []byte) (s Status, ok bool) {
 	if len(text) == 0 || json.Unmarshal(text, &s) != nil {
 		return Status{}, false
@@ -63,8 +63,9 @@
 // of the object it belongs to.
 const maxFaults = 20
 
-// clipFaults leaves out what is above the bound and says so.
-func clipFaults(faults []Fault) []Fault {
+// truncateFaults drops the faults beyond maxFaults and adds one that states their
+// number.
+func truncateFaults(faults []Fault) []Fault {
 	if len(faults) <= maxFaults {
 		return faults
 	}
@@ -72,7 +73,8 @@
 	return append(slices.Clone(faults[:maxFaults]), fault(faults[maxFaults].Check, "", "and "+rest+" more"))
 }
 
-// encode returns the document. Its parts always have a JSON form.
+// encode returns the document as JSON. Encoding cannot fail: all parts have a JSON
+// form.
 func (s Status) encode() []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -81,16 +83,16 @@
 	return text
 }
 
-// same tells whether two documents say the same. Versions are left out: writing a
-// status gives the object a new version, and two processes may meet the same spec
-// at different versions. Comparing them would write for ever.
-func (s Status) same(o Status) bool {
+// equivalent reports whether two statuses are equal apart from versions. Writing a
+// status gives the object a new version, and two processes may receive the same spec
+// at different versions, so comparing versions would cause endless writes.
+func (s Status) equivalent(o Status) bool {
 	s.Version, o.Version = 0, 0
-	s.InForce, o.InForce = s.InForce.bare(), o.InForce.bare()
+	s.InForce, o.InForce = s.InForce.unversioned(), o.InForce.unversioned()
 	return string(s.encode()) == string(o.encode())
 }
 
-func (f *InForce) bare() *InForce {
+func (f *InForce) unversioned() *InForce {
 	if f == nil {
 		return nil
 	}
--- a/core/catlog/value.go
+++ b/core/catlog/value.go
@@ -10,15 +10,15 @@
 	"radishwell/core/strict"
 )
 
-// Bounds of amounts. They are far above any fleet: their purpose is that no sum
-// of limits can overflow, and that a slip of a few digits is noticed.
+// Upper bounds of values. They are far above the needs of any fleet: they keep sums
+// of limits from overflowing, and catch a value that has a few digits too many.
 const (
-	maxCount       = 1_000_000
-	maxRate        = 1_000_000
-	maxMemory      = 64 * core.TiB
-	maxAccelerator = 64
-	maxNameLen     = 63
-	digestLen      = 64
+	maxCount        = 1_000_000
+	maxRate         = 1_000_000
+	maxMemory       = 64 * core.TiB
+	maxAccelerators = 64
+	maxNameLen      = 63
+	digestLen       = 64
 )
 
 // checker collects the faults of one entry.
@@ -31,7 +31,7 @@
 	c.faults = append(c.faults, fault(id, key, reason))
 }
 
-// checkSpec runs the checks of a single entry.
+// checkSpec runs the checks of a single entry on a decoded spec.
 func checkSpec(s spec, doc *strict.Document) []Fault {
 	c := &checker{doc: doc}
 	c.name("", s.name)
@@ -53,7 +53,7 @@
 	c.reference("owner", string(m.Owner))
 	c.reference("service", string(m.Service))
 	c.memory(m.Memory)
-	c.count("accelerators", m.Accelerators, maxAccelerator)
+	c.count("accelerators", m.Accelerators, maxAccelerators)
 	c.limits("limits", m.Limits, "replicas", "concurrency", "rate", "burst", "queue", "queue-bytes")
 	c.sharedWith(m.SharedWith, m.Owner)
 }
@@ -76,7 +76,7 @@
 		at := "keys[" + strconv.Itoa(i) + "]"
 		c.name(at+".caller", string(k.Caller))
 		if callers[k.Caller] {
-			c.fail(CheckCallerTwice, at+".caller", strconv.Quote(string(k.Caller))+" has a key further up")
+			c.fail(CheckCallerDuplicate, at+".caller", strconv.Quote(string(k.Caller))+" has a key further up")
 		}
 		callers[k.Caller] = true
 		c.digest(at+".digest", k.Digest, digests)
@@ -92,13 +92,13 @@
 		return
 	}
 	if seen[text] {
-		c.fail(CheckDigestTwice, key, "is listed further up")
+		c.fail(CheckDigestDuplicate, key, "is listed further up")
 	}
 	seen[text] = true
 }
 
-// callerLimits holds a caller's limits to its owner's, where both are set: a
-// caller's share that is larger than the whole was surely meant otherwise.
+// callerLimits checks that no limit of a single caller exceeds the owner's, if both
+// are set. A caller's limit above the owner's is certainly a mistake.
 func (c *checker) callerLimits(o *core.OwnerSpec) {
 	over := func(key string, caller, owner float64) {
 		if owner > 0 && caller > owner {
@@ -115,11 +115,11 @@
 	c.need("type")
 	switch s.Type {
 	case core.EngineService:
-		// The class is not among them: the JSON form of the struct always has it.
-		c.absent("an engine service", "owner", "shared-with", "repeatable")
+		// The class is not listed, since the JSON form of the struct always contains it.
+		c.forbid("an engine service", "owner", "shared-with", "repeatable")
 		c.limits("limits", s.Limits, "concurrency", "rate", "burst", "queue", "queue-bytes")
 	case core.PlainService:
-		c.absent("a plain service", "checks-fence")
+		c.forbid("a plain service", "checks-fence")
 		c.need("owner", "class")
 		c.reference("owner", string(s.Owner))
 		c.repeatRule(s.Repeatable)
@@ -140,7 +140,7 @@
 	}
 }
 
-// need reports keys that are absent.
+// need reports required keys that are absent.
 func (c *checker) need(keys ...string) {
 	for _, key := range keys {
 		if !c.doc.Has(key) {
@@ -149,8 +149,8 @@
 	}
 }
 
-// absent reports keys that have no meaning for the kind of entry.
-func (c *checker) absent(of string, keys ...string) {
+// forbid reports keys that have no meaning for a type of service.
+func (c *checker) forbid(of string, keys ...string) {
 	for _, key := range keys {
 		if c.doc.Has(key) {
 			c.fail(CheckWrongType, key, "has no meaning for "+of)
@@ -158,7 +158,7 @@
 	}
 }
 
-// reference checks the name of another entry; its absence is need's matter.
+// reference checks the form of the name of another entry. need reports its absence.
 func (c *checker) reference(key, name string) {
 	if c.doc.Has(key) {
 		c.name(key, name)
@@ -166,20 +166,20 @@
 }
 
 func (c *checker) name(key, name string) {
-	if !goodName(name) {
-		c.fail(CheckName, key, strconv.Quote(clip(name))+" is no name: 1 to 63 lower-case letters, digits, '-', '.' or '_', with a letter or digit at both ends")
+	if !validName(name) {
+		c.fail(CheckName, key, strconv.Quote(truncate(name))+" is no name: 1 to 63 lower-case letters, digits, '-', '.' or '_', with a letter or digit at both ends")
 	}
 }
 
-// clip bounds a text that is shown in a reason.
-func clip(s string) string {
+// truncate bounds the length of a name that is quoted in a reason.
+func truncate(s string) string {
 	if len(s) > maxNameLen {
 		return s[:maxNameLen]
 	}
 	return s
 }
 
-func goodName(s string) bool {
+func validName(s string) bool {
 	if len(s) == 0 || len(s) > maxNameLen {
 		return false
 	}
@@ -212,12 +212,12 @@
 	}
 }
 
-func (c *checker) count(key string, n, most int) {
+func (c *checker) count(key string, n, limit int) {
 	switch {
 	case n < 0:
 		c.fail(CheckNegative, key, "is negative")
-	case n > most:
-		c.fail(CheckTooLarge, key, "is above "+strconv.Itoa(most))
+	case n > limit:
+		c.fail(CheckTooLarge, key, "is above "+strconv.Itoa(limit))
 	}
 }
 
@@ -233,20 +233,20 @@
 		}
 		c.name(key, string(n))
 		if seen[n] {
-			c.fail(CheckSharedWith, key, strconv.Quote(clip(string(n)))+" may use it already")
+			c.fail(CheckSharedWith, key, strconv.Quote(truncate(string(n)))+" may use it already")
 		}
 		seen[n] = true
 	}
 }
 
-// everyone in shared-with stands for all owners.
+// everyone is the name in shared-with that stands for all owners.
 const everyone core.OwnerName = "*"
 
-// limits checks a set of limits, of which only some have a meaning here.
-func (c *checker) limits(at string, l core.Limits, meant ...string) {
+// limits checks a set of limits under a key. Only the allowed ones may be set.
+func (c *checker) limits(at string, l core.Limits, allowed ...string) {
 	for _, key := range []string{"replicas", "concurrency", "rate", "burst", "queue", "queue-bytes", "memory"} {
-		if c.doc.Has(at+"."+key) && !slices.Contains(meant, key) {
-			c.fail(CheckLimitHere, at+"."+key, "has no meaning here; limits here are "+strings.Join(meant, ", "))
+		if c.doc.Has(at+"."+key) && !slices.Contains(allowed, key) {
+			c.fail(CheckLimitApplies, at+"."+key, "has no meaning here; limits here are "+strings.Join(allowed, ", "))
 		}
 	}
 	c.count(at+".replicas", l.Replicas, maxCount)
@@ -258,8 +258,8 @@
 	c.rate(at, l)
 }
 
-// rate checks rate and burst together: a burst without a rate bounds nothing,
-// and less than one request in a second lets none in where no burst is given.
+// rate checks rate and burst together. A burst without a rate limits nothing, and a
+// rate below one request a second without a burst admits no request.
 func (c *checker) rate(at string, l core.Limits) {
 	switch {
 	case l.Rate < 0:
@@ -276,7 +276,7 @@
 // Digest is the SHA-256 of a bearer key.
 type Digest = core.KeyDigest
 
-// ParseDigest reads 64 lower-case hexadecimal digits.
+// ParseDigest decodes a digest of 64 lower-case hexadecimal digits.
 func ParseDigest(text string) (Digest, bool) {
 	var d Digest
 	if len(text) != digestLen || strings.ToLower(text) != text {
--- a/core/catlog/view.go
+++ b/core/catlog/view.go
@@ -8,58 +8,60 @@
 	"radishwell/core"
 )
 
-// View is the catalogue as one process holds it. The zero value is an empty
-// catalogue. Apply and Due belong to one writer; Snapshot is for any reader.
+// View is one process's copy of the catalogue. The zero value is an empty catalogue.
+// Snapshot is safe for concurrent use; all other methods must be called by a single
+// goroutine at a time.
 type View struct {
 	records map[id]*record
-	// sorted holds the records in the order in which they are resolved: by kind,
-	// then by name.
+	// sorted holds the records in the order in which they are resolved: by kind in
+	// resolveOrder, then by name.
 	sorted   []*record
 	revision uint64
-	now      atomic.Pointer[Snapshot]
+	latest   atomic.Pointer[Snapshot]
 }
 
-// id names an entry.
+// id identifies an entry.
 type id struct {
 	kind core.Kind
 	name string
 }
 
-// resolveOrder sees each entry after those that it depends on: adapters depend on
-// models, models on services, all on owners.
+// resolveOrder lists the kinds so that each follows those it depends on: adapters
+// depend on models, models on services, and all on owners.
 var resolveOrder = []core.Kind{core.KindOwner, core.KindService, core.KindModel, core.KindAdapter}
 
 func compareRecords(a, b *record) int {
 	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.at.name, b.at.name))
 }
 
-// Report tells how an entry stands after a change. It is returned for entries
-// whose standing has changed, those that another entry's change has touched too.
+// Report describes the state of an entry after a change of this entry or of one that
+// it refers to.
 type Report struct {
 	Kind    core.Kind
 	Name    string
 	State   State
 	Version core.Version
-	// Served is the version in force; zero where none is served.
+	// Served is the version in force; zero if none is.
 	Served core.Version
-	// Deleted tells that the entry is gone.
+	// Deleted is set if the entry was deleted.
 	Deleted bool
 	Faults  []Fault
 }
 
 // Snapshot returns the catalogue in force. It is never nil.
 func (v *View) Snapshot() *Snapshot {
-	if s := v.now.Load(); s != nil {
+	if s := v.latest.Load(); s != nil {
 		return s
 	}
 	return &Snapshot{}
 }
 
-// Apply takes objects of the platform in any order, from watch, list or peers, and
-// returns a Report for each entry whose standing has changed: owners, services,
-// models, adapters, each by name. Objects that are not newer than what is known,
-// and kinds that are not of the catalogue, are passed over. A process that starts
-// should apply all kinds in one call, else entries are pending in between.
+// Apply updates the catalogue from objects of the platform, which may come in any
+// order from a watch, a list or peers. It returns a Report for each entry whose state
+// has changed: owners, services, models, adapters, each sorted by name. Apply ignores
+// objects that are not newer than the known version and objects of other kinds. A
+// process that starts should apply all kinds in one call; otherwise entries are
+// pending in between.
 func (v *View) Apply(objects ...core.Object) []Report {
 	if v.records == nil {
 		v.records = map[id]*record{}
@@ -78,8 +80,8 @@
 			v.sorted = append(v.sorted, r)
 			added = true
 		}
-		if r.take(o) {
-			r.touched, newer = true, true
+		if r.update(o) {
+			r.changed, newer = true, true
 		}
 	}
 	if added {
@@ -91,10 +93,9 @@
 	return v.resolve()
 }
 
-// Due returns the entries whose status in the platform does not say how they
-// stand, with the status that should be written, in the order of Apply. Only one
-// process should write them: the one that decides for the fleet, once it has all
-// kinds.
+// Due returns the entries whose status in the platform is out of date, with the
+// status to write, in the order of Apply's reports. Only the process that decides for
+// the fleet should write them, once it has received all kinds.
 func (v *View) Due() []core.Object {
 	var due []core.Object
 	for _, r := range v.sorted {
@@ -108,7 +109,7 @@
 	return due
 }
 
-// Count returns how many entries stand in a state.
+// Count returns the number of entries in a state.
 func (v *View) Count(state State) int {
 	n := 0
 	for _, r := range v.records {
--- a/core/catlog/view_test.go
+++ b/core/catlog/view_test.go
@@ -21,7 +21,7 @@
 	digestB     = "ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
 )
 
-// object returns an object of an entry's first life.
+// object returns an object with the UID of an entry that was never deleted.
 func object(kind core.Kind, name string, version core.Version, spec string) core.Object {
 	return core.Object{Kind: kind, Name: name, UID: "one", Version: version, Generation: int64(version), Spec: []byte(spec)}
 }
@@ -30,7 +30,7 @@
 	return core.Object{Kind: kind, Name: name, UID: "one", Version: version, Deleted: true}
 }
 
-// small is a catalogue with an entry of each kind.
+// small returns a catalogue with one entry of each kind.
 func small() []core.Object {
 	return []core.Object{
 		object(core.KindOwner, "nadi", 1, ownerText),
@@ -46,8 +46,8 @@
 	return v
 }
 
-// restarted returns the view of a process that starts with the objects as the
-// platform holds them now: the newest ones, with the statuses that are due.
+// restarted returns the view of a process that starts with the objects as the platform
+// holds them: the newest ones, with the statuses that are due.
 func restarted(v *catlog.View, objects ...core.Object) *catlog.View {
 	newest := map[string]core.Object{}
 	for _, o := range append(objects, v.Due()...) {
@@ -61,7 +61,7 @@
 	return fresh
 }
 
-// assertServed checks the version in force of a model or adapter; zero is none.
+// assertServed checks the version in force of a model or adapter; zero means none.
 func assertServed(t *testing.T, v *catlog.View, name core.ModelName, want core.Version) {
 	t.Helper()
 	var got core.Version
@@ -71,7 +71,8 @@
 	assert.Equal(t, got, want, "version of %s in force", name)
 }
 
-// assertState checks an entry's state and the check that it fails; none is "".
+// assertState checks an entry's state and the first check that it fails; "" means
+// none.
 func assertState(t *testing.T, v *catlog.View, kind core.Kind, name string, want catlog.State, check catlog.CheckID) {
 	t.Helper()
 	s, ok := v.Status(kind, name)
@@ -84,7 +85,7 @@
 	assert.Equal(t, got, check)
 }
 
-// assertKey checks whose key a digest is; "" is nobody's.
+// assertKey checks to which owner the key with a digest belongs; "" means none.
 func assertKey(t *testing.T, v *catlog.View, digest string, want core.OwnerName) {
 	t.Helper()
 	d, ok := catlog.ParseDigest(digest)
@@ -96,9 +97,9 @@
 	assert.Equal(t, got, want)
 }
 
-// An operator saves a model with a wrong unit while treasurers are at work. The
-// model has to go on with its last good version, also in a process that starts
-// after the edit and never saw the good one but in the status.
+// Guards against a model that goes out of service because of an invalid edit, here a
+// wrong unit. Its last valid version must stay in force, also in a process that starts
+// after the edit and can find that version only in the status.
 func TestInvalidEditKeepsLastGood(t *testing.T) {
 	v := applied(small()...)
 	statuses := v.Due()
@@ -118,8 +119,8 @@
 	assertServed(t, late, "ledger", 300)
 }
 
-// statusWritten returns the object of a kind among those due, as the platform
-// holds it once its status was written at a version.
+// statusWritten returns the first object of a kind among those due, as the platform
+// holds it after its status was written at a version.
 func statusWritten(due []core.Object, kind core.Kind, version core.Version) core.Object {
 	for _, o := range due {
 		if o.Kind == kind {
@@ -130,13 +131,14 @@
 	return core.Object{}
 }
 
-// An operator misspells the owner in an edit. The entry is good by itself, but
-// nobody could be charged for it: the version before stays until the name is right.
+// Guards against an edit with a misspelt owner taking effect: the entry alone is
+// valid, but nobody could be charged for its requests. The previous version must stay
+// in force until the owner exists.
 func TestEditWithMissingReferenceKeepsLastServed(t *testing.T) {
 	v := applied(small()...)
 	v.Apply(object(core.KindModel, "ledger", 5, modelAstray))
 	assertServed(t, v, "ledger", 3)
-	assertState(t, v, core.KindModel, "ledger", catlog.Pending, catlog.CheckOwnerThere)
+	assertState(t, v, core.KindModel, "ledger", catlog.Pending, catlog.CheckOwnerExists)
 	assertServed(t, restarted(v, small()...), "ledger", 3)
 	v.Apply(object(core.KindOwner, "nadii", 6, `{"keys":[]}`))
 	assertServed(t, v, "ledger", 5)
@@ -144,15 +146,15 @@
 	assertServed(t, v, "ledger", 0)
 }
 
-// A base model is deleted while callers ask for its adapters, and created again
-// later under the same name. The adapters have to be unknown in between: loaded
-// without their base they would answer as something else.
+// Guards against adapters that stay in force after their base model was deleted:
+// without their base they would give the answers of another model. They must be
+// unknown until the base is created again under the same name.
 func TestAdapterFollowsItsBase(t *testing.T) {
 	v := applied(small()...)
 	reports := v.Apply(tombstone(core.KindModel, "ledger", 5))
 	assert.Equal(t, len(reports), 2)
 	assertServed(t, v, "ledger-tunis", 0)
-	assertState(t, v, core.KindAdapter, "ledger-tunis", catlog.Pending, catlog.CheckBaseThere)
+	assertState(t, v, core.KindAdapter, "ledger-tunis", catlog.Pending, catlog.CheckBaseExists)
 	again := object(core.KindModel, "ledger", 6, modelText)
 	again.UID = "two"
 	v.Apply(again)
@@ -160,8 +162,8 @@
 	assertServed(t, v, "ledger-tunis", 4)
 }
 
-// A slow watch or a peer delivers an old copy after a newer one, or after the
-// deletion. The old one must not come back into force.
+// Guards against an old version that comes back into force because a slow watch or a
+// peer delivers it after a newer one or after the deletion.
 func TestOlderVersionsAreIgnored(t *testing.T) {
 	t.Run("edit", func(t *testing.T) {
 		v := applied(append(small(), object(core.KindModel, "ledger", 9, modelWider))...)
@@ -183,8 +185,9 @@
 	})
 }
 
-// The operator of a second owner pastes a key that belongs to the first. Requests
-// with it must never run in the second one's name, nor may the first lose it.
+// Guards against a key changing its owner because the operator of a second owner lists
+// it by mistake. Requests with the key must never run on behalf of the second owner,
+// and the first one must not lose it.
 func TestDigestOfAnother(t *testing.T) {
 	other := object(core.KindOwner, "kopa", 5, ownerText)
 	t.Run("edit", func(t *testing.T) {
@@ -207,8 +210,9 @@
 	})
 }
 
-// Two operators create entries of one name at the same time, and processes see
-// them in different orders. The status of the deciding process settles it.
+// Guards against processes that permanently disagree on which of two entries has a
+// name, after both were created at the same time and arrived in different orders. The
+// status written by the deciding process resolves the conflict.
 func TestNameRaceIsSettledByStatus(t *testing.T) {
 	model := object(core.KindModel, "portal", 5, modelText)
 	service := object(core.KindService, "portal", 6, serviceText)
@@ -227,8 +231,9 @@
 	assertState(t, other, core.KindService, "portal", catlog.Pending, catlog.CheckNameTaken)
 }
 
-// A model with a pending edit is deleted, and a service of its name created. The
-// name has to be free, though a status said that the model was served under it.
+// Guards against a name that stays reserved after its entry was deleted. A model with a
+// pending edit is deleted and a service of its name created; the name must be free,
+// although a status named the model as served under it.
 func TestDeletedEntryFreesItsName(t *testing.T) {
 	v := applied(small()...)
 	v.Apply(statusWritten(v.Due(), core.KindModel, 5))
@@ -307,8 +312,8 @@
 	})
 }
 
-// Requests look the catalogue up while it changes. Each reader sees one whole
-// state: a model that is served has its owner.
+// Guards against readers that see a partial update while the catalogue changes: in each
+// snapshot, every served model must have its owner.
 func TestReadersBesideWriter(t *testing.T) {
 	v := applied(small()...)
 	done := make(chan error, 4)
