--- a/core/catlog/file.go
+++ b/core/catlog/file.go
@@ -17,9 +17,9 @@
 
 // entryFile is one document of a catalogue file.
 type entryFile struct {
-	Kind core.Kind   `yaml:"kind" required:"true"`
-	Name string      `yaml:"name" required:"true"`
-	Spec strict.Part `yaml:"spec" required:"true"`
+	Kind core.Kind       `yaml:"kind" required:"true"`
+	Name string          `yaml:"name" required:"true"`
+	Spec strict.RawValue `yaml:"spec" required:"true"`
 }
 
 // fileEntry is an entry read from a file.
@@ -65,7 +65,7 @@
 	var head entryFile
 	problems := doc.Decode(&head)
 	bad := fileEntry{object: core.Object{Kind: head.Kind, Name: head.Name}}
-	if !head.Spec.Given() {
+	if !head.Spec.IsSet() {
 		return bad, problems
 	}
 	s, ok := newSpec(head.Kind, head.Name)
--- a/core/strict/decode.go
+++ b/core/strict/decode.go
@@ -10,19 +10,19 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Decode fills the struct that to points to: first with the defaults of its
-// tags, then from the document. What has a problem keeps its default.
+// Decode fills the struct that to points to: first with the defaults of its tags,
+// then from the document. A field whose value has a problem keeps its default.
 func (d *Document) Decode(to any) Problems {
 	v := reflect.ValueOf(to).Elem()
 	SetDefaults(to)
-	r := reader{doc: d}
-	r.value(v, d.root, "", reflect.StructTag(""))
-	r.problems.Sort()
-	return r.problems
+	dec := decoder{doc: d}
+	dec.value(v, d.root, "", reflect.StructTag(""))
+	dec.problems.Sort()
+	return dec.problems
 }
 
-// DecodeObject decodes a single JSON or YAML document, such as the spec of an
-// object of the platform. A text without content is a problem.
+// DecodeObject decodes a single JSON or YAML document, such as the spec of an object
+// of the platform. A text without content is reported as a problem.
 func DecodeObject(name string, text []byte, to any) (*Document, Problems) {
 	docs, problems := Parse(name, text)
 	if len(problems) > 0 {
@@ -34,24 +34,25 @@
 	return docs[0], docs[0].Decode(to)
 }
 
-// Has tells whether a key was in the document. It is of use after Decode.
+// Has reports whether a key is in the document. It must be called after Decode.
 func (d *Document) Has(key string) bool {
-	_, ok := d.places[key]
+	_, ok := d.positions[key]
 	return ok
 }
 
-// Problem returns a problem of a key that was found after decoding, at the place
-// of the key or, where the key is absent, of the nearest one above it.
+// Problem returns a problem with a key that was found after decoding. Its position is
+// that of the key or, if the key is absent, that of the nearest enclosing key.
 func (d *Document) Problem(key, reason string) Problem {
-	for at := key; at != ""; at = above(at) {
-		if place, ok := d.places[at]; ok {
-			return Problem{File: d.File, Line: place.Line, Column: place.Column, Key: clip(join(d.prefix, key)), Reason: clip(reason)}
+	for at := key; at != ""; at = parentKey(at) {
+		if pos, ok := d.positions[at]; ok {
+			return Problem{File: d.File, Line: pos.Line, Column: pos.Column, Key: truncate(join(d.prefix, key)), Reason: truncate(reason)}
 		}
 	}
 	return d.problem(d.root, key, reason)
 }
 
-func above(key string) string {
+// parentKey returns the key that contains a key; empty for a top-level key.
+func parentKey(key string) string {
 	i := strings.LastIndexAny(key, ".[")
 	if i < 0 {
 		return ""
@@ -60,180 +61,181 @@
 }
 
 func (d *Document) problem(n ast.Node, key, reason string) Problem {
-	return d.problemAt(placeOf(n), key, reason)
+	return d.problemAt(positionOf(n), key, reason)
 }
 
-// problemAt takes a place that counts from the document's first line.
-func (d *Document) problemAt(at Place, key, reason string) Problem {
+// problemAt returns a problem at a position that counts from the document's first
+// line.
+func (d *Document) problemAt(at Position, key, reason string) Problem {
 	if at.Line > 0 {
 		at.Line += d.offset
 	}
-	return Problem{File: d.File, Line: at.Line, Column: at.Column, Key: clip(join(d.prefix, key)), Reason: clip(reason)}
+	return Problem{File: d.File, Line: at.Line, Column: at.Column, Key: truncate(join(d.prefix, key)), Reason: truncate(reason)}
 }
 
-// maxText bounds a key or reason: both may quote the text at fault.
-const maxText = 300
+// maxTextBytes bounds a key or reason, since both may quote the faulty text.
+const maxTextBytes = 300
 
-func clip(s string) string {
-	if len(s) <= maxText {
+func truncate(s string) string {
+	if len(s) <= maxTextBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:maxText], "") + "..."
+	return strings.ToValidUTF8(s[:maxTextBytes], "") + "..."
 }
 
-func placeOf(n ast.Node) Place {
+func positionOf(n ast.Node) Position {
 	if n == nil {
-		return Place{}
+		return Position{}
 	}
-	// A mapping's own token is its first colon; its first key says more.
+	// The token of a mapping is its first colon; the first key is the better position.
 	switch m := n.(type) {
 	case *ast.MappingNode:
 		if !m.IsFlowStyle && len(m.Values) > 0 {
-			return placeOf(m.Values[0])
+			return positionOf(m.Values[0])
 		}
 	case *ast.MappingValueNode:
-		return placeOf(m.Key)
+		return positionOf(m.Key)
 	}
 	tk := n.GetToken()
 	if tk == nil || tk.Position == nil {
-		return Place{}
+		return Position{}
 	}
-	return Place{Line: tk.Position.Line, Column: tk.Position.Column}
+	return Position{Line: tk.Position.Line, Column: tk.Position.Column}
 }
 
-// reader walks a document and a value side by side.
-type reader struct {
+// decoder fills a value from a document and collects the problems.
+type decoder struct {
 	doc      *Document
 	problems Problems
 }
 
-// maxProblems bounds what is reported of one document. Nobody mends more in one
-// go, and a text of nothing but faults would yield a report larger than itself.
+// maxProblems bounds the problems reported for one document. Nobody fixes more at
+// once, and the report on a text full of faults would be larger than the text.
 const maxProblems = 100
 
-func (r *reader) fault(n ast.Node, key, reason string) {
-	if len(r.problems) >= maxProblems {
+func (dec *decoder) addProblem(n ast.Node, key, reason string) {
+	if len(dec.problems) >= maxProblems {
 		return
 	}
-	r.problems = append(r.problems, r.doc.problem(n, key, reason))
+	dec.problems = append(dec.problems, dec.doc.problem(n, key, reason))
 }
 
-func (r *reader) value(v reflect.Value, n ast.Node, key string, tag reflect.StructTag) {
+func (dec *decoder) value(v reflect.Value, n ast.Node, key string, tag reflect.StructTag) {
 	switch n.(type) {
 	case *ast.AnchorNode, *ast.AliasNode, *ast.TagNode, *ast.MergeKeyNode:
-		r.fault(n, key, "anchors, aliases and tags are not accepted")
+		dec.addProblem(n, key, "anchors, aliases and tags are not accepted")
 		return
 	case *ast.NullNode, nil:
-		r.null(v, n, key)
+		dec.null(v, n, key)
 		return
 	}
-	if v.Type() == partType {
-		v.Set(reflect.ValueOf(Part{doc: r.doc, root: n, key: join(r.doc.prefix, key)}))
+	if v.Type() == rawValueType {
+		v.Set(reflect.ValueOf(RawValue{doc: dec.doc, root: n, key: join(dec.doc.prefix, key)}))
 		return
 	}
 	if v.Kind() == reflect.Pointer {
 		fresh := reflect.New(v.Type().Elem())
 		SetDefaults(fresh.Interface())
-		r.value(fresh.Elem(), n, key, tag)
+		dec.value(fresh.Elem(), n, key, tag)
 		v.Set(fresh)
 		return
 	}
 	_, isText := v.Addr().Interface().(encoding.TextUnmarshaler)
 	switch {
 	case v.Kind() == reflect.Struct && !isText:
-		r.mapping(v, n, key)
+		dec.mapping(v, n, key)
 	case v.Kind() == reflect.Slice && !isText:
-		r.sequence(v, n, key, tag)
+		dec.sequence(v, n, key, tag)
 	default:
-		r.scalar(v, n, key, tag)
+		dec.scalar(v, n, key, tag)
 	}
 }
 
-// null takes an empty value: none of a list or of an optional part; a fault for
-// anything else, since a key without a value is a slip of the pen.
-func (r *reader) null(v reflect.Value, n ast.Node, key string) {
+// null decodes an empty value. It is valid for a list or an optional field only: for
+// anything else, a key without a value is taken for a mistake.
+func (dec *decoder) null(v reflect.Value, n ast.Node, key string) {
 	if v.Kind() == reflect.Pointer || v.Kind() == reflect.Slice {
 		v.SetZero()
 		return
 	}
-	r.fault(n, key, "has no value")
+	dec.addProblem(n, key, "has no value")
 }
 
-func (r *reader) sequence(v reflect.Value, n ast.Node, key string, tag reflect.StructTag) {
+func (dec *decoder) sequence(v reflect.Value, n ast.Node, key string, tag reflect.StructTag) {
 	list, ok := n.(*ast.SequenceNode)
 	if !ok {
-		r.fault(n, key, "has to be a list, is "+kindOf(n))
+		dec.addProblem(n, key, "has to be a list, is "+kindOf(n))
 		return
 	}
 	out := reflect.MakeSlice(v.Type(), len(list.Values), len(list.Values))
 	for i, item := range list.Values {
 		at := key + "[" + strconv.Itoa(i) + "]"
-		r.note(at, item)
+		dec.recordPosition(at, item)
 		SetDefaults(out.Index(i).Addr().Interface())
-		r.value(out.Index(i), item, at, tag)
+		dec.value(out.Index(i), item, at, tag)
 	}
 	v.Set(out)
 }
 
-func (r *reader) mapping(v reflect.Value, n ast.Node, key string) {
+func (dec *decoder) mapping(v reflect.Value, n ast.Node, key string) {
 	pairs, ok := pairsOf(n)
 	if !ok {
-		r.fault(n, key, "has to be a mapping of keys to values, is "+kindOf(n))
+		dec.addProblem(n, key, "has to be a mapping of keys to values, is "+kindOf(n))
 		return
 	}
-	shape := shapeOf(v.Type())
+	fields := structFields(v.Type())
 	seen := map[string]bool{}
 	for _, pair := range pairs {
 		name, ok := keyText(pair.Key)
 		if !ok {
-			r.fault(pair.Key, key, "a key has to be plain text")
+			dec.addProblem(pair.Key, key, "a key has to be plain text")
 			continue
 		}
-		r.pair(v, shape, seen, name, pair, key)
+		dec.pair(v, fields, seen, name, pair, key)
 	}
-	for _, f := range shape {
+	for _, f := range fields {
 		if !seen[f.key] {
-			r.absent(n, v.Type().Field(f.index).Type, join(key, f.key), f.required)
+			dec.missing(n, v.Type().Field(f.index).Type, join(key, f.key), f.required)
 		}
 	}
 }
 
-// absent reports a key that is not there though it has to be, or the keys of a
-// part that is not there though some of them have to be.
-func (r *reader) absent(n ast.Node, t reflect.Type, key string, required bool) {
+// missing reports an absent key if it is required, or the required keys within an
+// absent mapping.
+func (dec *decoder) missing(n ast.Node, t reflect.Type, key string, required bool) {
 	if required {
-		r.fault(n, key, "is missing")
+		dec.addProblem(n, key, "is missing")
 		return
 	}
-	if !isPart(t) {
+	if !isMapping(t) {
 		return
 	}
-	for _, f := range shapeOf(t) {
-		r.absent(n, t.Field(f.index).Type, join(key, f.key), f.required)
+	for _, f := range structFields(t) {
+		dec.missing(n, t.Field(f.index).Type, join(key, f.key), f.required)
 	}
 }
 
-func (r *reader) pair(v reflect.Value, shape []member, seen map[string]bool, name string, pair *ast.MappingValueNode, key string) {
+func (dec *decoder) pair(v reflect.Value, fields []structField, seen map[string]bool, name string, pair *ast.MappingValueNode, key string) {
 	full := join(key, name)
-	i := slices.IndexFunc(shape, func(f member) bool { return f.key == name })
+	i := slices.IndexFunc(fields, func(f structField) bool { return f.key == name })
 	if i < 0 {
-		r.fault(pair.Key, full, "unknown key; known here are "+knownKeys(shape))
+		dec.addProblem(pair.Key, full, "unknown key; known here are "+knownKeys(fields))
 		return
 	}
 	if seen[name] {
-		r.fault(pair.Key, full, "is given twice")
+		dec.addProblem(pair.Key, full, "is given twice")
 		return
 	}
 	seen[name] = true
-	r.note(full, pair.Key)
-	r.value(v.Field(shape[i].index), pair.Value, full, shape[i].tag)
+	dec.recordPosition(full, pair.Key)
+	dec.value(v.Field(fields[i].index), pair.Value, full, fields[i].tag)
 }
 
-// note remembers where a key stands, for problems found later.
-func (r *reader) note(key string, n ast.Node) {
-	at := placeOf(n)
-	at.Line += r.doc.offset
-	r.doc.places[key] = at
+// recordPosition stores the position of a key for Has and Problem.
+func (dec *decoder) recordPosition(key string, n ast.Node) {
+	at := positionOf(n)
+	at.Line += dec.doc.offset
+	dec.doc.positions[key] = at
 }
 
 func join(key, name string) string {
@@ -264,9 +266,9 @@
 	return s.Value, true
 }
 
-func knownKeys(shape []member) string {
-	names := make([]string, len(shape))
-	for i, f := range shape {
+func knownKeys(fields []structField) string {
+	names := make([]string, len(fields))
+	for i, f := range fields {
 		names[i] = f.key
 	}
 	return strings.Join(names, ", ")
@@ -294,8 +296,8 @@
 	return "something else"
 }
 
-// Keys lists the top-level keys of a mapping, in the order of the text; none
-// where the document is no mapping.
+// Keys lists the top-level keys of a document in the order of the text. It is empty if
+// the document is not a mapping.
 func (d *Document) Keys() []string {
 	pairs, _ := pairsOf(d.root)
 	var keys []string
--- a/core/strict/decode_test.go
+++ b/core/strict/decode_test.go
@@ -16,15 +16,14 @@
 	"radishwell/core/strict"
 )
 
-// A fixed seed gives the same verdict every run; -rapid.seed on the command line
-// goes before it.
+// A fixed seed makes runs reproducible; -rapid.seed on the command line overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
 }
 
-// example has a field of each kind that documents use.
+// example has a field of each type that documents use.
 type example struct {
 	Name  string        `yaml:"name" required:"true"`
 	Count int           `yaml:"count" default:"3" min:"1" max:"9"`
@@ -118,8 +117,8 @@
 	assert.Equal(t, all[0].Name+strconv.Itoa(all[0].Count), "x4")
 }
 
-// Specs come from the platform as JSON, and from files as YAML. What the JSON
-// library writes has to be read here as it was meant.
+// Guards against JSON that is decoded to other values than the JSON library encoded:
+// specs come from the platform as JSON and from files as YAML.
 func TestAgainstJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := jsonExample{
@@ -154,8 +153,8 @@
 	assert.DeepEqual(t, keys, []string{"name", "count", "wait", "size", "ratio", "on", "tags", "parts[].id", "parts[].weight"})
 }
 
-// FuzzDecode feeds any text: no panic, no unbounded report, the same verdict
-// twice.
+// FuzzDecode decodes arbitrary texts. There must be no panic, and decoding a text twice
+// must report the same problems.
 func FuzzDecode(f *testing.F) {
 	archive, err := txtar.ParseFile("testdata/problems.txtar")
 	assert.NilError(f, err)
--- a/core/strict/fields.go
+++ b/core/strict/fields.go
@@ -7,115 +7,113 @@
 	"sync"
 )
 
-// member is a field of a struct as the decoder sees it.
-type member struct {
+// structField is a struct field with its parsed tags.
+type structField struct {
 	key      string
 	index    int
 	required bool
-	// part tells that the field holds keys of its own.
-	part bool
-	// preset is the text of the default.
-	preset string
-	tag    reflect.StructTag
+	// mapping is set if the value is a mapping with keys of its own.
+	mapping bool
+	// defaultText is the text of the default tag.
+	defaultText string
+	tag         reflect.StructTag
 }
 
-// shapes keeps the shape of each struct type once worked out. Reading the tags
-// anew each time was about a seventh of the time in which a process that starts
-// takes in thousands of entries.
-var shapes sync.Map // reflect.Type to []member
+// fieldCache caches the fields of struct types. Parsing the tags each time took about
+// a seventh of the time in which a starting process decodes thousands of entries.
+var fieldCache sync.Map // reflect.Type to []structField
 
-// shapeOf lists the keys of a struct type, in the order of its fields.
-func shapeOf(t reflect.Type) []member {
-	if kept, ok := shapes.Load(t); ok {
-		return kept.([]member)
+// structFields lists the fields of a struct type that have a key, in their order.
+func structFields(t reflect.Type) []structField {
+	if cached, ok := fieldCache.Load(t); ok {
+		return cached.([]structField)
 	}
-	shape := newShape(t)
-	shapes.Store(t, shape)
-	return shape
+	fields := parseFields(t)
+	fieldCache.Store(t, fields)
+	return fields
 }
 
-func newShape(t reflect.Type) []member {
-	var shape []member
+func parseFields(t reflect.Type) []structField {
+	var fields []structField
 	for i := range t.NumField() {
 		f := t.Field(i)
 		key, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
 		if key == "" || key == "-" {
 			continue
 		}
-		shape = append(shape, member{
-			key:      key,
-			index:    i,
-			required: f.Tag.Get("required") == "true",
-			part:     isPart(f.Type),
-			preset:   f.Tag.Get("default"),
-			tag:      f.Tag,
+		fields = append(fields, structField{
+			key:         key,
+			index:       i,
+			required:    f.Tag.Get("required") == "true",
+			mapping:     isMapping(f.Type),
+			defaultText: f.Tag.Get("default"),
+			tag:         f.Tag,
 		})
 	}
-	return shape
+	return fields
 }
 
-// SetDefaults fills the struct that to points to with the defaults of its tags.
-// Anything that is no struct is left as it is.
+// SetDefaults fills the struct that to points to with the defaults of its tags. A
+// value of another type stays unchanged.
 func SetDefaults(to any) {
 	v := reflect.ValueOf(to).Elem()
-	if !isPart(v.Type()) {
+	if !isMapping(v.Type()) {
 		return
 	}
-	for _, f := range shapeOf(v.Type()) {
+	for _, f := range structFields(v.Type()) {
 		field := v.Field(f.index)
-		if f.part {
+		if f.mapping {
 			SetDefaults(field.Addr().Interface())
 			continue
 		}
-		if f.preset == "" {
+		if f.defaultText == "" {
 			continue
 		}
-		if err := setPlain(field, f.preset); err != nil {
+		if err := setFromTag(field, f.defaultText); err != nil {
 			panic(err)
 		}
 	}
 }
 
-// isPart tells whether a type is a mapping of keys of its own.
-func isPart(t reflect.Type) bool {
-	return t.Kind() == reflect.Struct && t != partType && !reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
+// isMapping reports whether values of a type are mappings with keys of their own.
+func isMapping(t reflect.Type) bool {
+	return t.Kind() == reflect.Struct && t != rawValueType && !reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
 
-// Field is one key of a document, for reference pages.
+// Field describes one key of a document, for reference pages.
 type Field struct {
 	// Key is the full path; "[]" marks the items of a list.
-	Key string
-	// Type is the field's type.
+	Key  string
 	Type reflect.Type
-	// Default, Min, Max and Doc are the tags' texts.
+	// Default, Min, Max and Doc are the texts of the tags of these names.
 	Default, Min, Max, Doc string
 	Required               bool
 }
 
-// Fields lists all keys of the struct type of v, in order. Parts that hold keys
-// of their own are not listed themselves.
+// Fields lists all keys of the struct type of v, in the order of its fields. Mappings
+// are represented by their keys and not listed themselves.
 func Fields(v any) []Field {
 	return fieldsOf(reflect.TypeOf(v), "")
 }
 
-func fieldsOf(t reflect.Type, above string) []Field {
+func fieldsOf(t reflect.Type, parent string) []Field {
 	var all []Field
-	for _, m := range shapeOf(t) {
-		key, inner := join(above, m.key), t.Field(m.index).Type
-		for inner.Kind() == reflect.Pointer || inner.Kind() == reflect.Slice && isPart(inner.Elem()) {
+	for _, m := range structFields(t) {
+		key, inner := join(parent, m.key), t.Field(m.index).Type
+		for inner.Kind() == reflect.Pointer || inner.Kind() == reflect.Slice && isMapping(inner.Elem()) {
 			if inner.Kind() == reflect.Slice {
 				key += "[]"
 			}
 			inner = inner.Elem()
 		}
-		if isPart(inner) {
+		if isMapping(inner) {
 			all = append(all, fieldsOf(inner, key)...)
 			continue
 		}
 		all = append(all, Field{
 			Key:      key,
 			Type:     inner,
-			Default:  m.preset,
+			Default:  m.defaultText,
 			Min:      m.tag.Get("min"),
 			Max:      m.tag.Get("max"),
 			Doc:      m.tag.Get("doc"),
--- a/core/strict/problem.go
+++ b/core/strict/problem.go
@@ -9,14 +9,14 @@
 
 // Problem is one fault in a document.
 type Problem struct {
-	// File is the name the document was parsed under; it may be empty.
+	// File is the file name passed to Parse; it may be empty.
 	File string
-	// Line and Column count from one; zero where the place is unknown.
+	// Line and Column count from one; both are zero if the position is unknown.
 	Line   int
 	Column int
 	// Key is the path of keys, as in "limits.stop-grace" or "keys[2].digest".
 	Key string
-	// Reason tells what is wrong, in words for an operator.
+	// Reason describes the fault to an operator.
 	Reason string
 }
 
@@ -39,20 +39,20 @@
 	return b.String()
 }
 
-// Problems is a list of faults. It is an error when it is not empty; use Err to
-// return it as one.
+// Problems is a list of faults. An empty list is not an error: use Err to return the
+// list as an error.
 type Problems []Problem
 
-// Error implements error: a line for each problem.
+// Error implements error. It returns one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
-	for i, one := range p {
-		lines[i] = one.String()
+	for i, problem := range p {
+		lines[i] = problem.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the list as an error, or nil where it is empty.
+// Err returns the list as an error, or nil if it is empty.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
@@ -60,7 +60,7 @@
 	return p
 }
 
-// Sort orders the list by file and place.
+// Sort sorts the list by file and position.
 func (p Problems) Sort() {
 	slices.SortStableFunc(p, func(a, b Problem) int {
 		return cmp.Or(
--- a/core/strict/scalar.go
+++ b/core/strict/scalar.go
@@ -19,22 +19,23 @@
 	addressType  = reflect.TypeFor[netip.AddrPort]()
 )
 
-// scalar reads one value, then holds it to the range of its tag.
-func (r *reader) scalar(v reflect.Value, n ast.Node, key string, tag reflect.StructTag) {
+// scalar decodes a single value and checks it against the range of its tag.
+func (dec *decoder) scalar(v reflect.Value, n ast.Node, key string, tag reflect.StructTag) {
 	fresh := reflect.New(v.Type()).Elem()
-	if reason := read(fresh, n); reason != "" {
-		r.fault(n, key, reason)
+	if reason := decodeScalar(fresh, n); reason != "" {
+		dec.addProblem(n, key, reason)
 		return
 	}
-	if reason := outside(fresh, tag); reason != "" {
-		r.fault(n, key, reason)
+	if reason := rangeFault(fresh, tag); reason != "" {
+		dec.addProblem(n, key, reason)
 		return
 	}
 	v.Set(fresh)
 }
 
-// read sets v from a node and returns what is wrong with it, or nothing.
-func read(v reflect.Value, n ast.Node) string {
+// decodeScalar sets v from a node. It returns the fault of the value, or "" if there is
+// none; so do the functions for the single types.
+func decodeScalar(v reflect.Value, n ast.Node) string {
 	if isText(v) {
 		return readText(v, n)
 	}
@@ -52,26 +53,27 @@
 	}
 }
 
-// isText tells whether values of v's type are written as text with a meaning.
+// isText reports whether values of v's type are written as text that has to be parsed.
 func isText(v reflect.Value) bool {
 	_, ok := v.Addr().Interface().(encoding.TextUnmarshaler)
 	return ok || v.Type() == durationType
 }
 
-// readText takes plain text only: an amount as a bare number has no unit.
+// readText decodes a value that is written as text. It refuses a plain number, which
+// would be an amount without a unit.
 func readText(v reflect.Value, n ast.Node) string {
 	s, ok := n.(*ast.StringNode)
 	if !ok {
 		switch n.(type) {
 		case *ast.IntegerNode, *ast.FloatNode:
-			return "is a bare number; " + hintOf(v)
+			return "is a bare number; " + hint(v)
 		}
-		return "has to be text, is " + kindOf(n) + "; " + hintOf(v)
+		return "has to be text, is " + kindOf(n) + "; " + hint(v)
 	}
 	return setText(v, s.Value)
 }
 
-func hintOf(v reflect.Value) string {
+func hint(v reflect.Value) string {
 	switch {
 	case v.Type() == durationType:
 		return `write a duration with its unit, as in "30s"`
@@ -84,12 +86,12 @@
 	}
 }
 
-// setText sets v from text and returns what is wrong with it, or nothing.
+// setText sets v from text. It returns the fault of the text, or "" if there is none.
 func setText(v reflect.Value, text string) string {
 	if v.Type() == durationType {
 		d, err := time.ParseDuration(text)
 		if err != nil {
-			return strconv.Quote(text) + " is no duration; " + hintOf(v)
+			return strconv.Quote(text) + " is no duration; " + hint(v)
 		}
 		v.SetInt(int64(d))
 		return ""
@@ -100,7 +102,7 @@
 	case err == nil:
 		return ""
 	case v.Type() == addressType:
-		return strconv.Quote(text) + " is no address; " + hintOf(v)
+		return strconv.Quote(text) + " is no address; " + hint(v)
 	default:
 		return err.Error()
 	}
@@ -185,8 +187,8 @@
 	return ""
 }
 
-// exponent reads a JSON number such as 1e-05, which YAML takes for text since it
-// has no point.
+// exponent parses a JSON number such as 1e-05, which the YAML parser treats as text
+// because it has no decimal point.
 func exponent(n *ast.StringNode) (float64, bool) {
 	if n.Token.Type != token.StringType || !isDecimal(n) {
 		return 0, false
@@ -197,8 +199,8 @@
 
 const notDecimal = "has to be written in decimal digits, without separators or leading zeros"
 
-// isDecimal tells whether a number is written as everybody reads it. YAML also
-// takes 010 for eight, 0x10 for sixteen and 1_0 for ten.
+// isDecimal reports whether a number is written in plain decimal digits. YAML also
+// accepts 010 for eight, 0x10 for sixteen and 1_0 for ten.
 func isDecimal(n ast.Node) bool {
 	text := strings.TrimLeft(n.GetToken().Value, "+-")
 	if len(text) > 1 && text[0] == '0' && text[1] >= '0' && text[1] <= '9' {
@@ -218,8 +220,9 @@
 	}
 }
 
-// outside tells how a value breaks the range of its tag, or nothing.
-func outside(v reflect.Value, tag reflect.StructTag) string {
+// rangeFault describes how a value violates the range of its tag. It returns "" if the
+// value is in range.
+func rangeFault(v reflect.Value, tag reflect.StructTag) string {
 	if low, ok := bound(v, tag.Get("min")); ok && less(v, low) {
 		return "is below the least value, " + tag.Get("min")
 	}
@@ -229,13 +232,14 @@
 	return ""
 }
 
-// bound reads the text of a tag as a value of v's type.
+// bound parses the text of a tag as a value of v's type. ok is false if the text is
+// empty. It panics if the text cannot be parsed.
 func bound(v reflect.Value, text string) (reflect.Value, bool) {
 	if text == "" {
 		return reflect.Value{}, false
 	}
 	b := reflect.New(v.Type()).Elem()
-	if err := setPlain(b, text); err != nil {
+	if err := setFromTag(b, text); err != nil {
 		panic(err)
 	}
 	return b, true
@@ -252,12 +256,12 @@
 	}
 }
 
-// TagError reports a struct tag that cannot be read as a value of its field. It
-// is a fault of the program, found by the first test that uses the struct.
+// TagError reports a struct tag that cannot be parsed as a value of its field. It is a
+// programming error, which the first test that uses the struct detects.
 type TagError struct {
 	Type string
 	Text string
-	// Reason is what the field's type says against the text.
+	// Reason is the error of the parser for the field's type.
 	Reason string
 }
 
@@ -266,8 +270,8 @@
 	return "tag " + strconv.Quote(e.Text) + " of type " + e.Type + ": " + e.Reason
 }
 
-// setPlain sets v from the text of a tag.
-func setPlain(v reflect.Value, text string) error {
+// setFromTag sets v from the text of a tag. Its error is a TagError.
+func setFromTag(v reflect.Value, text string) error {
 	if isText(v) {
 		if reason := setText(v, text); reason != "" {
 			return &TagError{Type: v.Type().String(), Text: text, Reason: reason}
