--- a/io/config/check.go
+++ b/io/config/check.go
@@ -14,7 +14,7 @@
 
 const maxNameLen = 63
 
-// checker holds the keys of one file against each other.
+// checker checks the keys of one file against each other.
 type checker struct {
 	doc      *strict.Document
 	s        Settings
@@ -36,7 +36,7 @@
 	c.managed()
 }
 
-// managed checks what the roles need on a managed platform.
+// managed checks the keys that the role requires on a managed platform.
 func (c *checker) managed() {
 	if !c.s.Managed.Enabled {
 		return
@@ -68,11 +68,11 @@
 	return name != "" && len(name) <= maxNameLen && strings.Trim(name, letters) == ""
 }
 
-// Keys that only one of the roles has, and whether it needs them.
+// roleKeys lists the keys that belong to one role only, and whether it requires them.
 var roleKeys = []struct {
-	role   Role
-	key    string
-	needed bool
+	role     Role
+	key      string
+	required bool
 }{
 	{Entry, "listen.callers", true},
 	{Entry, "tls.callers", false},
@@ -88,7 +88,8 @@
 	{Agent, "managed.upstream", false},
 }
 
-// Keys that the roles need otherwise have no use on a managed platform.
+// unmanagedKeys lists required keys that are optional on a managed platform, where they
+// have no use.
 var unmanagedKeys = []string{"listen.work", "engine", "engine.address", "engine.service"}
 
 func (c *checker) roles() {
@@ -103,14 +104,15 @@
 		if c.s.Managed.Enabled && slices.Contains(unmanagedKeys, k.key) {
 			continue
 		}
-		if !has && k.needed && k.role == c.s.Role {
+		if !has && k.required && k.role == c.s.Role {
 			c.fail(k.key, "is missing; the role "+string(k.role)+" needs it")
 		}
 	}
 }
 
-// address is a listen address with its key.
+// address is a listen address.
 type address struct {
+	// key is the key of the address or, within a fleet, its settings file.
 	key  string
 	addr netip.AddrPort
 }
@@ -130,7 +132,7 @@
 	for i, a := range all {
 		c.port(a.key, a.addr)
 		for _, b := range all[:i] {
-			if clash(a.addr, b.addr) {
+			if conflicting(a.addr, b.addr) {
 				c.fail(a.key, "has the address of "+b.key)
 			}
 		}
@@ -143,8 +145,8 @@
 	}
 }
 
-// clash tells whether two listeners of one host cannot both be opened.
-func clash(a, b netip.AddrPort) bool {
+// conflicting reports whether two listeners on one host cannot both be opened.
+func conflicting(a, b netip.AddrPort) bool {
 	if a.Port() != b.Port() {
 		return false
 	}
@@ -194,14 +196,15 @@
 	if c.s.TLS.Given() || c.s.Managed.Enabled && c.s.Managed.PlainPeers {
 		return
 	}
-	// Without mutual TLS whoever reaches the port may order loads and hand over
-	// requests in any owner's name. Only the host itself may be so trusted.
+	// Without mutual TLS, anyone who reaches the port may order loads and send requests
+	// on behalf of any owner. Only processes on the same host are trusted that far.
 	for _, key := range c.exposed() {
 		c.fail(key, "is not on the loopback, so that tls.ca, tls.cert and tls.key are needed")
 	}
 }
 
-// exposed lists addresses of own processes that are off the loopback.
+// exposed lists the keys of addresses between own processes that are not on the
+// loopback.
 func (c *checker) exposed() []string {
 	var keys []string
 	for _, a := range c.s.addresses() {
@@ -217,29 +220,30 @@
 	return keys
 }
 
-// together reports files that are missing beside others that are given.
+// together reports the missing files of a group of which either all or none must be
+// set.
 func (c *checker) together(at string, files map[string]string) {
-	var absent []string
+	var missing []string
 	for key, file := range files {
 		if file == "" {
-			absent = append(absent, key)
+			missing = append(missing, key)
 		}
 	}
-	if len(absent) == 0 || len(absent) == len(files) {
+	if len(missing) == 0 || len(missing) == len(files) {
 		return
 	}
-	slices.Sort(absent)
-	for _, key := range absent {
+	slices.Sort(missing)
+	for _, key := range missing {
 		c.fail(at+"."+key, "is missing beside the other files of "+at)
 	}
 }
 
-// Given tells whether own processes talk over mutual TLS.
+// Given reports whether own processes communicate over mutual TLS.
 func (t TLS) Given() bool { return t.CA != "" && t.Cert != "" && t.Key != "" }
 
-// Check reads settings and catalogue files and returns all of their problems, by
-// file and place. Catalogue files are checked as one catalogue, settings files
-// as one fleet: neither names nor addresses of hosts may occur twice.
+// Check reads settings and catalogue files and returns all of their problems, sorted by
+// file and position. Catalogue files are checked as one catalogue, settings files as
+// one fleet, in which neither names nor addresses of hosts may occur twice.
 func Check(files ...string) strict.Problems {
 	var problems strict.Problems
 	var sources []catlog.Source
@@ -250,17 +254,17 @@
 			problems = append(problems, strict.Problem{File: file, Reason: err.Error()})
 			continue
 		}
-		switch kind, faults := recognise(file, text); kind {
+		switch kind, found := detectKind(file, text); kind {
 		case catalogueFile:
 			sources = append(sources, catlog.Source{Name: file, Text: text})
 		case settingsFile:
 			problems = append(problems, fleet.add(file, text)...)
 		default:
-			problems = append(problems, faults...)
+			problems = append(problems, found...)
 		}
 	}
-	_, faults := catlog.Read(sources...)
-	problems = append(problems, faults...)
+	_, found := catlog.Read(sources...)
+	problems = append(problems, found...)
 	problems.Sort()
 	return problems
 }
@@ -273,8 +277,9 @@
 	catalogueFile
 )
 
-// recognise tells a file's kind by the keys of its documents.
-func recognise(file string, text []byte) (fileKind, strict.Problems) {
+// detectKind determines the kind of a file from the keys of its documents. If the kind
+// is unknown, it returns the reason as problems.
+func detectKind(file string, text []byte) (fileKind, strict.Problems) {
 	docs, problems := strict.Parse(file, text)
 	for _, doc := range docs {
 		for _, key := range doc.Keys() {
@@ -292,12 +297,15 @@
 	return unknownFile, problems
 }
 
-// fleet holds settings files against each other.
+// fleet checks settings files against each other.
 type fleet struct {
+	// names maps the names of hosts to their files.
 	names map[core.HostName]string
-	taken []address
+	// addresses are the listen addresses of all hosts, with the file as key.
+	addresses []address
 }
 
+// add checks a settings file by itself and against those added before.
 func (f *fleet) add(file string, text []byte) strict.Problems {
 	docs, problems := strict.Parse(file, text)
 	if len(problems) > 0 || len(docs) != 1 {
@@ -313,16 +321,16 @@
 	}
 	f.names[s.Name] = file
 	for _, a := range s.addresses() {
-		// Each host has a loopback of its own.
+		// Every host has its own loopback, and unspecified addresses are on each host.
 		if a.addr.Addr().IsUnspecified() || a.addr.Addr().IsLoopback() {
 			continue
 		}
-		i := slices.IndexFunc(f.taken, func(b address) bool { return a.addr == b.addr })
+		i := slices.IndexFunc(f.addresses, func(b address) bool { return a.addr == b.addr })
 		if i >= 0 {
-			problems = append(problems, docs[0].Problem(a.key, "is an address in "+f.taken[i].key+" too"))
+			problems = append(problems, docs[0].Problem(a.key, "is an address in "+f.addresses[i].key+" too"))
 			continue
 		}
-		f.taken = append(f.taken, address{file, a.addr})
+		f.addresses = append(f.addresses, address{file, a.addr})
 	}
 	return problems
 }
--- a/io/config/config_test.go
+++ b/io/config/config_test.go
@@ -16,8 +16,8 @@
 	"radishwell/io/config"
 )
 
-// cases returns the settings in testdata/settings.txtar with the problems that
-// each has to yield.
+// cases returns the settings in testdata/settings.txtar and the problems expected for
+// each.
 func cases(t testing.TB) (files []txtar.File, wants []string) {
 	t.Helper()
 	archive, err := txtar.ParseFile("testdata/settings.txtar")
@@ -54,7 +54,7 @@
 	assert.Equal(t, s.Limits.Deadlines.At(core.Overnight, arrived), arrived.Add(8*time.Hour))
 }
 
-// write puts a text into a file of a fresh directory.
+// write writes a text to a file in a new directory and returns its path.
 func write(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -83,8 +83,8 @@
 	})
 }
 
-// assertCheck runs check over the parts of an archive as files and compares its
-// report, without the directory.
+// assertCheck runs Check on the files of an archive and compares the report, from which
+// the directory is removed.
 func assertCheck(t *testing.T, archive, want string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -136,7 +136,8 @@
 	})
 }
 
-// FuzzSettings feeds any text: no panic, and what passes has what its role needs.
+// FuzzSettings parses arbitrary texts. There must be no panic, and valid settings must
+// have the addresses that their role requires.
 func FuzzSettings(f *testing.F) {
 	files, _ := cases(f)
 	for _, file := range files {
@@ -153,7 +154,8 @@
 	})
 }
 
-// FuzzOrigin: what is read as a base address is written and read the same again.
+// FuzzOrigin checks that a base address that can be parsed is unchanged after it was
+// written and parsed again.
 func FuzzOrigin(f *testing.F) {
 	for _, text := range []string{"http://127.0.0.1:80", "https://[::1]:443/", "http://a:80", "http://u@1.1.1.1:1", "//1.1.1.1:1"} {
 		f.Add(text)
--- a/io/config/page_test.go
+++ b/io/config/page_test.go
@@ -17,17 +17,17 @@
 
 const pageHead = `# Settings
 
-A process reads one settings file: YAML, strict. Unknown and repeated keys, wrong
-units, values out of range and keys of the other role are errors, all reported in
-one run with file, line, key and reason. ` + "`radishwell check FILE...`" + ` reports the same
-without starting anything. What operators decide at run time is in the catalogue.
+A process reads one settings file in YAML. Unknown and repeated keys, wrong units,
+values out of range and keys of the other role are errors, all reported in one run
+with file, line, key and reason. ` + "`radishwell check FILE...`" + ` reports the same without
+starting a process. What operators change at run time is in the catalogue.
 
 Durations are written with a unit (` + "`100ms`, `30s`, `5m`, `8h`" + `), sizes with a binary
 unit (` + "`512KiB`, `8MiB`, `2GiB`" + `), addresses as IP number and port, never as a name.
-Paths that are not absolute start at the directory of the settings file.
+Relative paths are resolved against the directory of the settings file.
 
-This page is made from the table in io/config/settings.go; a test holds it to that:
-` + "`go test ./io/config -run TestPage -update`" + ` writes it anew.
+This page is generated from the table in io/config/settings.go, and a test compares it
+with that table; ` + "`go test ./io/config -run TestPage -update`" + ` regenerates it.
 
 | key | value | default | range | meaning |
 | --- | --- | --- | --- | --- |
@@ -65,7 +65,7 @@
 		value := f.Default
 		switch {
 		case f.Required:
-			value = "needed"
+			value = "required"
 		case value == "":
 			value = "none"
 		}
--- a/io/config/read.go
+++ b/io/config/read.go
@@ -10,8 +10,8 @@
 	"radishwell/core/strict"
 )
 
-// Defaults returns settings with all defaults, for processes that are set up by a
-// program.
+// Defaults returns settings with all defaults, for processes that are configured by a
+// program instead of a file.
 func Defaults() Settings {
 	var s Settings
 	strict.SetDefaults(&s)
@@ -33,8 +33,8 @@
 	return s, nil
 }
 
-// Parse decodes and checks the text of a settings file. The file's name is used
-// in problems only.
+// Parse decodes and checks the text of a settings file. The file name is used in
+// problems only.
 func Parse(file string, text []byte) (Settings, strict.Problems) {
 	docs, problems := strict.Parse(file, text)
 	if len(problems) > 0 {
@@ -55,8 +55,7 @@
 	return s, c.problems
 }
 
-// resolve makes the paths of files absolute or relative to the working
-// directory, as the directory of the settings file is.
+// resolve resolves relative paths against the directory of the settings file.
 func (s *Settings) resolve(dir string) {
 	files := []*string{
 		&s.Platform.TokenFile,
--- a/io/config/types.go
+++ b/io/config/types.go
@@ -8,7 +8,8 @@
 	"radishwell/core"
 )
 
-// Role is what a process does.
+// Role is the role of a process in the fleet. An entry takes callers' requests; an
+// agent runs beside an upstream.
 type Role string
 
 // Roles of processes.
@@ -30,12 +31,12 @@
 
 // Origin is the base address of an HTTP server by IP number.
 type Origin struct {
-	// TLS tells that the scheme is https.
+	// TLS is set if the scheme is https.
 	TLS  bool
 	Addr netip.AddrPort
 }
 
-// OriginError reports a text that is no Origin.
+// OriginError reports a text that is not a valid Origin.
 type OriginError struct {
 	Text   string
 	Reason string
@@ -71,7 +72,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (o Origin) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// String returns the address as a URL without a path; empty for the zero Origin.
+// String returns the address as a URL without a path. It is empty for the zero Origin.
 func (o Origin) String() string {
 	switch {
 	case !o.Given():
@@ -83,5 +84,5 @@
 	}
 }
 
-// Given tells whether the address was set.
+// Given reports whether the address is set.
 func (o Origin) Given() bool { return o.Addr.IsValid() }
