--- a/io/certs/anyone.go
+++ b/io/certs/anyone.go
@@ -5,13 +5,13 @@
 	"crypto/x509"
 )
 
-// AnyClient is Client for calls to a process whose role is not known yet, as
-// that of a peer named only by its address in the settings: an entry or an
-// agent of the same authority.
+// AnyClient returns the configuration for calls to a process whose role is not known
+// yet, such as a peer of which the settings give the address only. It accepts any entry
+// or agent with a certificate of the same authority. Refusals are logged.
 func (k *Keeper) AnyClient(protocols []string) *tls.Config {
 	conf := k.Client(protocols, Entry, "")
 	conf.VerifyConnection = func(state tls.ConnectionState) error {
-		return k.verify(state, "", wanted{roles: []Role{Entry, Agent}, usage: x509.ExtKeyUsageServerAuth})
+		return k.verify(state, "", requirement{roles: []Role{Entry, Agent}, usage: x509.ExtKeyUsageServerAuth})
 	}
 	return conf
 }
--- a/io/certs/certs_test.go
+++ b/io/certs/certs_test.go
@@ -24,7 +24,7 @@
 	"radishwell/io/certs"
 )
 
-// clock is a core.Clock that tests set.
+// clock is a core.Clock that tests control.
 type clock struct{ at atomic.Int64 }
 
 func (c *clock) Now() time.Time      { return time.Unix(c.at.Load(), 0) }
@@ -41,7 +41,7 @@
 	year = 365 * day
 )
 
-// makeKeys writes an authority and certificates into a directory.
+// makeKeys writes an authority and certificates to a directory.
 func makeKeys(t *testing.T, dir string, c core.Clock, hosts ...string) {
 	t.Helper()
 	var all []certs.Host
@@ -72,9 +72,9 @@
 	return k
 }
 
-// shake connects a client to a server over TCP and returns both ends' errors. The
-// connections are closed with the test.
-func shake(t *testing.T, server, client *tls.Config) (srv, cli *tls.Conn, srvErr, cliErr error) {
+// handshake connects a client to a server over TCP and returns the errors of both ends.
+// The connections are closed at the end of the test.
+func handshake(t *testing.T, server, client *tls.Config) (srv, cli *tls.Conn, srvErr, cliErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -100,7 +100,7 @@
 	return srv, cli, <-done, cliErr
 }
 
-// assertFault checks that an end refused the other for a reason; "" is none.
+// assertFault checks that a peer was refused with a fault; "" means not refused.
 func assertFault(t *testing.T, err error, want certs.Fault) {
 	t.Helper()
 	var refused *certs.PeerError
@@ -119,7 +119,7 @@
 	server := agent.Server([]string{"h2"}, certs.Entry)
 
 	t.Run("right role", func(t *testing.T) {
-		srv, cli, srvErr, cliErr := shake(t, server, entry.Client([]string{"h2"}, certs.Agent, "agent-1"))
+		srv, cli, srvErr, cliErr := handshake(t, server, entry.Client([]string{"h2"}, certs.Agent, "agent-1"))
 		assert.NilError(t, srvErr)
 		assert.NilError(t, cliErr)
 		assert.Equal(t, cli.ConnectionState().NegotiatedProtocol, "h2")
@@ -128,33 +128,33 @@
 		assert.Equal(t, id, certs.Identity{Role: certs.Entry, Host: "entry-1"})
 	})
 	t.Run("wrong role of client", func(t *testing.T) {
-		_, _, srvErr, _ := shake(t, server, boss.Client(nil, certs.Agent, ""))
+		_, _, srvErr, _ := handshake(t, server, boss.Client(nil, certs.Agent, ""))
 		assertFault(t, srvErr, certs.WrongRole)
 	})
 	t.Run("wrong role of server", func(t *testing.T) {
-		_, _, _, cliErr := shake(t, server, entry.Client(nil, certs.Entry, ""))
+		_, _, _, cliErr := handshake(t, server, entry.Client(nil, certs.Entry, ""))
 		assertFault(t, cliErr, certs.WrongRole)
 	})
 	t.Run("wrong host of server", func(t *testing.T) {
-		_, _, _, cliErr := shake(t, server, entry.Client(nil, certs.Agent, "agent-2"))
+		_, _, _, cliErr := handshake(t, server, entry.Client(nil, certs.Agent, "agent-2"))
 		assertFault(t, cliErr, certs.WrongHost)
 	})
 	t.Run("no certificate", func(t *testing.T) {
-		_, _, srvErr, _ := shake(t, server, &tls.Config{InsecureSkipVerify: true})
+		_, _, srvErr, _ := handshake(t, server, &tls.Config{InsecureSkipVerify: true})
 		assertFault(t, srvErr, certs.NoCertificate)
 	})
 	t.Run("other authority", func(t *testing.T) {
 		other := t.TempDir()
 		makeKeys(t, other, c, "entry-1=entry@127.0.0.1")
 		stranger := keeper(t, other, "entry-1", certs.Entry, c)
-		_, _, srvErr, _ := shake(t, server, &tls.Config{
+		_, _, srvErr, _ := handshake(t, server, &tls.Config{
 			InsecureSkipVerify:   true,
 			GetClientCertificate: stranger.Client(nil, certs.Agent, "").GetClientCertificate,
 		})
 		assertFault(t, srvErr, certs.BadChain)
 	})
 	t.Run("no role", func(t *testing.T) {
-		_, _, srvErr, _ := shake(t, server, withCert(t, dir, certs.AuthorityCert, certs.AuthorityKey))
+		_, _, srvErr, _ := handshake(t, server, withCert(t, dir, certs.AuthorityCert, certs.AuthorityKey))
 		assertFault(t, srvErr, certs.NoIdentity)
 	})
 }
@@ -166,7 +166,8 @@
 	return &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{pair}}
 }
 
-// A request goes over HTTP/2 with both certificates, as between entry and agent.
+// A request is sent over HTTP/2 with certificates on both sides, as between entry and
+// agent.
 func TestHTTP2(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1")
@@ -191,36 +192,38 @@
 	assert.Equal(t, string(text), "HTTP/2.0 radishwell://entry/entry-1")
 }
 
-// Nobody renews a host's certificate. After its last day other processes refuse
-// the host, and take it again once the files are new, without a restart.
+// Guards against a host that stays refused after its expired certificate was renewed.
+// Other processes refuse the host while the certificate is expired, and accept it once
+// the files are renewed, without a restart.
 func TestExpired(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1")
 	entry, agent := keeper(t, dir, "entry-1", certs.Entry, c), keeper(t, dir, "agent-1", certs.Agent, c)
 	c.add(year + day)
-	_, _, srvErr, _ := shake(t, agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, ""))
-	_, _, _, cliErr := shake(t, agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, ""))
+	_, _, srvErr, _ := handshake(t, agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, ""))
+	_, _, _, cliErr := handshake(t, agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, ""))
 	assertFault(t, errors.Join(srvErr, cliErr), certs.OutOfDate)
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1")
 	entry.Poll()
 	agent.Poll()
-	_, _, srvErr, cliErr = shake(t, agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, ""))
+	_, _, srvErr, cliErr = handshake(t, agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, ""))
 	assert.NilError(t, errors.Join(srvErr, cliErr))
 }
 
-// Certificates are replaced while a treasurer's answer streams. The stream goes
-// on over its connection, and new connections use the new files.
+// Guards against a reload that closes open connections. Certificates are replaced while
+// an answer is streamed; the stream must continue on its connection, and new connections
+// must use the new files.
 func TestReloadCutsNothing(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1")
 	entry, agent := keeper(t, dir, "entry-1", certs.Entry, c), keeper(t, dir, "agent-1", certs.Agent, c)
 	server, client := agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, "agent-1")
-	srv, cli, srvErr, cliErr := shake(t, server, client)
+	srv, cli, srvErr, cliErr := handshake(t, server, client)
 	assert.NilError(t, errors.Join(srvErr, cliErr))
 	before := cli.ConnectionState().PeerCertificates[0].SerialNumber
 	makeKeys(t, dir, c, "agent-1=agent@127.0.0.1")
 	agent.Poll()
-	_, fresh, srvErr, cliErr := shake(t, server, client)
+	_, fresh, srvErr, cliErr := handshake(t, server, client)
 	assert.NilError(t, errors.Join(srvErr, cliErr))
 	assert.Assert(t, fresh.ConnectionState().PeerCertificates[0].SerialNumber.Cmp(before) != 0)
 	_, err := srv.Write([]byte("token"))
@@ -231,8 +234,9 @@
 	assert.Equal(t, string(got), "token")
 }
 
-// A deployment writes a new certificate and dies before it writes the key. The
-// process has to go on with the pair it has.
+// Guards against files that are only partly replaced, as when a deployment fails after
+// it wrote the certificate and before it wrote the key. The process must continue with
+// the pair it has.
 func TestHalfWrittenFiles(t *testing.T) {
 	c, dir, other := newClock(), t.TempDir(), t.TempDir()
 	makeKeys(t, dir, c, "agent-1=agent@127.0.0.1", "entry-1=entry@127.0.0.1")
@@ -256,7 +260,7 @@
 			}
 			agent.Poll()
 			agent.Poll()
-			_, _, srvErr, cliErr := shake(t, agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, ""))
+			_, _, srvErr, cliErr := handshake(t, agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, ""))
 			assert.NilError(t, errors.Join(srvErr, cliErr))
 		})
 	}
@@ -279,7 +283,7 @@
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1,::1")
 	k := &certs.Keeper{Files: certs.Files{Cert: filesOf(dir, "entry-1").Cert, Key: filesOf(dir, "entry-1").Key}, Clock: c}
 	assert.NilError(t, k.Load())
-	_, cli, srvErr, cliErr := shake(t, k.Callers([]string{"http/1.1"}), &tls.Config{InsecureSkipVerify: true})
+	_, cli, srvErr, cliErr := handshake(t, k.Callers([]string{"http/1.1"}), &tls.Config{InsecureSkipVerify: true})
 	assert.NilError(t, errors.Join(srvErr, cliErr))
 	assert.NilError(t, cli.ConnectionState().PeerCertificates[0].VerifyHostname("127.0.0.1"))
 }
@@ -307,8 +311,8 @@
 	}
 }
 
-// FuzzParseHost: what is read as a host is a file name without a directory and
-// has an identity that reads the same in a certificate.
+// FuzzParseHost checks that the name of a parsed host is a file name without a directory,
+// and that its identity is unchanged when read from a certificate.
 func FuzzParseHost(f *testing.F) {
 	for _, text := range []string{"a=entry@127.0.0.1", "a-1=agent@::1,10.0.0.1", "=@", "a=operator@"} {
 		f.Add(text)
--- a/io/certs/errors.go
+++ b/io/certs/errors.go
@@ -2,33 +2,33 @@
 
 import "strconv"
 
-// Fault classes why a peer's certificate is not taken.
+// Fault is the reason why a peer's certificate is refused.
 type Fault string
 
 // Faults of peers' certificates.
 const (
-	// NoCertificate: the peer sent none.
+	// NoCertificate: the peer sent no certificate.
 	NoCertificate Fault = "no-certificate"
-	// BadChain: it was not issued by the authority of tls.ca.
+	// BadChain: the certificate was not issued by the authority in tls.ca.
 	BadChain Fault = "unknown-authority"
-	// OutOfDate: it is expired or not valid yet.
+	// OutOfDate: the certificate has expired or is not valid yet.
 	OutOfDate Fault = "out-of-date"
-	// NoIdentity: it does not name a role and a host.
+	// NoIdentity: the certificate does not name exactly one role and host.
 	NoIdentity Fault = "no-identity"
-	// WrongRole: its role may not do this.
+	// WrongRole: the role in the certificate is not permitted for this connection.
 	WrongRole Fault = "wrong-role"
-	// WrongHost: it belongs to another host than the one called.
+	// WrongHost: the certificate belongs to another host than the one called.
 	WrongHost Fault = "wrong-host"
 )
 
 // PeerError reports a peer that is refused for its certificate.
 type PeerError struct {
 	Fault Fault
-	// Peer is what its certificate names, if that could be read.
+	// Peer is the identity in the peer's certificate; zero if there is no valid one.
 	Peer Identity
-	// Remote is the peer's address; empty where it is not known.
+	// Remote is the peer's address; empty if it is not known.
 	Remote string
-	// Cause is the reason of a failed verification.
+	// Cause is the error of a failed verification of the chain; nil for other faults.
 	Cause error
 }
 
@@ -56,7 +56,7 @@
 // Error implements error.
 func (e *FileError) Error() string { return e.File + ": " + e.Reason }
 
-// HostError reports a text that is no NAME=ROLE@IP.
+// HostError reports a text that is not of the form NAME=ROLE@IP.
 type HostError struct {
 	Text   string
 	Reason string
--- a/io/certs/files.go
+++ b/io/certs/files.go
@@ -9,22 +9,23 @@
 	"github.com/samber/oops"
 )
 
-// Files names the files of one certificate and, between own processes, of the
-// authority that peers are checked against.
+// Files holds the file names of a certificate, of its key and, between own processes, of
+// the authority that peers' certificates are verified against.
 type Files struct {
 	CA   string
 	Cert string
 	Key  string
 }
 
-// texts are the contents of Files.
-type texts struct{ ca, cert, key []byte }
+// contents holds the contents of Files.
+type contents struct{ ca, cert, key []byte }
 
-func (t texts) equal(o texts) bool {
+func (t contents) equal(o contents) bool {
 	return bytes.Equal(t.ca, o.ca) && bytes.Equal(t.cert, o.cert) && bytes.Equal(t.key, o.key)
 }
 
-func (f Files) read() (t texts, err error) {
+// read reads the files that are named.
+func (f Files) read() (t contents, err error) {
 	for _, part := range []struct {
 		file string
 		to   *[]byte
@@ -34,28 +35,30 @@
 		}
 		*part.to, err = os.ReadFile(part.file)
 		if err != nil {
-			return texts{}, oops.In("certs").Wrapf(err, "read TLS file")
+			return contents{}, oops.In("certs").Wrapf(err, "read TLS file")
 		}
 	}
 	return t, nil
 }
 
-// material is a certificate ready for use.
-type material struct {
-	texts texts
-	cert  *tls.Certificate
-	leaf  *x509.Certificate
-	pool  *x509.CertPool
+// bundle holds the parsed files.
+type bundle struct {
+	contents contents
+	cert     *tls.Certificate
+	leaf     *x509.Certificate
+	// pool holds the authority; nil for a certificate that is used towards callers.
+	pool *x509.CertPool
 }
 
-// parse checks that the files fit together; self is what the certificate has to
-// name, or the zero Identity where it names none.
-func (f Files) parse(t texts, self Identity) (*material, error) {
+// parse parses the files and checks that they match each other. self is the identity
+// that the certificate must name. The zero Identity stands for a certificate that is
+// used towards callers, which need not name one.
+func (f Files) parse(t contents, self Identity) (*bundle, error) {
 	pair, err := tls.X509KeyPair(t.cert, t.key)
 	if err != nil {
 		return nil, oops.In("certs").With("cert", f.Cert, "key", f.Key).Wrapf(err, "read certificate and key")
 	}
-	m := &material{texts: t, cert: &pair, leaf: pair.Leaf}
+	m := &bundle{contents: t, cert: &pair, leaf: pair.Leaf}
 	if self == (Identity{}) {
 		return m, nil
 	}
--- a/io/certs/identity.go
+++ b/io/certs/identity.go
@@ -8,7 +8,8 @@
 	"radishwell/core"
 )
 
-// Role is what a certificate lets its holder do.
+// Role is the role of a certificate's holder, which decides which connections it may
+// make and accept.
 type Role string
 
 // Roles in certificates.
@@ -18,26 +19,26 @@
 	Operator Role = "operator"
 )
 
-// Roles lists all roles.
+// Roles returns all roles.
 func Roles() []Role { return []Role{Entry, Agent, Operator} }
 
 const uriScheme = "radishwell"
 
-// Identity is the role and host that a certificate names.
+// Identity is the role and host named in a certificate.
 type Identity struct {
 	Role Role
 	Host core.HostName
 }
 
-// String returns the identity as it stands in a certificate.
+// String returns the identity as the URI that is written to the certificate.
 func (i Identity) String() string { return i.url().String() }
 
 func (i Identity) url() *url.URL {
 	return &url.URL{Scheme: uriScheme, Host: string(i.Role), Path: "/" + string(i.Host)}
 }
 
-// IdentityOf returns what a certificate names; ok is false unless it names one
-// known role and one host, once.
+// IdentityOf returns the identity in a certificate. ok is false unless there is exactly
+// one, with a known role.
 func IdentityOf(cert *x509.Certificate) (id Identity, ok bool) {
 	for _, u := range cert.URIs {
 		if u.Scheme != uriScheme {
--- a/io/certs/keeper.go
+++ b/io/certs/keeper.go
@@ -9,33 +9,39 @@
 	"radishwell/io/events"
 )
 
-// Thresholds of the Keeper. A second between looks puts a change in force as
-// quickly as a catalogue edit and costs a few reads of small files. A week of
-// warning leaves time over a weekend and holidays.
 const (
-	pollEvery    = time.Second
+	// pollInterval puts changed files in use as quickly as a catalogue edit, at the
+	// cost of reading a few small files.
+	pollInterval = time.Second
+	// warnBefore is the time before expiry from which warnings are logged. A week
+	// leaves time over a weekend and holidays.
 	warnBefore   = 7 * 24 * time.Hour
 	warnInterval = 24 * time.Hour
 )
 
-// Keeper holds the newest usable version of a set of TLS files. Its fields are
-// set before Load.
+// Keeper holds the newest valid version of a set of TLS files. Its fields must be set
+// before Load.
 type Keeper struct {
 	Files Files
-	// Self is what the certificate has to name; the zero Identity for a
-	// certificate that is shown to callers.
+	// Self is the identity that the certificate must name. It is the zero Identity for
+	// a certificate that is used towards callers.
 	Self  Identity
 	Clock core.Clock
 
-	now atomic.Pointer[material]
-	// The rest belongs to Load and Run.
-	suspect  texts
+	// current is the version in use.
+	current atomic.Pointer[bundle]
+	// The fields below are used by Load, Run and Poll only.
+
+	// invalid holds the files found invalid at the last Poll.
+	invalid contents
+	// reported is set if the invalid files have been logged.
 	reported bool
-	warnAt   time.Time
+	// nextWarning is the earliest time of the next warning about expiry.
+	nextWarning time.Time
 }
 
-// Load reads the files for the first time. Its error means that they cannot be
-// used.
+// Load reads the files for the first time. It returns an error if they cannot be used.
+// It must succeed before any other method is called.
 func (k *Keeper) Load() error {
 	t, err := k.Files.read()
 	if err != nil {
@@ -49,10 +55,9 @@
 	return nil
 }
 
-// Run reads the files again when they change, until the context ends. It returns
-// nil then.
+// Run reads the files again when they change. It returns nil when ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -64,34 +69,35 @@
 	}
 }
 
-// Poll looks at the files once. Run calls it every second.
+// Poll checks the files once for changes. Run calls it every second.
 //
-// Files are replaced one after the other, so that a certificate may stand beside
-// the key of the one before for a moment. Such a state is not reported unless it
-// is there at two looks in a row.
+// Files are replaced one after the other, so a new certificate may briefly exist
+// together with the previous key. Such a state is reported only if two polls in a row
+// find it.
 func (k *Keeper) Poll() {
 	k.warn()
 	t, err := k.Files.read()
-	if err == nil && t.equal(k.now.Load().texts) {
-		k.suspect, k.reported = texts{}, false
+	if err == nil && t.equal(k.current.Load().contents) {
+		k.invalid, k.reported = contents{}, false
 		return
 	}
-	var m *material
+	var m *bundle
 	if err == nil {
 		m, err = k.Files.parse(t, k.Self)
 	}
 	if err != nil {
-		k.distrust(t, err)
+		k.rejectFiles(t, err)
 		return
 	}
-	k.suspect, k.reported = texts{}, false
+	k.invalid, k.reported = contents{}, false
 	k.use(m)
 }
 
-// distrust keeps the former files, and reports the new ones at the second look.
-func (k *Keeper) distrust(t texts, err error) {
-	if !k.suspect.equal(t) {
-		k.suspect, k.reported = t, false
+// rejectFiles handles changed files that are invalid: the previous ones stay in use. It
+// logs the error if the last poll found the same files.
+func (k *Keeper) rejectFiles(t contents, err error) {
+	if !k.invalid.equal(t) {
+		k.invalid, k.reported = t, false
 		return
 	}
 	if !k.reported {
@@ -100,20 +106,20 @@
 	}
 }
 
-func (k *Keeper) use(m *material) {
-	k.now.Store(m)
-	k.warnAt = time.Time{}
+func (k *Keeper) use(m *bundle) {
+	k.current.Store(m)
+	k.nextWarning = time.Time{}
 	events.Log(events.CertificateLoaded, "file", k.Files.Cert, "ends", m.leaf.NotAfter)
 	k.warn()
 }
 
-// warn reports a certificate that ends soon, once a day.
+// warn logs once a day that the certificate expires soon.
 func (k *Keeper) warn() {
 	now := k.Clock.Now()
-	ends := k.now.Load().leaf.NotAfter
-	if now.Before(ends.Add(-warnBefore)) || now.Before(k.warnAt) {
+	expiry := k.current.Load().leaf.NotAfter
+	if now.Before(expiry.Add(-warnBefore)) || now.Before(k.nextWarning) {
 		return
 	}
-	k.warnAt = now.Add(warnInterval)
-	events.Log(events.CertificateExpiring, "file", k.Files.Cert, "ends", ends)
+	k.nextWarning = now.Add(warnInterval)
+	events.Log(events.CertificateExpiring, "file", k.Files.Cert, "ends", expiry)
 }
--- a/io/certs/make.go
+++ b/io/certs/make.go
@@ -24,31 +24,34 @@
 	"radishwell/core"
 )
 
-// Lives of certificates. Hosts are replaced long before a year is over.
 const (
+	// authorityYears is the validity of an authority's certificate.
 	authorityYears = 10
-	hostYears      = 1
-	// clockSkew lets a certificate be used at once on hosts whose clock is behind.
+	// hostYears is the validity of a host's certificate. Hosts are replaced long before
+	// a year is over.
+	hostYears = 1
+	// clockSkew is how far certificates are backdated, so that hosts whose clock is
+	// slow accept them at once.
 	clockSkew = 5 * time.Minute
 	// serialBits is the length of the random serial numbers.
 	serialBits = 120
 )
 
-// Names of the authority's files in the directory; a host's are NAME.crt and
+// File names of the authority in the directory. Those of a host are NAME.crt and
 // NAME.key.
 const (
 	AuthorityCert = "ca.crt"
 	AuthorityKey  = "ca.key"
 )
 
-// Host is a process to make a certificate for.
+// Host describes a process for which a certificate is made.
 type Host struct {
 	Identity
-	// Addrs are the IP numbers under which callers reach an entry.
+	// Addrs are the IP numbers at which callers reach an entry.
 	Addrs []netip.Addr
 }
 
-// ParseHost reads NAME=ROLE@IP[,IP...]. Its error is a HostError.
+// ParseHost parses NAME=ROLE@IP[,IP...]. Its error is a HostError.
 func ParseHost(text string) (Host, error) {
 	name, rest, ok := strings.Cut(text, "=")
 	role, list, ok2 := strings.Cut(rest, "@")
@@ -56,7 +59,7 @@
 	switch {
 	case !ok || !ok2:
 		return Host{}, &HostError{text, "is not complete"}
-	case !goodHost(name):
+	case !validHost(name):
 		return Host{}, &HostError{text, "the name has to be lower-case letters, digits, '-', '.' or '_'"}
 	case !slices.Contains(Roles(), h.Role):
 		return Host{}, &HostError{text, "the role has to be entry, agent or operator"}
@@ -71,21 +74,22 @@
 	return h, nil
 }
 
-// goodHost keeps names of hosts, which become names of files, within a directory.
-func goodHost(name string) bool {
+// validHost reports whether a name is valid for a host. Since the name becomes that of
+// files, it must not lead out of the directory or collide with the authority's files.
+func validHost(name string) bool {
 	const letters = "abcdefghijklmnopqrstuvwxyz0123456789-._"
 	return name != "" && name != "ca" && name[0] != '.' && strings.Trim(name, letters) == ""
 }
 
-// Maker writes an authority and certificates of hosts into a directory. It is
-// meant for trials and for fleets without an authority of their own.
+// Maker creates an authority and certificates of hosts in a directory. It is meant for
+// tests and for fleets without an authority of their own.
 type Maker struct {
 	Dir   string
 	Clock core.Clock
 }
 
-// Make writes a certificate and key for each host. An authority that is in the
-// directory already is used again, so that hosts can be added later.
+// Make writes a certificate and key for each host. It uses the authority in the directory
+// if there is one, so that hosts can be added later.
 func (m Maker) Make(hosts ...Host) error {
 	if err := os.MkdirAll(m.Dir, 0o755); err != nil {
 		return oops.In("certs").Wrapf(err, "make directory")
@@ -102,7 +106,7 @@
 	return nil
 }
 
-// issuer is an authority with its key.
+// issuer is the certificate of an authority with its key.
 type issuer struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -163,7 +167,7 @@
 	return m.write(string(h.Host), template, &ca)
 }
 
-// ipsOf turns addresses into the form that the x509 package takes.
+// ipsOf converts addresses to the type that the x509 package uses.
 func ipsOf(addrs []netip.Addr) []net.IP {
 	ips := make([]net.IP, len(addrs))
 	for i, a := range addrs {
@@ -172,8 +176,8 @@
 	return ips
 }
 
-// write makes a key, signs its certificate by the issuer, or by itself where
-// there is none, and writes both.
+// write generates a key, signs its certificate with the issuer's key, or with the new key
+// if ca is nil, and writes both files.
 func (m Maker) write(name string, template *x509.Certificate, ca *issuer) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -190,24 +194,24 @@
 	if err != nil {
 		return oops.In("certs").Wrapf(err, "sign certificate")
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return oops.In("certs").Wrapf(err, "encode key")
 	}
-	if err := m.file(name+".key", "PRIVATE KEY", secret, 0o600); err != nil {
+	if err := m.file(name+".key", "PRIVATE KEY", keyDER, 0o600); err != nil {
 		return err
 	}
 	return m.file(name+".crt", "CERTIFICATE", der, 0o644)
 }
 
-// file replaces a file in one step, so that a process which reads it again never
-// meets half of it.
+// file replaces a file atomically, so that a process that reads it never finds it
+// incomplete.
 func (m Maker) file(name, kind string, der []byte, mode fs.FileMode) error {
 	path := filepath.Join(m.Dir, name)
-	fresh := path + ".new"
+	temp := path + ".new"
 	text := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
-	if err := os.WriteFile(fresh, text, mode); err != nil {
+	if err := os.WriteFile(temp, text, mode); err != nil {
 		return oops.In("certs").Wrapf(err, "write TLS file")
 	}
-	return oops.In("certs").Wrapf(os.Rename(fresh, path), "put TLS file in place")
+	return oops.In("certs").Wrapf(os.Rename(temp, path), "put TLS file in place")
 }
--- a/io/certs/verify.go
+++ b/io/certs/verify.go
@@ -11,67 +11,66 @@
 	"radishwell/io/events"
 )
 
-// Server returns the configuration of a listener that takes own processes of the
-// given roles only. Protocols are those of ALPN, the preferred first. Refusals
-// are logged.
+// Server returns the configuration of a listener that accepts own processes of the given
+// roles only. protocols are those for ALPN, the preferred one first. Refusals are logged.
 func (k *Keeper) Server(protocols []string, roles ...Role) *tls.Config {
 	base := &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
-		// VerifyConnection does all checks, so that a peer without a certificate
-		// or with one of another authority is logged like any other.
+		// VerifyConnection makes all checks, so that peers without a certificate or
+		// with one of another authority are logged like any other.
 		ClientAuth:             tls.RequestClientCert,
 		SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return k.now.Load().cert, nil
+			return k.current.Load().cert, nil
 		},
 	}
 	base.GetConfigForClient = func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
 		remote := hello.Conn.RemoteAddr().String()
-		one := base.Clone()
-		one.GetConfigForClient = nil
-		one.VerifyConnection = func(state tls.ConnectionState) error {
-			return k.verify(state, remote, wanted{roles: roles, usage: x509.ExtKeyUsageClientAuth})
+		conf := base.Clone()
+		conf.GetConfigForClient = nil
+		conf.VerifyConnection = func(state tls.ConnectionState) error {
+			return k.verify(state, remote, requirement{roles: roles, usage: x509.ExtKeyUsageClientAuth})
 		}
-		return one, nil
+		return conf, nil
 	}
-	// Without GetConfigForClient's clone nothing is let in.
+	// A connection that does not use the clone from GetConfigForClient is refused.
 	base.VerifyConnection = func(tls.ConnectionState) error { return &PeerError{Fault: NoCertificate} }
 	return base
 }
 
-// Client returns the configuration for calls to a process of a role; an empty
-// host is any. Refusals are logged.
+// Client returns the configuration for calls to a process of a role on a host; an empty
+// host means any. protocols are those for ALPN. Refusals are logged.
 func (k *Keeper) Client(protocols []string, role Role, host core.HostName) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
-		// The library would check host names, which own certificates do not hold.
-		// VerifyConnection checks authority, dates, role and host instead.
+		// The library would check DNS names, which certificates of own processes do not
+		// contain. VerifyConnection checks authority, dates, role and host instead.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return k.now.Load().cert, nil
+			return k.current.Load().cert, nil
 		},
 		VerifyConnection: func(state tls.ConnectionState) error {
-			return k.verify(state, "", wanted{roles: []Role{role}, host: host, usage: x509.ExtKeyUsageServerAuth})
+			return k.verify(state, "", requirement{roles: []Role{role}, host: host, usage: x509.ExtKeyUsageServerAuth})
 		},
 	}
 }
 
-// Callers returns the configuration of a listener for callers, who need no
-// certificate. The Keeper's Self is the zero Identity.
+// Callers returns the configuration of a listener for callers, which need no
+// certificate. It is for a Keeper whose Self is the zero Identity.
 func (k *Keeper) Callers(protocols []string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: protocols,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return k.now.Load().cert, nil
+			return k.current.Load().cert, nil
 		},
 	}
 }
 
-// PeerOf returns who is at the other end of a connection that Server or Client
-// has verified.
+// PeerOf returns the identity of the peer of a connection that was verified by the
+// configuration of Server, Client or AnyClient.
 func PeerOf(state tls.ConnectionState) (Identity, bool) {
 	if len(state.PeerCertificates) == 0 {
 		return Identity{}, false
@@ -79,18 +78,19 @@
 	return IdentityOf(state.PeerCertificates[0])
 }
 
-// wanted is what a peer's certificate has to be good for.
-type wanted struct {
+// requirement is what a peer's certificate must satisfy.
+type requirement struct {
 	roles []Role
-	// host is empty where any host will do.
+	// host is empty if any host is accepted.
 	host  core.HostName
 	usage x509.ExtKeyUsage
 }
 
-// verify refuses and logs a peer that is not what is wanted. The remote address is
-// known to listeners only; a dialler logs which role and host it wanted.
-func (k *Keeper) verify(state tls.ConnectionState, remote string, w wanted) error {
-	err := k.inspect(state, w)
+// verify returns an error for a peer that does not meet the requirement, and logs the
+// refusal. Only listeners know the remote address; for diallers, the log shows the
+// expected role and host.
+func (k *Keeper) verify(state tls.ConnectionState, remote string, w requirement) error {
+	err := k.check(state, w)
 	if err == nil {
 		return nil
 	}
@@ -106,17 +106,17 @@
 	return err
 }
 
-// inspect returns why a peer is refused, or nil.
-func (k *Keeper) inspect(state tls.ConnectionState, w wanted) *PeerError {
+// check returns the reason why a peer is refused, or nil if it is accepted.
+func (k *Keeper) check(state tls.ConnectionState, w requirement) *PeerError {
 	if len(state.PeerCertificates) == 0 {
 		return &PeerError{Fault: NoCertificate}
 	}
-	id, named := IdentityOf(state.PeerCertificates[0])
-	if err := k.chain(state.PeerCertificates, w.usage); err != nil {
+	id, hasIdentity := IdentityOf(state.PeerCertificates[0])
+	if err := k.verifyChain(state.PeerCertificates, w.usage); err != nil {
 		return &PeerError{Fault: faultOf(err), Peer: id, Cause: err}
 	}
 	switch {
-	case !named:
+	case !hasIdentity:
 		return &PeerError{Fault: NoIdentity}
 	case !slices.Contains(w.roles, id.Role):
 		return &PeerError{Fault: WrongRole, Peer: id}
@@ -126,14 +126,15 @@
 	return nil
 }
 
-func (k *Keeper) chain(certs []*x509.Certificate, usage x509.ExtKeyUsage) error {
-	between := x509.NewCertPool()
+// verifyChain verifies the chain of a peer's certificate and its dates.
+func (k *Keeper) verifyChain(certs []*x509.Certificate, usage x509.ExtKeyUsage) error {
+	intermediates := x509.NewCertPool()
 	for _, c := range certs[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := certs[0].Verify(x509.VerifyOptions{
-		Roots:         k.now.Load().pool,
-		Intermediates: between,
+		Roots:         k.current.Load().pool,
+		Intermediates: intermediates,
 		CurrentTime:   k.Clock.Now(),
 		KeyUsages:     []x509.ExtKeyUsage{usage},
 	})
