--- a/io/objapi/call.go
+++ b/io/objapi/call.go
@@ -18,8 +18,8 @@
 	"radishwell/io/steady"
 )
 
-// Limits of one call. A slow platform is still worth waiting for, so the
-// deadlines are long; silent connections are found sooner by the transport.
+// Limits of one call. The timeouts are long, because an answer from a slow platform is
+// still useful; the transport detects silent connections sooner.
 const (
 	callTimeout  = 5 * time.Second
 	listTimeout  = 15 * time.Second
@@ -29,31 +29,36 @@
 	maxDoublings = 10
 )
 
-// call is one call of the object API.
-type call struct {
+// operation is one call of the object API.
+type operation struct {
+	// verb is the HTTP method.
 	verb string
 	kind core.Kind
 	name string
-	sub  string
-	// read tells that the call changes nothing, so that it may be repeated.
+	// subresource is appended to the path, as in "/status".
+	subresource string
+	// read is set if the call changes nothing, so that it may always be repeated.
 	read bool
-	// body is sent as JSON where not nil; into takes the answer's.
+	// body is sent as JSON unless it is nil.
 	body any
+	// into receives the decoded body of the answer unless it is nil.
 	into any
 }
 
-func (c *Client) call(ctx context.Context, what *call) error {
+// call makes a call and repeats it with backoff if that is safe and can help. Its error
+// is a core.PlatformError.
+func (c *Client) call(ctx context.Context, op *operation) error {
 	c.init()
 	timeout := callTimeout
-	if what.read && what.name == "" {
+	if op.read && op.name == "" {
 		timeout = listTimeout
 	}
 	for n := 0; ; n++ {
-		failed := c.attempt(ctx, what, timeout)
+		failed := c.attempt(ctx, op, timeout)
 		if failed == nil {
 			return nil
 		}
-		if n+1 >= maxAttempts || !what.repeatable(failed) || !loop.Sleep(ctx, backoff(n)) {
+		if n+1 >= maxAttempts || !op.repeatable(failed) || !loop.Sleep(ctx, backoff(n)) {
 			return failed
 		}
 		if c.OnRetry != nil {
@@ -62,49 +67,50 @@
 	}
 }
 
-// repeatable tells whether another attempt does no harm and can help. A write
-// is repeated only if it certainly had no effect.
-func (what *call) repeatable(failed *core.PlatformError) bool {
+// repeatable reports whether another attempt is safe and can help. A write is repeated
+// only if it certainly had no effect.
+func (op *operation) repeatable(failed *core.PlatformError) bool {
 	switch failed.Fault {
 	case core.Unavailable:
 		return !errors.Is(failed, &BudgetError{})
 	case core.Unknown:
-		return what.read
+		return op.read
 	default:
 		return false
 	}
 }
 
-func (c *Client) attempt(ctx context.Context, what *call, timeout time.Duration) *core.PlatformError {
-	if err := c.spend(ctx, what.read); err != nil {
-		return what.fail(core.Unavailable, err)
+// attempt makes a call once.
+func (c *Client) attempt(ctx context.Context, op *operation, timeout time.Duration) *core.PlatformError {
+	if err := c.awaitBudget(ctx, op.read); err != nil {
+		return op.fail(core.Unavailable, err)
 	}
 	answer := steady.Start(ctx, timeout)
 	defer answer.Stop()
-	resp, failed := c.send(answer.Context, what, nil)
+	resp, failed := c.send(answer.Context, op, nil)
 	if failed != nil {
 		return failed
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusBadRequest {
-		return what.refused(resp)
+		return op.statusError(resp)
 	}
 	data, err := answer.ReadAll(resp.Body, callTimeout)
 	if err != nil {
-		return what.fail(core.Unknown, err)
+		return op.fail(core.Unknown, err)
 	}
-	if what.into == nil {
+	if op.into == nil {
 		return nil
 	}
-	if err := json.Unmarshal(data, what.into); err != nil {
-		return what.fail(core.Unknown, err)
+	if err := json.Unmarshal(data, op.into); err != nil {
+		return op.fail(core.Unknown, err)
 	}
 	return nil
 }
 
-// spend waits for the budget. A wait that ctx does not allow is refused at
-// once, so that no call is sent.
-func (c *Client) spend(ctx context.Context, read bool) error {
+// awaitBudget waits until the budget allows a call. If that would be after the deadline
+// of ctx, it fails at once with a BudgetError, and no call is sent.
+func (c *Client) awaitBudget(ctx context.Context, read bool) error {
 	limiter := c.writes
 	if read {
 		limiter = c.reads
@@ -120,22 +126,23 @@
 	return &BudgetError{PerSecond: float64(limiter.Limit())}
 }
 
-// send sends a request and returns the answer's head. Its errors are Unavailable
-// where no connection was made and so nothing can have been sent.
-func (c *Client) send(ctx context.Context, what *call, query url.Values) (*http.Response, *core.PlatformError) {
+// send sends a request and returns the head of the answer. The fault of its error is
+// Unavailable if there was no connection, so that nothing was sent, and Unknown if there
+// was one.
+func (c *Client) send(ctx context.Context, op *operation, query url.Values) (*http.Response, *core.PlatformError) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	var body io.Reader
-	if what.body != nil {
-		data, err := json.Marshal(what.body)
+	if op.body != nil {
+		data, err := json.Marshal(op.body)
 		if err != nil {
-			return nil, what.fail(core.Invalid, err)
+			return nil, op.fail(core.Invalid, err)
 		}
 		body = bytes.NewReader(data)
 	}
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), what.verb, c.url(what, query), body)
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), op.verb, c.url(op, query), body)
 	if err != nil {
-		return nil, what.fail(core.Invalid, err)
+		return nil, op.fail(core.Invalid, err)
 	}
 	req.Header.Set("Accept", "application/json")
 	if body != nil {
@@ -149,15 +156,15 @@
 	case err == nil:
 		return resp, nil
 	case connected:
-		return nil, what.fail(core.Unknown, err)
+		return nil, op.fail(core.Unknown, err)
 	}
-	return nil, what.fail(core.Unavailable, err)
+	return nil, op.fail(core.Unavailable, err)
 }
 
-func (c *Client) url(what *call, query url.Values) string {
-	u := c.base + url.PathEscape(string(what.kind))
-	if what.name != "" && what.verb != http.MethodPost {
-		u += "/" + url.PathEscape(what.name) + what.sub
+func (c *Client) url(op *operation, query url.Values) string {
+	u := c.base + url.PathEscape(string(op.kind))
+	if op.name != "" && op.verb != http.MethodPost {
+		u += "/" + url.PathEscape(op.name) + op.subresource
 	}
 	if query != nil {
 		u += "?" + query.Encode()
--- a/io/objapi/client.go
+++ b/io/objapi/client.go
@@ -14,10 +14,10 @@
 	"radishwell/core"
 )
 
-// Budgets of one process where none are set. The platform takes about 2,000
-// reads and several hundred writes a second from the whole fleet; at rest a
-// process makes less than one call a second, so these only bound a process
-// that has gone wrong. The bursts let it list all kinds at start.
+// Default budgets of one process, in calls per second. The platform can handle about
+// 2,000 reads and several hundred writes a second from the whole fleet. An idle process
+// makes less than one call a second, so that the budgets only bound a process that
+// malfunctions. The bursts allow a process to list all kinds at the start.
 const (
 	defaultReads      = 20
 	defaultReadBurst  = 40
@@ -25,11 +25,12 @@
 	defaultWriteBurst = 40
 )
 
-// defaultSilence is three missed bookmarks of one a second and a little more.
-const defaultSilence = 4 * time.Second
+// defaultWatchSilence is a little more than the time of three missed bookmarks, of which
+// the platform sends one a second.
+const defaultWatchSilence = 4 * time.Second
 
-// Budget bounds the rate of calls: PerSecond on average, Burst at once after a
-// pause. The zero Budget stands for the package's default.
+// Budget bounds the rate of calls: PerSecond on average, and Burst at once after a pause.
+// The zero Budget stands for the default of the package.
 type Budget struct {
 	PerSecond float64
 	Burst     int
@@ -42,24 +43,24 @@
 	return rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
-// Client implements core.Platform. Its exported fields are set before first
-// use. It may be used from several goroutines.
+// Client implements core.Platform. Its exported fields must be set before first use. It
+// is safe for concurrent use.
 type Client struct {
-	// Address is where the platform listens.
+	// Address is the address of the object API.
 	Address netip.AddrPort
 	// TLS is the configuration of TLS connections; nil for plain HTTP.
 	TLS *tls.Config
-	// Token is sent as a bearer token, if not empty. TokenSource, if set, gives
-	// the newest one at each call instead.
+	// Token is sent as a bearer token unless it is empty. If TokenSource is set, it
+	// returns the token for each call instead.
 	Token       string
 	TokenSource func() string
-	// Reads bounds list, get and the start of watches; Writes the rest.
+	// Reads bounds list, get and the start of watches; Writes bounds all other calls.
 	Reads, Writes Budget
-	// WatchSilence is for how long a watch may bring neither a change nor a
-	// bookmark before it is taken for dead; zero stands for four seconds. It
-	// must be longer than the platform's period of bookmarks.
+	// WatchSilence is the time after which a watch without a change or bookmark is
+	// considered dead; zero stands for four seconds. It must be longer than the
+	// platform's interval between bookmarks.
 	WatchSilence time.Duration
-	// OnRetry, if set, is told of each call that is about to be repeated.
+	// OnRetry, if set, is called with the error of each call that is about to be repeated.
 	OnRetry func(*core.PlatformError)
 
 	once   sync.Once
@@ -90,7 +91,7 @@
 	c.reads = c.Reads.limiter(defaultReads, defaultReadBurst)
 	c.writes = c.Writes.limiter(defaultWrites, defaultWriteBurst)
 	if c.WatchSilence <= 0 {
-		c.WatchSilence = defaultSilence
+		c.WatchSilence = defaultWatchSilence
 	}
 }
 
@@ -103,7 +104,7 @@
 // List implements core.Platform.
 func (c *Client) List(ctx context.Context, kind core.Kind) (core.Listing, error) {
 	var body listJSON
-	err := c.call(ctx, &call{verb: http.MethodGet, kind: kind, read: true, into: &body})
+	err := c.call(ctx, &operation{verb: http.MethodGet, kind: kind, read: true, into: &body})
 	if err != nil {
 		return core.Listing{}, err
 	}
@@ -112,30 +113,30 @@
 
 // Get implements core.Platform.
 func (c *Client) Get(ctx context.Context, kind core.Kind, name string) (core.Object, error) {
-	return c.object(ctx, &call{verb: http.MethodGet, kind: kind, name: name, read: true})
+	return c.object(ctx, &operation{verb: http.MethodGet, kind: kind, name: name, read: true})
 }
 
 // Create implements core.Platform.
 func (c *Client) Create(ctx context.Context, o core.Object) (core.Object, error) {
 	o.UID = ""
 	o.Version = 0
-	return c.object(ctx, &call{verb: http.MethodPost, kind: o.Kind, name: o.Name, body: fromObject(o)})
+	return c.object(ctx, &operation{verb: http.MethodPost, kind: o.Kind, name: o.Name, body: fromObject(o)})
 }
 
 // Update implements core.Platform.
 func (c *Client) Update(ctx context.Context, o core.Object) (core.Object, error) {
 	o.Status = nil
-	return c.object(ctx, &call{verb: http.MethodPut, kind: o.Kind, name: o.Name, body: fromObject(o)})
+	return c.object(ctx, &operation{verb: http.MethodPut, kind: o.Kind, name: o.Name, body: fromObject(o)})
 }
 
 // UpdateStatus implements core.Platform.
 func (c *Client) UpdateStatus(ctx context.Context, o core.Object) (core.Object, error) {
-	return c.object(ctx, &call{
-		verb: http.MethodPut,
-		kind: o.Kind,
-		name: o.Name,
-		sub:  "/status",
-		body: fromObject(o),
+	return c.object(ctx, &operation{
+		verb:        http.MethodPut,
+		kind:        o.Kind,
+		name:        o.Name,
+		subresource: "/status",
+		body:        fromObject(o),
 	})
 }
 
@@ -143,20 +144,21 @@
 func (c *Client) Delete(ctx context.Context, kind core.Kind, name string, version core.Version) error {
 	var options deleteJSON
 	options.Preconditions.ResourceVersion = versionText(version)
-	return c.call(ctx, &call{verb: http.MethodDelete, kind: kind, name: name, body: options})
+	return c.call(ctx, &operation{verb: http.MethodDelete, kind: kind, name: name, body: options})
 }
 
-func (c *Client) object(ctx context.Context, what *call) (core.Object, error) {
+// object makes a call whose answer is an object.
+func (c *Client) object(ctx context.Context, op *operation) (core.Object, error) {
 	var body objectJSON
-	what.into = &body
-	if err := c.call(ctx, what); err != nil {
+	op.into = &body
+	if err := c.call(ctx, op); err != nil {
 		return core.Object{}, err
 	}
-	return body.object(what.kind)
+	return body.object(op.kind)
 }
 
-// backoff returns how long to wait before attempt n+1: exponential with full
-// jitter, so that a fleet that failed together does not come back together.
+// backoff returns the wait before attempt n+1. It is exponential with full jitter, so
+// that processes whose calls failed at the same time do not repeat them at the same time.
 func backoff(n int) time.Duration {
 	limit := min(firstBackoff<<min(n, maxDoublings), maxBackoff)
 	return time.Duration(rand.Int64N(int64(limit)) + 1)
--- a/io/objapi/client_test.go
+++ b/io/objapi/client_test.go
@@ -16,7 +16,7 @@
 	"radishwell/io/fakes/apisrv"
 )
 
-// platform is a stand-in and a client of it.
+// platform is a fake of the platform with a client for it.
 type platform struct {
 	*Client
 	srv *apisrv.Server
@@ -38,7 +38,7 @@
 	return core.Object{Kind: core.KindModel, Name: name, Spec: []byte(spec)}
 }
 
-// assertFault checks that err is a PlatformError of a fault.
+// assertFault checks that err is a PlatformError with a fault.
 func assertFault(t *testing.T, err error, want core.PlatformFault) {
 	t.Helper()
 	var failed *core.PlatformError
@@ -191,10 +191,10 @@
 	})
 }
 
-// TestSilentWatch: an operator's edit does not come into force at one entry.
-// Its watch had been set up long ago; a middlebox forgot the connection, so
-// that neither changes nor an error arrive. Calls on new connections work. The
-// client must end the watch, so that its owner starts another.
+// TestSilentWatch guards against an entry that misses catalogue edits because a middlebox
+// lost the state of its watch's connection: neither changes nor an error arrive, while
+// calls on new connections succeed. The client must end the watch, so that its owner can
+// start another one.
 func TestSilentWatch(t *testing.T) {
 	p := start(t, &apisrv.Server{})
 	p.WatchSilence = 100 * time.Millisecond
--- a/io/objapi/settle_test.go
+++ b/io/objapi/cond_test.go
@@ -10,16 +10,16 @@
 	"radishwell/io/fakes/apisrv"
 )
 
-// lossy is a platform whose writes meet scripted faults, one a write.
+// lossy is a platform on whose writes scripted faults are injected, one for each write.
 type lossy struct {
 	*Client
 	faults []fault
 	writes int
-	// held is a write that is still on its way.
-	held func() (core.Object, error)
+	// delayedWrite is a write that has not arrived yet.
+	delayedWrite func() (core.Object, error)
 }
 
-// fault is what happens to one write.
+// fault is a fault injected on one write.
 type fault uint8
 
 const (
@@ -30,11 +30,11 @@
 	requestLost
 	// delayed: the write arrives just before the next one.
 	delayed
-	// overtaken: the write takes effect, its answer is lost, and another
-	// writer follows it.
-	overtaken
-	// forestalled: another writer comes first, and the answer is lost.
-	forestalled
+	// rivalAfter: the write takes effect, its answer is lost, and another writer
+	// writes after it.
+	rivalAfter
+	// rivalBefore: another writer writes first, and the answer is lost.
+	rivalBefore
 )
 
 func (l *lossy) write(o core.Object, send func() (core.Object, error)) (core.Object, error) {
@@ -43,22 +43,22 @@
 		f = l.faults[l.writes]
 	}
 	l.writes++
-	if l.held != nil {
-		_, _ = l.held()
-		l.held = nil
+	if l.delayedWrite != nil {
+		_, _ = l.delayedWrite()
+		l.delayedWrite = nil
 	}
 	unknown := &core.PlatformError{Fault: core.Unknown, Kind: o.Kind, Name: o.Name}
 	switch f {
 	case none:
 		return send()
 	case delayed:
-		l.held = send
+		l.delayedWrite = send
 	case requestLost:
 		return core.Object{}, unknown
-	case forestalled:
+	case rivalBefore:
 		l.rival(o)
 		_, _ = send()
-	case overtaken:
+	case rivalAfter:
 		_, _ = send()
 		l.rival(o)
 	case answerLost:
@@ -67,7 +67,7 @@
 	return core.Object{}, unknown
 }
 
-// rival writes another spec over whatever is there.
+// rival writes another spec, whether or not the object exists.
 func (l *lossy) rival(o core.Object) {
 	got, err := l.Get(context.Background(), o.Kind, o.Name)
 	o.Spec = []byte(`{"writer":"rival"}`)
@@ -94,16 +94,16 @@
 	return err
 }
 
-// settled is what a settled write must end in.
-type settled struct {
+// writeCase is the expected result of a conditional write under injected faults.
+type writeCase struct {
 	name   string
 	faults []fault
-	// failed tells that the write must fail with fault.
+	// failed is set if the write must fail with fault.
 	failed bool
 	fault  core.PlatformFault
-	// spec is what the platform must hold in the end; writes how often the
-	// write may have been sent.
-	spec   string
+	// spec is the spec that the platform must hold in the end.
+	spec string
+	// writes is the number of times that the write must be sent.
 	writes int
 }
 
@@ -113,19 +113,19 @@
 	before = `{"writer":"nobody"}`
 )
 
-// TestSettleUpdate: an entry writes its lease; the platform commits it and the
-// answer is lost. The entry must find out that it holds the lease, neither
-// giving it up nor holding it beside a rival.
-func TestSettleUpdate(t *testing.T) {
-	cases := []settled{
+// TestConditionalUpdate guards against an entry that misjudges whether it holds its lease after
+// the platform committed the write and the answer was lost. The entry must neither give
+// the lease up nor hold it together with a rival.
+func TestConditionalUpdate(t *testing.T) {
+	cases := []writeCase{
 		{name: "answered", spec: ours, writes: 1},
 		{name: "answer lost", faults: []fault{answerLost}, spec: ours, writes: 1},
 		{name: "request lost", faults: []fault{requestLost}, spec: ours, writes: 2},
 		{name: "request lost, then answer lost", faults: []fault{requestLost, answerLost}, spec: ours, writes: 2},
 		{name: "request delayed", faults: []fault{delayed}, spec: ours, writes: 2},
-		{name: "a rival came first", faults: []fault{forestalled}, failed: true, fault: core.Conflict, spec: theirs, writes: 1},
-		{name: "a rival came after", faults: []fault{overtaken}, failed: true, fault: core.Conflict, spec: theirs, writes: 1},
-		{name: "request lost, then a rival", faults: []fault{requestLost, forestalled}, failed: true, fault: core.Conflict, spec: theirs, writes: 2},
+		{name: "a rival came first", faults: []fault{rivalBefore}, failed: true, fault: core.Conflict, spec: theirs, writes: 1},
+		{name: "a rival came after", faults: []fault{rivalAfter}, failed: true, fault: core.Conflict, spec: theirs, writes: 1},
+		{name: "request lost, then a rival", faults: []fault{requestLost, rivalBefore}, failed: true, fault: core.Conflict, spec: theirs, writes: 2},
 		{name: "never arrives", faults: []fault{requestLost, requestLost, requestLost}, failed: true, fault: core.Unknown, spec: before, writes: 3},
 	}
 	for _, c := range cases {
@@ -135,38 +135,38 @@
 			o, err := l.Get(context.Background(), core.KindModel, "lease")
 			assert.NilError(t, err)
 			o.Spec = []byte(ours)
-			got, err := Settler{Platform: l}.Update(context.Background(), o, nil)
+			got, err := ConditionalWriter{Platform: l}.Update(context.Background(), o, nil)
 			c.check(t, p, l, "lease", got, err)
 		})
 	}
 }
 
-func TestSettleCreate(t *testing.T) {
-	cases := []settled{
+func TestConditionalCreate(t *testing.T) {
+	cases := []writeCase{
 		{name: "answered", spec: ours, writes: 1},
 		{name: "answer lost", faults: []fault{answerLost}, spec: ours, writes: 1},
 		{name: "request lost", faults: []fault{requestLost}, spec: ours, writes: 2},
 		{name: "request delayed", faults: []fault{delayed}, spec: ours, writes: 2},
-		{name: "a rival came first", faults: []fault{forestalled}, failed: true, fault: core.Exists, spec: theirs, writes: 1},
+		{name: "a rival came first", faults: []fault{rivalBefore}, failed: true, fault: core.Exists, spec: theirs, writes: 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := start(t, &apisrv.Server{})
 			l := &lossy{Client: p.Client, faults: c.faults}
-			got, err := Settler{Platform: l}.Create(context.Background(), model("lease", ours), nil)
+			got, err := ConditionalWriter{Platform: l}.Create(context.Background(), model("lease", ours), nil)
 			c.check(t, p, l, "lease", got, err)
 		})
 	}
 }
 
-func TestSettleDelete(t *testing.T) {
-	cases := []settled{
+func TestConditionalDelete(t *testing.T) {
+	cases := []writeCase{
 		{name: "answered", writes: 1},
 		{name: "answer lost", faults: []fault{answerLost}, writes: 1},
 		{name: "request lost", faults: []fault{requestLost}, writes: 2},
 		{name: "request delayed", faults: []fault{delayed}, writes: 2},
-		{name: "a rival came first", faults: []fault{forestalled}, failed: true, fault: core.Conflict, spec: theirs, writes: 1},
-		{name: "created anew after", faults: []fault{overtaken}, spec: theirs, writes: 1},
+		{name: "a rival came first", faults: []fault{rivalBefore}, failed: true, fault: core.Conflict, spec: theirs, writes: 1},
+		{name: "created anew after", faults: []fault{rivalAfter}, spec: theirs, writes: 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -174,14 +174,14 @@
 			l := &lossy{Client: p.Client, faults: c.faults}
 			o, err := l.Get(context.Background(), core.KindModel, "lease")
 			assert.NilError(t, err)
-			err = Settler{Platform: l}.Delete(context.Background(), o)
+			err = ConditionalWriter{Platform: l}.Delete(context.Background(), o)
 			c.check(t, p, l, "lease", core.Object{}, err)
 		})
 	}
 }
 
-// check compares the end of a settled write with what it must be.
-func (c settled) check(t *testing.T, p *platform, l *lossy, name string, got core.Object, err error) {
+// check compares the result of a conditional write with the expected one.
+func (c writeCase) check(t *testing.T, p *platform, l *lossy, name string, got core.Object, err error) {
 	t.Helper()
 	assert.Equal(t, l.writes, c.writes)
 	if c.failed {
@@ -201,15 +201,15 @@
 	}
 }
 
-// TestSettleStatus: the answer to an operator-visible status is lost; it must
-// be found applied without a second write.
-func TestSettleStatus(t *testing.T) {
+// TestConditionalStatus guards against a second write of a status whose answer was lost. The
+// status must be found applied by reading it back.
+func TestConditionalStatus(t *testing.T) {
 	p := start(t, &apisrv.Server{Seed: []core.Object{model("qalam", before)}})
 	o, err := p.Get(context.Background(), core.KindModel, "qalam")
 	assert.NilError(t, err)
 	o.Status = []byte(`{"accepted":false}`)
 	p.srv.SetFaults(apisrv.Faults{LoseAnswers: 1})
-	got, err := Settler{Platform: p.Client}.UpdateStatus(context.Background(), o, nil)
+	got, err := ConditionalWriter{Platform: p.Client}.UpdateStatus(context.Background(), o, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, string(got.Status), `{"accepted":false}`)
 	assert.Equal(t, p.srv.Calls()["update-status"], 1)
--- a/io/objapi/doc.go
+++ b/io/objapi/doc.go
@@ -1,9 +1,8 @@
-// Package objapi is the client of the platform's object API: the Kubernetes
-// resource conventions as JSON over HTTP, behind core.Platform. Another
-// protocol would be one more package like it.
+// Package objapi implements core.Platform as a client of the platform's object API,
+// which follows the Kubernetes resource conventions with JSON over HTTP. A client for
+// another protocol would be a package of its own.
 //
-// It keeps a budget on the rate of its calls, repeats what is safe to repeat,
-// finds connections that have gone silent, and never repeats a write whose
-// answer was lost. A Settler finds out by reading back what became of such a
-// write.
+// The client limits the rate of its calls, repeats calls that are safe to repeat,
+// detects silent connections, and never repeats a write whose answer was lost. A
+// ConditionalWriter reads the object back to determine the state of such a write.
 package objapi
--- a/io/objapi/fault.go
+++ b/io/objapi/fault.go
@@ -9,11 +9,11 @@
 	"radishwell/core"
 )
 
-// maxStatus bounds how much of a failed answer is read.
-const maxStatus = 64 << 10
+// maxStatusBytes bounds how much of the body of an error answer is read.
+const maxStatusBytes = 64 << 10
 
-// BudgetError says that a call was not sent because the budget did not allow
-// it before the caller's deadline.
+// BudgetError reports that a call was not sent, because the budget did not allow it
+// before the caller's deadline.
 type BudgetError struct{ PerSecond float64 }
 
 // Error implements error.
@@ -21,13 +21,13 @@
 	return "over the budget of " + strconv.FormatFloat(e.PerSecond, 'g', 4, 64) + " calls a second"
 }
 
-// Is implements errors.Is: all budget errors are the same.
+// Is makes errors.Is match any BudgetError.
 func (e *BudgetError) Is(target error) bool {
 	_, ok := target.(*BudgetError)
 	return ok
 }
 
-// StatusError is an answer with an HTTP status that means failure.
+// StatusError reports an answer with an HTTP error status, or an error event of a watch.
 type StatusError struct {
 	Status  int
 	Reason  string
@@ -39,40 +39,41 @@
 	return "status " + strconv.Itoa(e.Status) + " " + e.Reason + ": " + e.Message
 }
 
-// FormatError says that an answer does not follow the protocol.
-type FormatError struct{ What string }
+// FormatError reports an answer that violates the protocol.
+type FormatError struct{ Detail string }
 
 // Error implements error.
-func (e *FormatError) Error() string { return "malformed answer: " + e.What }
+func (e *FormatError) Error() string { return "malformed answer: " + e.Detail }
 
-// SilenceError says that a watch brought neither a change nor a bookmark in
-// time, so that its connection is taken for dead.
+// SilenceError reports that a watch received neither a change nor a bookmark in time, so
+// that its connection is considered dead.
 type SilenceError struct{}
 
 // Error implements error.
 func (*SilenceError) Error() string { return "watch silent for too long" }
 
-func (what *call) fail(fault core.PlatformFault, cause error) *core.PlatformError {
-	return &core.PlatformError{Fault: fault, Kind: what.kind, Name: what.name, Cause: cause}
+// fail returns an error of the call.
+func (op *operation) fail(fault core.PlatformFault, cause error) *core.PlatformError {
+	return &core.PlatformError{Fault: fault, Kind: op.kind, Name: op.name, Cause: cause}
 }
 
-// refused classes an answer with a failing status.
-func (what *call) refused(resp *http.Response) *core.PlatformError {
-	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxStatus))
+// statusError returns the error for an answer with an HTTP error status.
+func (op *operation) statusError(resp *http.Response) *core.PlatformError {
+	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxStatusBytes))
 	var body statusJSON
 	if json.Unmarshal(data, &body) != nil || body.Kind != "Status" {
 		body = statusJSON{Message: string(data)}
 	}
-	return what.fail(classify(resp.StatusCode, body.Reason), &StatusError{
+	return op.fail(classify(resp.StatusCode, body.Reason), &StatusError{
 		Status:  resp.StatusCode,
 		Reason:  body.Reason,
 		Message: body.Message,
 	})
 }
 
-// classify maps a status to a fault. An answer of the API itself says that the
-// call was refused before it took effect; 5xx answers without the API's own
-// reason may come from a proxy that had passed the call on, and stay unknown.
+// classify maps an HTTP status to a fault. An answer from the API itself means that the
+// call was refused before it took effect. A 5xx answer without the API's reason may come
+// from a proxy that had already forwarded the call, so its fault is Unknown.
 func classify(status int, reason string) core.PlatformFault {
 	switch {
 	case status == http.StatusNotFound:
--- a/io/objapi/format.go
+++ b/io/objapi/format.go
@@ -9,8 +9,8 @@
 
 const apiVersion = "radishwell.example/v1"
 
-// The field names below are those of the Kubernetes conventions, which the
-// platform speaks; they are not our own format.
+// The field names below are those of the Kubernetes conventions, which the platform
+// uses. They are not a format of this project.
 
 type metaJSON struct {
 	Name            string `json:"name,omitempty"`
@@ -62,7 +62,8 @@
 	}
 }
 
-// object checks and converts an object of the API.
+// object validates an object of the API and converts it. Its error is a
+// core.PlatformError.
 func (o objectJSON) object(kind core.Kind) (core.Object, error) {
 	version, err := strconv.ParseUint(o.Metadata.ResourceVersion, 10, 64)
 	if err != nil {
@@ -95,11 +96,11 @@
 	return listing, nil
 }
 
-func malformed(kind core.Kind, name, what string) *core.PlatformError {
-	return &core.PlatformError{Fault: core.Unknown, Kind: kind, Name: name, Cause: &FormatError{What: what}}
+func malformed(kind core.Kind, name, detail string) *core.PlatformError {
+	return &core.PlatformError{Fault: core.Unknown, Kind: kind, Name: name, Cause: &FormatError{Detail: detail}}
 }
 
-// versionText writes a version; zero, which means no precondition, is empty.
+// versionText formats a version. Zero, which means no precondition, is empty.
 func versionText(v core.Version) string {
 	if v == 0 {
 		return ""
--- a/io/objapi/fuzz_test.go
+++ b/io/objapi/fuzz_test.go
@@ -14,8 +14,8 @@
 	"radishwell/core"
 )
 
-// FuzzWatch feeds a watch with whatever a broken platform or proxy may send.
-// It must end with a PlatformError and give out no object without a version.
+// FuzzWatch sends arbitrary data to a watch, as a broken platform or proxy may. The watch
+// must end with a PlatformError and return only objects of its kind.
 func FuzzWatch(f *testing.F) {
 	f.Add([]byte(`{"type":"ADDED","object":{"metadata":{"name":"a","resourceVersion":"1"},"spec":{}}}`))
 	f.Add([]byte(`{"type":"BOOKMARK","object":{"metadata":{"resourceVersion":"7"}}}`))
@@ -25,9 +25,9 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := &watch{
-			what:    &call{kind: core.KindModel},
+			op:      &operation{kind: core.KindModel},
 			cancel:  cancel,
-			changes: make(chan core.Change, maxEvents),
+			changes: make(chan core.Change, maxBufferedEvents),
 			ended:   make(chan error, 1),
 		}
 		go w.run(ctx, &http.Response{Body: io.NopCloser(bytes.NewReader(data))}, time.Minute)
--- a/io/objapi/watch.go
+++ b/io/objapi/watch.go
@@ -12,36 +12,36 @@
 	"radishwell/core"
 )
 
-// maxEvents is how many decoded events wait for the reader of a watch.
-const maxEvents = 16
+// maxBufferedEvents bounds the decoded events that wait for the reader of a watch.
+const maxBufferedEvents = 16
 
-// watch is a running watch. One goroutine decodes events; a timer closes the
-// connection when it has been silent for too long.
+// watch is a running watch. A goroutine decodes events, and a timer closes the connection
+// if it is silent for too long.
 type watch struct {
-	what    *call
+	op      *operation
 	cancel  context.CancelFunc
 	changes chan core.Change
-	// ended has the reason of the watch's end and is closed after it.
+	// ended receives the error that ended the watch, and is then closed.
 	ended chan error
 }
 
-// Watch implements core.Platform. The call's own deadline bounds only how long
-// the platform may take to accept the watch; the watch runs until Close, until
-// its ctx ends, or until it fails.
+// Watch implements core.Platform. The timeout of a call only bounds the time until the
+// platform accepts the watch; the watch then runs until Close, until ctx ends, or until
+// it fails.
 func (c *Client) Watch(ctx context.Context, kind core.Kind, from core.Version) (core.Watch, error) {
 	c.init()
-	what := &call{verb: http.MethodGet, kind: kind, read: true}
-	if err := c.spend(ctx, true); err != nil {
-		return nil, what.fail(core.Unavailable, err)
+	op := &operation{verb: http.MethodGet, kind: kind, read: true}
+	if err := c.awaitBudget(ctx, true); err != nil {
+		return nil, op.fail(core.Unavailable, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	accept := time.AfterFunc(callTimeout, cancel)
-	resp, failed := c.send(ctx, what, url.Values{
+	acceptTimer := time.AfterFunc(callTimeout, cancel)
+	resp, failed := c.send(ctx, op, url.Values{
 		"watch":               {"true"},
 		"allowWatchBookmarks": {"true"},
 		"resourceVersion":     {strconv.FormatUint(uint64(from), 10)},
 	})
-	accept.Stop()
+	acceptTimer.Stop()
 	if failed != nil {
 		cancel()
 		return nil, failed
@@ -49,20 +49,20 @@
 	if resp.StatusCode >= http.StatusBadRequest {
 		defer cancel()
 		defer resp.Body.Close()
-		return nil, what.refused(resp)
+		return nil, op.statusError(resp)
 	}
 	w := &watch{
-		what:    what,
+		op:      op,
 		cancel:  cancel,
-		changes: make(chan core.Change, maxEvents),
+		changes: make(chan core.Change, maxBufferedEvents),
 		ended:   make(chan error, 1),
 	}
 	go w.run(ctx, resp, c.WatchSilence)
 	return w, nil
 }
 
-// Next implements core.Watch. It returns what had arrived before it reports
-// the end of the watch.
+// Next implements core.Watch. It returns all changes received before it reports the end
+// of the watch.
 func (w *watch) Next(ctx context.Context) (core.Change, error) {
 	select {
 	case change, ok := <-w.changes:
@@ -71,23 +71,23 @@
 		}
 		err, ok := <-w.ended
 		if !ok {
-			err = w.what.fail(core.Unavailable, context.Canceled)
+			err = w.op.fail(core.Unavailable, context.Canceled)
 		}
 		return core.Change{}, err
 	case <-ctx.Done():
-		return core.Change{}, w.what.fail(core.Unavailable, ctx.Err())
+		return core.Change{}, w.op.fail(core.Unavailable, ctx.Err())
 	}
 }
 
 // Close implements core.Watch.
 func (w *watch) Close() { w.cancel() }
 
-// run decodes events until the watch ends, and reports why.
+// run decodes events until the watch ends, and then reports the reason.
 //
-// A connection that something between the two ends has lost track of shows
-// neither an error nor an end: without the timer the watch would wait for ever
-// while the rest of the fleet moves on. The platform sends bookmarks, so a
-// live watch is never silent for long.
+// If a middlebox loses the state of the connection, there is neither an error nor an end
+// of the stream: without the timer, the watch would wait forever and the process would
+// miss all changes. The platform sends bookmarks, so a live watch is never silent for
+// long.
 func (w *watch) run(ctx context.Context, resp *http.Response, silence time.Duration) {
 	silent := make(chan struct{})
 	timer := time.AfterFunc(silence, func() {
@@ -101,7 +101,7 @@
 		if failed = dec.Decode(&e); failed != nil {
 			break
 		}
-		// The timer rests while a slow reader holds the event up.
+		// The timer is stopped while a slow reader delays the event.
 		if !timer.Stop() {
 			break
 		}
@@ -116,21 +116,21 @@
 	close(w.changes)
 }
 
-// reason makes the error that Next returns at the end.
+// reason returns the error that Next returns at the end of the watch.
 func (w *watch) reason(failed error, silent <-chan struct{}) error {
 	select {
 	case <-silent:
-		return w.what.fail(core.Unknown, &SilenceError{})
+		return w.op.fail(core.Unknown, &SilenceError{})
 	default:
 	}
 	var typed *core.PlatformError
 	if errors.As(failed, &typed) {
 		return typed
 	}
-	return w.what.fail(core.Unknown, failed)
+	return w.op.fail(core.Unknown, failed)
 }
 
-// deliver converts an event and hands it to the reader.
+// deliver converts an event and passes it to the reader.
 func (w *watch) deliver(ctx context.Context, e eventJSON) error {
 	if e.Type == "ERROR" {
 		var status statusJSON
@@ -138,13 +138,13 @@
 			return err
 		}
 		cause := &StatusError{Status: status.Code, Reason: status.Reason, Message: status.Message}
-		return w.what.fail(classify(status.Code, status.Reason), cause)
+		return w.op.fail(classify(status.Code, status.Reason), cause)
 	}
 	var body objectJSON
 	if err := json.Unmarshal(e.Object, &body); err != nil {
 		return err
 	}
-	o, err := body.object(w.what.kind)
+	o, err := body.object(w.op.kind)
 	if err != nil {
 		return err
 	}
@@ -156,7 +156,7 @@
 	case "BOOKMARK":
 		change.Bookmark = true
 	default:
-		return malformed(w.what.kind, o.Name, "unknown event "+strconv.Quote(e.Type))
+		return malformed(w.op.kind, o.Name, "unknown event "+strconv.Quote(e.Type))
 	}
 	select {
 	case w.changes <- change:
