--- a/io/events/bench_test.go
+++ b/io/events/bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkLine measures what a line as long as a request's costs the process that
-// writes it, with a reader that takes all. On 8 lines a second, the most of a
-// standard day, 9 µs a line are 0.007% of a core.
+// BenchmarkLine measures the cost of a log line as long as that of a request, with a
+// reader that reads everything. At 8 lines a second, the peak of a standard day, 9 µs a
+// line are 0.007% of a core.
 func BenchmarkLine(b *testing.B) {
 	sink, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
--- a/io/events/events_test.go
+++ b/io/events/events_test.go
@@ -19,16 +19,16 @@
 
 const pageHead = `# Events
 
-A process writes its log through klog. Each line of the system's own carries the
-number of an event, as in ` + "`event=\"RW1502\"`" + `; the number stays the same for ever, the
-sentence may change. Events of a verbosity above zero are written from that
-` + "`telemetry.verbosity`" + ` on. Sampled events are written ten times a second at most, those of
-requests that were not served a hundred times; the next line of the event then says
-how many were left out (` + "`left-out`" + `). Lines that nobody reads are left out too, and
-counted: no request waits for the log.
+A process writes its log with klog. Each line of the system contains the number of an
+event, as in ` + "`event=\"RW1502\"`" + `. The number never changes, whereas the sentence may change.
+Events with a verbosity above zero are written if ` + "`telemetry.verbosity`" + ` is at least as high.
+Sampled events are written at most ten times a second, those of requests that were not
+served at most a hundred times; the next line of the event then contains the number of
+those left out (` + "`left-out`" + `). If the output of the process is not read, lines are dropped
+and counted, so that no request waits for the log.
 
-This page is made from the table in io/events/table.go; a test holds it to that:
-` + "`go test ./io/events -run TestPage -update`" + ` writes it anew.
+This page is generated from the table in io/events/table.go, and a test compares it with
+that table; ` + "`go test ./io/events -run TestPage -update`" + ` regenerates it.
 
 | number | name | severity | verbosity | sampled | what happened | what to do |
 | --- | --- | --- | --- | --- | --- | --- |
@@ -60,7 +60,7 @@
 	}
 }
 
-// logged returns what a function writes to the log.
+// logged returns the log output of a function.
 func logged(t *testing.T, verbosity string, write func()) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -112,8 +112,8 @@
 	assert.NilError(t, events.SetVerbosity(0))
 }
 
-// Ten thousand peers without a certificate knock at once. The log shows some of
-// them, not all.
+// Guards against a flood of log lines when many peers connect without a certificate. Of
+// ten thousand events at once, only some must be written.
 func TestFloodIsSampled(t *testing.T) {
 	text := logged(t, "0", func() {
 		for range 10_000 {
--- a/io/events/log.go
+++ b/io/events/log.go
@@ -7,12 +7,12 @@
 	"k8s.io/klog/v2"
 )
 
-// Sampled events are written at most sampleRate times a second, sampleBurst at
-// once. At 5,400 requests a second in the fleet a line for each refusal would
-// cost more than the refusal; ten a second still show what is going on.
+// A sampled event is written at most sampleRate times a second, with bursts of
+// sampleBurst. At 5,400 requests a second in the fleet, a line for each refusal would cost
+// more than the refusal; ten a second suffice to show the problem.
 //
-// Of requests that were not served, failureRate a second are written: an entry that
-// refuses more than that is overloaded, and a line more tells nothing new.
+// Events of requests that were not served are written failureRate times a second: an entry
+// that refuses more is overloaded, and further lines contain nothing new.
 const (
 	sampleRate   = 10
 	sampleBurst  = 20
@@ -23,7 +23,8 @@
 // sampler bounds how often one event is written.
 type sampler struct {
 	limit *rate.Limiter
-	left  atomic.Int64
+	// dropped is the number of events left out since the last one written.
+	dropped atomic.Int64
 }
 
 var samplers = newSamplers()
@@ -41,31 +42,31 @@
 	return all
 }
 
-// allow tells whether an event may be written now, and how many were left out
-// since the last one.
-func (s *sampler) allow() (left int64, ok bool) {
+// allow reports whether an event may be written now, and how many were left out since the
+// last one. A nil sampler allows all.
+func (s *sampler) allow() (dropped int64, ok bool) {
 	if s == nil {
 		return 0, true
 	}
 	if !s.limit.Allow() {
-		s.left.Add(1)
+		s.dropped.Add(1)
 		return 0, false
 	}
-	return s.left.Swap(0), true
+	return s.dropped.Swap(0), true
 }
 
-// Log writes an event with pairs of keys and values. Keys are in kebab case.
+// Log writes an event with alternating keys and values. Keys are in kebab case.
 func Log(e Event, pairs ...any) {
 	write(e, nil, pairs)
 }
 
-// Fail writes an event with the error that caused it.
+// Fail is like Log and adds the error that caused the event.
 func Fail(e Event, err error, pairs ...any) {
 	write(e, err, pairs)
 }
 
-// callerDepth skips write and Log or Fail, so that a line names the place that
-// logged it.
+// callerDepth skips the frames of write and of Log or Fail, so that a line names the
+// source line that logged the event.
 const callerDepth = 2
 
 func write(e Event, err error, pairs []any) {
@@ -73,13 +74,13 @@
 	if row.Verbosity > 0 && !klog.V(klog.Level(row.Verbosity)).Enabled() {
 		return
 	}
-	left, ok := e.sampler().allow()
+	dropped, ok := e.sampler().allow()
 	if !ok {
 		return
 	}
 	all := append([]any{"event", row.ID}, pairs...)
-	if left > 0 {
-		all = append(all, "left-out", left)
+	if dropped > 0 {
+		all = append(all, "left-out", dropped)
 	}
 	if row.Severity == Error {
 		klog.ErrorSDepth(callerDepth, err, row.Text, all...)
--- a/io/events/outlet.go
+++ b/io/events/outlet.go
@@ -16,55 +16,57 @@
 )
 
 const (
-	// outletBytes is what an Outlet holds back: some two thousand lines, half a
-	// minute of a busy entry's.
-	outletBytes = 512 << 10
-	// outletStop is how long a process that ends waits for its last lines to be
+	// bufferBytes bounds the lines that an Outlet buffers: about two thousand, which a
+	// busy entry writes in half a minute.
+	bufferBytes = 512 << 10
+	// stopTimeout bounds the time that an ending process waits until its last lines are
 	// read.
-	outletStop = 200 * time.Millisecond
+	stopTimeout = 200 * time.Millisecond
 )
 
-// Outlet passes lines on to a writer without ever holding up who logs. A reader of
-// the process's output that stops reading blocks the writes to it; requests that
-// log would stand still with it. Lines beyond what is held back are left out and
-// counted. Set the exported fields before Run.
+// Outlet is a buffered writer for log lines that never blocks the goroutine that logs. If
+// the reader of the process's output stops reading, writes to the output block, and all
+// requests that log would be blocked too. Lines that exceed the buffer are dropped and
+// counted. The exported fields must be set before Run.
 type Outlet struct {
 	Out io.Writer
-	// LeftOut is the event that tells how many lines were left out.
+	// LeftOut is the event that is written with the number of dropped lines.
 	LeftOut Event
 
 	mu      sync.Mutex
 	pending bytes.Buffer
-	left    int
-	news    chan struct{}
-	once    sync.Once
+	// dropped is the number of lines dropped since pending was last written.
+	dropped int
+	// wake wakes Run after a write.
+	wake chan struct{}
+	once sync.Once
 }
 
-func (o *Outlet) init() { o.once.Do(func() { o.news = make(chan struct{}, 1) }) }
+func (o *Outlet) init() { o.once.Do(func() { o.wake = make(chan struct{}, 1) }) }
 
-// Write implements io.Writer. It never blocks and never fails.
+// Write implements io.Writer. It never blocks and never returns an error.
 func (o *Outlet) Write(line []byte) (int, error) {
 	o.init()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.pending.Len()+len(line) > outletBytes {
-		o.left++
+	if o.pending.Len()+len(line) > bufferBytes {
+		o.dropped++
 		return len(line), nil
 	}
 	o.pending.Write(line)
-	loop.Poke(o.news)
+	loop.Poke(o.wake)
 	return len(line), nil
 }
 
-// Run passes lines on until the context ends, then the last ones, and returns the
-// writer's error.
+// Run writes the buffered lines to Out until ctx ends, and then the last ones. It returns
+// early with the error if Out fails.
 func (o *Outlet) Run(ctx context.Context) error {
 	o.init()
 	for {
 		select {
 		case <-ctx.Done():
 			return o.drain()
-		case <-o.news:
+		case <-o.wake:
 		}
 		if err := o.drain(); err != nil {
 			return err
@@ -72,6 +74,7 @@
 	}
 }
 
+// drain writes to Out until the buffer is empty.
 func (o *Outlet) drain() error {
 	for {
 		text := o.take()
@@ -84,26 +87,28 @@
 	}
 }
 
+// take empties the buffer and returns its lines, followed by one with the number of
+// dropped lines if there are any.
 func (o *Outlet) take() []byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	text := bytes.Clone(o.pending.Bytes())
 	o.pending.Reset()
-	if o.left > 0 {
+	if o.dropped > 0 {
 		row := o.LeftOut.Info()
-		text = append(text, `"`+row.Text+`" event="`+row.ID+`" left-out=`+strconv.Itoa(o.left)+"\n"...)
-		o.left = 0
+		text = append(text, `"`+row.Text+`" event="`+row.ID+`" left-out=`+strconv.Itoa(o.dropped)+"\n"...)
+		o.dropped = 0
 	}
 	return text
 }
 
-// Start has all events of the process written through the outlet. The returned
-// stop has the last ones written, as far as they are read soon.
+// Start directs all events of the process to the outlet and starts its Run. The returned
+// stop writes the last lines, and waits for at most stopTimeout until they are read.
 func (o *Outlet) Start() (stop func(), err error) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
-	// One line for an event, in one place: klog writes errors to the outputs of the
-	// lower severities and to standard error too.
+	// Each event is to be written once. By default, klog also writes errors to the outputs
+	// of the lower severities and to standard error.
 	for name, value := range map[string]string{"logtostderr": "false", "one_output": "true", "stderrthreshold": "FATAL"} {
 		if err := flags.Set(name, value); err != nil {
 			return nil, oops.In("events").Wrapf(err, "set klog's %s", name)
@@ -116,10 +121,10 @@
 	return func() {
 		klog.Flush()
 		cancel()
-		timer := time.NewTimer(outletStop)
+		timer := time.NewTimer(stopTimeout)
 		defer timer.Stop()
 		select {
-		case <-ended: // its error is the reader's going away
+		case <-ended: // The only error is that the reader is gone.
 		case <-timer.C:
 		}
 	}, nil
--- a/io/events/outlet_test.go
+++ b/io/events/outlet_test.go
@@ -16,12 +16,11 @@
 	"radishwell/io/events"
 )
 
-// leftOut is a line that tells how many lines were left out before it.
+// leftOut matches the number of lines dropped before a line.
 var leftOut = regexp.MustCompile(`left-out=(\d+)\n`)
 
 // wantAll fails unless each of the lines written is in the text or counted there as
-// left out. The counts stand in several lines where the outlet began to pass lines on
-// between two that were left out.
+// dropped. There are several counts if the outlet wrote lines between two dropped ones.
 func wantAll(t *testing.T, text string, written int) {
 	t.Helper()
 	lines, left := strings.Count(text, "xxx\n"), 0
@@ -34,12 +33,13 @@
 	assert.Equal(t, lines+left, written)
 }
 
-// Whoever reads the process's output stops reading. Its pipe fills up, and the
-// next request that logs would wait for as long as nobody reads.
+// Guards against requests that block when the reader of the process's output stops
+// reading: once the pipe is full, the next request that logs would wait until the reader
+// continues.
 func TestStoppedReaderHoldsUpNobody(t *testing.T) {
 	const written = 5000
 	line := []byte(strings.Repeat("x", 999) + "\n")
-	// early is how many lines are written before the outlet's goroutine runs first.
+	// early is the number of lines written before the outlet's goroutine first runs.
 	for name, early := range map[string]int{"from the start": 0, "after lines were left out already": 1000} {
 		t.Run(name, func(t *testing.T) {
 			r, w := io.Pipe()
--- a/io/events/quiet.go
+++ b/io/events/quiet.go
@@ -6,7 +6,7 @@
 	"k8s.io/klog/v2"
 )
 
-// Discard keeps all events from being written, for the whole process.
+// Discard discards all events of the process.
 func Discard() {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
--- a/io/events/setup.go
+++ b/io/events/setup.go
@@ -10,23 +10,22 @@
 	"k8s.io/klog/v2"
 )
 
-// SetVerbosity sets the level up to which events are written, for the whole
-// process.
+// SetVerbosity sets the level up to which events of the process are written.
 func SetVerbosity(level int) error {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	return oops.In("events").Wrapf(flags.Set("v", strconv.Itoa(level)), "set verbosity")
 }
 
-// Logger returns a logger that writes each line as an event, for libraries that
-// take one, such as net/http for connections that fail before a request.
-func Logger(e Event) *log.Logger { return log.New(lines{e}, "", 0) }
+// Logger returns a logger that writes each line as an event. It is for libraries that
+// accept a logger, such as net/http for connections that fail before a request.
+func Logger(e Event) *log.Logger { return log.New(lineWriter{e}, "", 0) }
 
-// lines turns lines of text into events.
-type lines struct{ event Event }
+// lineWriter writes each line of text as an event.
+type lineWriter struct{ event Event }
 
 // Write implements io.Writer.
-func (l lines) Write(text []byte) (int, error) {
+func (l lineWriter) Write(text []byte) (int, error) {
 	Log(l.event, "detail", string(bytes.TrimSpace(text)))
 	return len(text), nil
 }
--- a/io/events/used_test.go
+++ b/io/events/used_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Eleven events stood on the operators' page, one of them for the platform's
-// outage, and nothing wrote them. Each event's name must stand in the code of
-// some other package.
+// Guards against events that are documented but never written. There were once eleven of
+// them, one for an outage of the platform. Each event must be used in the code of another
+// package.
 func TestEventsAreLogged(t *testing.T) {
 	var code strings.Builder
 	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
