--- a/io/meter/gauge.go
+++ b/io/meter/gauge.go
@@ -6,16 +6,17 @@
 	"radishwell/core"
 )
 
-// MemoryState tells parts of the accelerators' memory apart.
+// MemoryState is the state of a part of the accelerators' memory.
 type MemoryState int
 
 // States of accelerator memory.
 const (
-	// MemoryHeld: an engine's items lie in it.
+	// MemoryHeld: the memory is occupied by models or adapters of an engine.
 	MemoryHeld MemoryState = iota
-	// MemoryPromised: kept for loads under way and unloads not yet confirmed.
+	// MemoryPromised: the memory is reserved for loads in progress and unloads not yet
+	// confirmed.
 	MemoryPromised
-	// MemoryFree: neither held nor promised.
+	// MemoryFree: the memory is neither held nor promised.
 	MemoryFree
 	memoryStateCount
 )
@@ -25,50 +26,52 @@
 // String returns the state's name.
 func (s MemoryState) String() string { return nameOf(memoryStateNames[:], int(s)) }
 
-// Queue shows how many requests of a class wait. The function is called at each
-// reading, from any goroutine; the same holds for the other gauges.
+// Queue registers the gauge of waiting requests of a class. As for all gauges, read is
+// called whenever the metrics are read, and must be safe for concurrent use.
 func (m *Meter) Queue(c core.Class, read func() int) {
 	m.gauge(nameQueue, func() float64 { return float64(read()) }, "class", c.String())
 }
 
-// Running shows how many requests of a class are handed on and not answered yet.
+// Running registers the gauge of requests of a class that are forwarded and not answered
+// yet.
 func (m *Meter) Running(c core.Class, read func() int) {
 	m.gauge(nameRunning, func() float64 { return float64(read()) }, "class", c.String())
 }
 
-// Memory shows a part of the accelerators' memory.
+// Memory registers the gauge of the accelerators' memory in a state.
 func (m *Meter) Memory(s MemoryState, read func() core.Bytes) {
 	m.gauge(nameMemory, func() float64 { return float64(read()) }, "state", s.String())
 }
 
-// Entries shows how many catalogue entries are in a state.
+// Entries registers the gauge of catalogue entries in a state.
 func (m *Meter) Entries(state string, read func() int) {
 	m.gauge(nameEntries, func() float64 { return float64(read()) }, "state", state)
 }
 
-// LimitedUpstreams shows how many upstreams name a rate limit.
+// LimitedUpstreams registers the gauge of upstreams that have announced a rate limit.
 func (m *Meter) LimitedUpstreams(read func() int) {
-	m.gauge(nameLimitedUps, func() float64 { return float64(read()) })
+	m.gauge(nameLimitedUpstreams, func() float64 { return float64(read()) })
 }
 
-// ReplicaLag shows how long the replica of a kind has lacked a change that another
-// process named.
+// ReplicaLag registers the gauge of the time for which the replica of a kind has lacked a
+// change that another process reported.
 func (m *Meter) ReplicaLag(k core.Kind, read func() time.Duration) {
 	m.gauge(nameReplicaLag, func() float64 { return read().Seconds() }, "kind", string(k))
 }
 
-// ReplicaAge shows the age of the platform's last word that the replica of a kind lacks
-// nothing, negative where there was none.
+// ReplicaAge registers the gauge of the time since the platform last confirmed that the
+// replica of a kind is complete. It is negative if there was no confirmation.
 func (m *Meter) ReplicaAge(k core.Kind, read func() time.Duration) {
 	m.gauge(nameReplicaAge, func() float64 { return read().Seconds() }, "kind", string(k))
 }
 
-// Revision shows the revision of the catalogue in force.
+// Revision registers the gauge of the revision of the catalogue in force.
 func (m *Meter) Revision(read func() uint64) {
 	m.gauge(nameRevision, func() float64 { return float64(read()) })
 }
 
-// Decider shows whether this entry decides for the fleet.
+// Decider registers the gauge that is one while this entry decides for the fleet, and zero
+// otherwise.
 func (m *Meter) Decider(read func() bool) {
 	m.gauge(nameDecider, func() float64 {
 		if read() {
--- a/io/meter/labels.go
+++ b/io/meter/labels.go
@@ -1,9 +1,9 @@
 package meter
 
-// Hop is a stretch of a request's way.
+// Hop is a stage in the processing of a request.
 type Hop int
 
-// Hops in the order in which a request meets them.
+// Hops, in the order in which a request passes through them.
 const (
 	EntryQueue Hop = iota
 	AgentQueue
@@ -15,10 +15,10 @@
 
 var hopNames = [hopCount]string{"entry-queue", "agent-queue", "load", "first-token", "stream"}
 
-// String returns the hop's name as it stands in metrics and traces.
+// String returns the hop's name in metrics and traces.
 func (h Hop) String() string { return nameOf(hopNames[:], int(h)) }
 
-// Verb is a call of the platform.
+// Verb is the type of a call of the platform.
 type Verb int
 
 // Verbs of the platform.
@@ -38,14 +38,14 @@
 // String returns the verb's name.
 func (v Verb) String() string { return nameOf(verbNames[:], int(v)) }
 
-// UnloadCause is why a model or adapter was unloaded.
+// UnloadCause is the reason why a model or adapter was unloaded.
 type UnloadCause int
 
 // Causes of unloads.
 const (
-	// UnloadIdle: nobody asked for it any longer.
+	// UnloadIdle: there were no more requests for it.
 	UnloadIdle UnloadCause = iota
-	// UnloadEvicted: its memory was needed.
+	// UnloadEvicted: its memory was needed for another one.
 	UnloadEvicted
 	// UnloadRevoked: the host lost its grant.
 	UnloadRevoked
@@ -57,16 +57,16 @@
 // String returns the cause's name.
 func (c UnloadCause) String() string { return nameOf(unloadCauseNames[:], int(c)) }
 
-// UpstreamSignal is what an upstream says of itself in its answers.
+// UpstreamSignal is a state that an upstream announces in its answers.
 type UpstreamSignal int
 
 // Signals of upstreams.
 const (
-	// SignalLimited: it takes so many requests a second.
+	// SignalLimited: the upstream accepts a limited number of requests a second.
 	SignalLimited UpstreamSignal = iota
-	// SignalLeaving: it leaves.
+	// SignalLeaving: the upstream is leaving.
 	SignalLeaving
-	// SignalBackoff: it wants no requests of this process for a time.
+	// SignalBackoff: the upstream accepts no requests of this process for some time.
 	SignalBackoff
 	upstreamSignalCount
 )
@@ -76,16 +76,16 @@
 // String returns the signal's name.
 func (s UpstreamSignal) String() string { return nameOf(upstreamSignalNames[:], int(s)) }
 
-// ClaimResult is how a claim of an idempotency key ended.
+// ClaimResult is the result of claiming an idempotency key.
 type ClaimResult int
 
 // Results of claims.
 const (
 	// ClaimWon: the request may run.
 	ClaimWon ClaimResult = iota
-	// ClaimHeld: the key is claimed already.
+	// ClaimHeld: the key has already been claimed.
 	ClaimHeld
-	// ClaimUnavailable: the platform could not record it.
+	// ClaimUnavailable: the platform could not record the claim.
 	ClaimUnavailable
 	claimResultCount
 )
@@ -95,8 +95,8 @@
 // String returns the result's name.
 func (r ClaimResult) String() string { return nameOf(claimResultNames[:], int(r)) }
 
-// nameOf returns a name by its number. A number out of range is shown as such
-// rather than ending the process: metrics are no reason to fail a request.
+// nameOf returns the name with an index, or "unknown" if it is out of range. It does not
+// panic, since a metric must not make a request fail.
 func nameOf(names []string, n int) string {
 	if n < 0 || n >= len(names) {
 		return "unknown"
--- a/io/meter/meter.go
+++ b/io/meter/meter.go
@@ -11,19 +11,17 @@
 	"radishwell/core"
 )
 
-// Meter holds the metrics of one role. Several may live in one process, as in
-// the demo. All methods may be called by any goroutine. A nil Meter counts
-// nothing.
+// Meter holds the metrics of one role. There may be several in a process, as in the demo.
+// It is safe for concurrent use. A nil Meter collects nothing.
 type Meter struct {
 	set *metrics.Set
 }
 
-// New returns a Meter without any counts.
+// New returns an empty Meter.
 func New() *Meter { return &Meter{set: metrics.NewSet()} }
 
-// Request counts a request with its final answer. The refusal is nil where it is
-// done. firstByte is zero where no body was sent; cold tells that the request
-// waited for a load.
+// Request counts a request that got its final answer. r is nil if its outcome is done.
+// firstByte is zero if no body was sent. cold is set if the request waited for a load.
 func (m *Meter) Request(c core.Class, r *core.Refusal, arrived, firstByte, ended time.Time, cold bool) {
 	if m == nil {
 		return
@@ -50,7 +48,7 @@
 	}
 }
 
-// Load records a load that has ended.
+// Load records a load that has ended, with its duration if it succeeded.
 func (m *Meter) Load(source core.Tier, ok bool, began, ended time.Time) {
 	if m == nil {
 		return
@@ -68,8 +66,8 @@
 	}
 }
 
-// Accelerators adds the time from began to ended during which that many
-// accelerators held a model: busy with requests, or idle.
+// Accelerators adds the time from began to ended in which n accelerators held a model,
+// either busy with requests or idle.
 func (m *Meter) Accelerators(n int, busy bool, began, ended time.Time) {
 	if m == nil || n <= 0 || !ended.After(began) {
 		return
@@ -81,55 +79,55 @@
 	m.set.GetOrCreateFloatCounter(name).Add(float64(n) * ended.Sub(began).Seconds())
 }
 
-// Retry counts a retry that was made, or that the budget refused.
+// Retry counts a retry that was made or that the retry budget refused.
 func (m *Meter) Retry(made bool) {
 	if m == nil {
 		return
 	}
-	text := "refused"
+	label := "refused"
 	if made {
-		text = "made"
+		label = "made"
 	}
-	m.count(nameRetries, "result", text).Inc()
+	m.count(nameRetries, "result", label).Inc()
 }
 
-// SentDespite counts a request sent to an upstream that had given a signal.
+// SentDespite counts a request sent to an upstream that had announced a signal.
 func (m *Meter) SentDespite(s UpstreamSignal) {
 	if m != nil {
 		m.count(nameSignalSends, "signal", s.String()).Inc()
 	}
 }
 
-// AnswerBytes counts bytes of answers' bodies.
+// AnswerBytes adds n to the bytes of answers' bodies.
 func (m *Meter) AnswerBytes(n int) {
 	if m != nil && n > 0 {
-		m.count(nameTokens).Add(n)
+		m.count(nameAnswerBytes).Add(n)
 	}
 }
 
-// Platform records a call of the platform. The error is nil or a
-// *core.PlatformError.
+// Platform records a call of the platform and its duration. err is nil if the call
+// succeeded.
 func (m *Meter) Platform(v Verb, err *core.PlatformError, began, ended time.Time) {
 	if m == nil {
 		return
 	}
-	text := "ok"
+	label := "ok"
 	if err != nil {
-		text = err.Fault.String()
+		label = err.Fault.String()
 	}
-	m.count(namePlatform, "verb", v.String(), "result", text).Inc()
-	m.observe(namePlatformLat, shortBounds, began, ended, "verb", v.String())
+	m.count(namePlatform, "verb", v.String(), "result", label).Inc()
+	m.observe(namePlatformTime, shortBounds, began, ended, "verb", v.String())
 }
 
-// Peer counts a call of another own process, by the name of its method. Bytes
-// are counted by Traffic, over all calls of a connection.
+// Peer counts a call of another own process by the name of its method. Traffic counts the
+// bytes of all calls on a connection.
 func (m *Meter) Peer(method string, ok bool) {
 	if m != nil {
 		m.count(namePeers, "method", strings.ToLower(method), "result", result(ok)).Inc()
 	}
 }
 
-// Traffic adds to the bytes that calls between own processes sent and received.
+// Traffic adds to the bytes sent and received in calls between own processes.
 func (m *Meter) Traffic(sent, received int) {
 	if m != nil {
 		m.count(namePeerBytes, "direction", "sent").Add(sent)
@@ -174,7 +172,8 @@
 	h.Update(ended.Sub(began).Seconds())
 }
 
-// series returns a metric's name with its labels.
+// series returns the name of a metric with its labels. pairs alternate the names and
+// values of labels.
 func series(name string, pairs []string) string {
 	if len(pairs) == 0 {
 		return name
--- a/io/meter/meter_test.go
+++ b/io/meter/meter_test.go
@@ -21,11 +21,12 @@
 
 A process serves its metrics in the Prometheus text format under ` + "`/metrics`" + ` at
 ` + "`listen.operators`" + `, together with those of the Go runtime and the process (` + "`go_*`" + `,
-` + "`process_*`" + `). No metric is labelled by model, adapter, owner or caller; ` + "`radishwell explain`" + `
-tells about single ones.
+` + "`process_*`" + `). No metric is labelled by model, adapter, owner or caller; use
+` + "`radishwell explain`" + ` for a single one.
 
-This page is made from the table in io/meter/table.go; a test holds it to that and
-to what a process serves: ` + "`go test ./io/meter -run TestPage -update`" + ` writes it anew.
+This page is generated from the table in io/meter/table.go, and tests compare it with that
+table and with the metrics that a process serves;
+` + "`go test ./io/meter -run TestPage -update`" + ` regenerates it.
 
 | metric | kind | labels | unit | meaning |
 | --- | --- | --- | --- | --- |
@@ -44,7 +45,7 @@
 
 func after(d time.Duration) time.Time { return began.Add(d) }
 
-// used returns a Meter on which every method was called.
+// used returns a Meter after calls of all its methods.
 func used() *meter.Meter {
 	m := meter.New()
 	refusal := core.Refuse(core.CodeQueueFull, "full")
@@ -105,8 +106,8 @@
 	}
 }
 
-// What a process serves and what the table says are the same metrics with the
-// same labels.
+// Guards against metrics that are served but missing in the table, or listed but never
+// served, or that have other labels than listed.
 func TestTableIsComplete(t *testing.T) {
 	series := regexp.MustCompile(`(?m)^(radishwell_\w+?)(_bucket|_sum|_count)?(?:\{(.*)\})? `)
 	label := regexp.MustCompile(`(\w+)="`)
@@ -149,7 +150,8 @@
 	assert.Equal(t, text(two), "")
 }
 
-// A caller that sends a clock from the future must not make times negative.
+// Guards against negative values if times are out of order, as with a caller whose clock
+// is ahead.
 func TestNegativeTimesAreLeftOut(t *testing.T) {
 	m := meter.New()
 	m.Accelerators(1, true, after(time.Second), began)
