--- a/io/spans/doc.go
+++ b/io/spans/doc.go
@@ -1,8 +1,8 @@
-// Package spans makes traces: a span for each hop of a request, sent to an
-// OTLP/HTTP collector where one is set. Trace context travels in the W3C
-// traceparent field, from the caller through entry and agent to the engine, also
-// where no collector is set.
+// Package spans creates traces with a span for each hop of a request, and exports them to
+// an OTLP/HTTP collector if one is set. The trace context is passed in the W3C traceparent
+// header field from the caller through entry and agent to the engine, even if there is no
+// collector.
 //
-// Sending never holds a request up: spans wait in a bounded queue, and those that
-// do not fit are dropped.
+// Exporting never delays a request: spans wait in a bounded queue, and those that do not
+// fit are dropped.
 package spans
--- a/io/spans/span.go
+++ b/io/spans/span.go
@@ -13,23 +13,24 @@
 	"radishwell/io/meter"
 )
 
-// Span is a running span of a request. The zero Span does nothing; Spans are
-// small and are passed by value.
+// Span is a running span of a request. The zero Span does nothing. Spans are small and are
+// passed by value.
 type Span struct {
 	tracer *Tracer
-	span   trace.Span
-	// parent is the traceparent given, passed on where there is no span.
+	// span is nil if the process creates no traces.
+	span trace.Span
+	// parent is the traceparent received, which is passed on if span is nil.
 	parent string
 }
 
 var w3c propagation.TraceContext
 
-// Request starts the span of a request at this process. The traceparent is that
-// of the caller or of the hop above; one that is empty or malformed starts a new
-// trace.
+// Request starts the span of a request in this process. traceparent is that received from
+// the caller or from the previous process; if it is empty or malformed, a new trace is
+// started.
 func (t *Tracer) Request(traceparent string, r core.Request, began time.Time) Span {
 	if t == nil || t.tracer == nil {
-		return Span{parent: passable(traceparent)}
+		return Span{parent: validTraceparent(traceparent)}
 	}
 	ctx := w3c.Extract(context.Background(), propagation.MapCarrier{"traceparent": traceparent})
 	_, span := t.tracer.Start(ctx, "request",
@@ -48,9 +49,9 @@
 	return Span{tracer: t, span: span}
 }
 
-// passable returns a traceparent that may be sent on: one that is malformed is
-// dropped, since the caller chose it and engines would have to cope with it.
-func passable(traceparent string) string {
+// validTraceparent returns a traceparent if it is well-formed, and "" otherwise. A
+// malformed one from a caller is not passed on, so that engines need not handle it.
+func validTraceparent(traceparent string) string {
 	if traceparent == "" {
 		return ""
 	}
@@ -61,7 +62,7 @@
 	return traceparent
 }
 
-// Hop records a hop that has ended, as a child of the span.
+// Hop records a hop that has ended as a child of the span.
 func (s Span) Hop(h meter.Hop, began, ended time.Time) {
 	if s.span == nil || !s.span.IsRecording() {
 		return
@@ -71,7 +72,8 @@
 	child.End(trace.WithTimestamp(ended))
 }
 
-// Upstream notes which host the request was handed to.
+// Upstream adds the host to which the request was forwarded, and whether the request
+// waited for a load, to the span.
 func (s Span) Upstream(host core.HostName, cold bool) {
 	if s.span == nil || !s.span.IsRecording() {
 		return
@@ -82,18 +84,18 @@
 	)
 }
 
-// End ends the span. The refusal is nil where the request is done.
+// End ends the span. r is nil if the outcome of the request is done.
 func (s Span) End(r *core.Refusal, at time.Time) {
 	if s.span == nil {
 		return
 	}
 	if s.span.IsRecording() {
-		s.outcome(r)
+		s.setOutcome(r)
 	}
 	s.span.End(trace.WithTimestamp(at))
 }
 
-func (s Span) outcome(r *core.Refusal) {
+func (s Span) setOutcome(r *core.Refusal) {
 	if r == nil {
 		s.span.SetAttributes(attribute.String("radishwell.outcome", core.Done.String()))
 		return
@@ -105,7 +107,8 @@
 	s.span.SetStatus(codes.Error, r.Reason)
 }
 
-// Traceparent returns the W3C field for the next hop; empty where there is none.
+// Traceparent returns the value of the W3C traceparent field for the next process. It is
+// empty if there is no trace.
 func (s Span) Traceparent() string {
 	if s.span == nil {
 		return s.parent
--- a/io/spans/spans_test.go
+++ b/io/spans/spans_test.go
@@ -29,26 +29,26 @@
 	Class:  core.Evening,
 }
 
-// traced runs a function with a Tracer and returns the spans it sent.
+// traced runs a function with a Tracer and returns the exported spans.
 func traced(t *testing.T, ratio float64, run func(*spans.Tracer)) tracetest.SpanStubs {
 	t.Helper()
-	kept := &keeper{}
-	tracer := &spans.Tracer{Ratio: ratio, Role: config.Entry, Host: "entry-1", Exporter: kept}
+	exporter := &memoryExporter{}
+	tracer := &spans.Tracer{Ratio: ratio, Role: config.Entry, Host: "entry-1", Exporter: exporter}
 	assert.NilError(t, tracer.Start(t.Context()))
 	run(tracer)
 	assert.NilError(t, tracer.Stop(t.Context()))
-	return kept.spans
+	return exporter.spans
 }
 
-// keeper is an exporter that keeps spans past its own shutdown.
-type keeper struct{ spans tracetest.SpanStubs }
+// memoryExporter is an exporter that retains its spans after Shutdown.
+type memoryExporter struct{ spans tracetest.SpanStubs }
 
-func (k *keeper) ExportSpans(_ context.Context, all []sdk.ReadOnlySpan) error {
-	k.spans = append(k.spans, tracetest.SpanStubsFromReadOnlySpans(all)...)
+func (e *memoryExporter) ExportSpans(_ context.Context, all []sdk.ReadOnlySpan) error {
+	e.spans = append(e.spans, tracetest.SpanStubsFromReadOnlySpans(all)...)
 	return nil
 }
 
-func (k *keeper) Shutdown(context.Context) error { return nil }
+func (e *memoryExporter) Shutdown(context.Context) error { return nil }
 
 func TestRequestAndHops(t *testing.T) {
 	var next string
@@ -88,7 +88,7 @@
 	unsampled := strings.TrimSuffix(parent, "01") + "00"
 	assert.Equal(t, len(traced(t, 0, run(""))), 0)
 	assert.Equal(t, len(traced(t, 1, run(""))), 2)
-	assert.Equal(t, len(traced(t, 1, run(unsampled))), 0, "the caller's word goes first")
+	assert.Equal(t, len(traced(t, 1, run(unsampled))), 0, "the caller's decision takes precedence")
 	assert.Equal(t, len(traced(t, 1, run("garbage"))), 2)
 }
 
@@ -110,8 +110,8 @@
 	assert.Equal(t, perRun, 0.0)
 }
 
-// The collector takes connections and never answers. Requests must not wait for
-// it, and a stop ends when its time is over.
+// Guards against requests that wait for a collector which accepts connections and never
+// responds. Stop must return when its context ends.
 func TestSilentCollector(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/io/spans/tracer.go
+++ b/io/spans/tracer.go
@@ -17,43 +17,43 @@
 	"radishwell/io/events"
 )
 
-// Thresholds of the export. The queue holds a few seconds of spans at the
-// busiest process; a collector that is slower than that loses spans.
 const (
+	// queueSize is the number of spans that wait for export. It holds the spans of a few
+	// seconds on the busiest process; if the collector is slower, spans are lost.
 	queueSize     = 8192
 	batchSize     = 512
 	exportTimeout = 5 * time.Second
 )
 
-// Tracer makes the spans of one process. Its fields are set before Start. A
-// Tracer without a Collector makes none and passes callers' context on.
+// Tracer creates the spans of one process. Its fields must be set before Start. A Tracer
+// without a Collector creates no spans and passes on the callers' trace context.
 type Tracer struct {
-	// Collector is the OTLP/HTTP collector; the zero value is none.
+	// Collector is the OTLP/HTTP collector; the zero value means none.
 	Collector config.Origin
-	// Ratio is the share of requests traced where the caller does not say.
+	// Ratio is the fraction of requests that are traced if the caller does not decide it.
 	Ratio float64
 	Role  config.Role
 	Host  core.HostName
-	// Exporter takes the place of the Collector in tests.
+	// Exporter, if set, replaces the Collector; it is for tests.
 	Exporter sdk.SpanExporter
 
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
 }
 
-// Start prepares the export. It makes no connection, so that it returns at once
-// and succeeds while the collector is down.
+// Start prepares the export. It does not connect to the collector, so that it returns at
+// once and succeeds while the collector is down.
 func (t *Tracer) Start(ctx context.Context) error {
 	exporter := t.Exporter
 	if exporter == nil {
 		if !t.Collector.Given() {
 			return nil
 		}
-		made, err := t.newExporter(ctx)
+		otlp, err := t.newExporter(ctx)
 		if err != nil {
 			return oops.In("spans").Wrapf(err, "prepare trace export")
 		}
-		exporter = made
+		exporter = otlp
 	}
 	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) {
 		events.Fail(events.TraceExportFailed, err)
@@ -85,7 +85,8 @@
 	return otlptracehttp.New(ctx, options...)
 }
 
-// Stop sends what is waiting, until the context ends.
+// Stop exports the waiting spans and stops the export. It returns an error if ctx ends
+// first.
 func (t *Tracer) Stop(ctx context.Context) error {
 	if t.provider == nil {
 		return nil
