--- a/core/catlog/fleet_test.go
+++ b/core/catlog/fleet_test.go
@@ -133,7 +133,7 @@
 var digests = []string{digestA, digestB, digestA[1:] + "0"}
 
 func writeDue(p *platform, decider *catlog.View) (written int) {
-	for _, o := range decider.Due() {
+	for _, o := range decider.DueStatuses() {
 		if fresh, ok := p.writeStatus(o); ok {
 			decider.Apply(fresh)
 			written++
--- a/core/catlog/naive_test.go
+++ b/core/catlog/naive_test.go
@@ -234,7 +234,7 @@
 			v := applied(append(small(), o)...)
 			s, ok := v.Status(kind, "fuzzed")
 			assert.Assert(t, ok)
-			assert.Equal(t, len(v.Due()) > 3, true)
+			assert.Equal(t, len(v.DueStatuses()) > 3, true)
 			if s.State == catlog.Accepted && kind == core.KindModel {
 				assert.Assert(t, served(v, "fuzzed") > 0)
 			}
--- a/core/catlog/view.go
+++ b/core/catlog/view.go
@@ -93,10 +93,10 @@
 	return v.resolve()
 }
 
-// Due returns the entries whose status in the platform is out of date, with the
+// DueStatuses returns the entries whose status in the platform is out of date, with the
 // status to write, in the order of Apply's reports. Only the process that decides for
 // the fleet should write them, once it has received all kinds.
-func (v *View) Due() []core.Object {
+func (v *View) DueStatuses() []core.Object {
 	var due []core.Object
 	for _, r := range v.sorted {
 		if r.due == nil {
--- a/core/catlog/view_test.go
+++ b/core/catlog/view_test.go
@@ -50,7 +50,7 @@
 // holds them: the newest ones, with the statuses that are due.
 func restarted(v *catlog.View, objects ...core.Object) *catlog.View {
 	newest := map[string]core.Object{}
-	for _, o := range append(objects, v.Due()...) {
+	for _, o := range append(objects, v.DueStatuses()...) {
 		newest[string(o.Kind)+"/"+o.Name] = o
 	}
 	fresh := &catlog.View{}
@@ -102,7 +102,7 @@
 // after the edit and can find that version only in the status.
 func TestInvalidEditKeepsLastGood(t *testing.T) {
 	v := applied(small()...)
-	statuses := v.Due()
+	statuses := v.DueStatuses()
 	v.Apply(statusWritten(statuses, core.KindModel, 5))
 	bad := statusWritten(statuses, core.KindModel, 6)
 	bad.Spec, bad.Generation = []byte(modelBad), 6
@@ -179,7 +179,7 @@
 		v := applied(small()...)
 		again := object(core.KindModel, "ledger", 9, modelBad)
 		again.UID = "two"
-		again.Status = statusWritten(v.Due(), core.KindModel, 0).Status
+		again.Status = statusWritten(v.DueStatuses(), core.KindModel, 0).Status
 		v.Apply(again)
 		assertServed(t, v, "ledger", 0)
 	})
@@ -223,7 +223,7 @@
 	other.Apply(model)
 	assertServed(t, decider, "portal", 5)
 	assertServed(t, other, "portal", 0)
-	for _, o := range decider.Due() {
+	for _, o := range decider.DueStatuses() {
 		o.Version += 100
 		other.Apply(o)
 	}
@@ -236,10 +236,10 @@
 // although a status named the model as served under it.
 func TestDeletedEntryFreesItsName(t *testing.T) {
 	v := applied(small()...)
-	v.Apply(statusWritten(v.Due(), core.KindModel, 5))
+	v.Apply(statusWritten(v.DueStatuses(), core.KindModel, 5))
 	edit := object(core.KindModel, "ledger", 6, modelAstray)
 	v.Apply(edit)
-	v.Apply(statusWritten(v.Due(), core.KindModel, 7))
+	v.Apply(statusWritten(v.DueStatuses(), core.KindModel, 7))
 	v.Apply(tombstone(core.KindModel, "ledger", 8))
 	v.Apply(object(core.KindService, "ledger", 9, serviceText))
 	assertState(t, v, core.KindService, "ledger", catlog.Accepted, "")
@@ -247,13 +247,13 @@
 
 func TestStatusIsWrittenOnce(t *testing.T) {
 	v := applied(small()...)
-	due := v.Due()
+	due := v.DueStatuses()
 	assert.Equal(t, len(due), 4)
 	for _, o := range due {
 		o.Version += 100
 		v.Apply(o)
 	}
-	assert.Equal(t, len(v.Due()), 0)
+	assert.Equal(t, len(v.DueStatuses()), 0)
 }
 
 func TestStatusIsBounded(t *testing.T) {
--- a/io/agent/drive.go
+++ b/io/agent/drive.go
@@ -223,7 +223,7 @@
 	if closing == nil {
 		return
 	}
-	a.Meter.Silent()
+	a.Meter.SilentConnection()
 	events.Log(events.ConnectionSilent, "host", a.Host, "request", r.id)
 	go (*closing)()
 }
--- a/io/bench/entries.go
+++ b/io/bench/entries.go
@@ -75,7 +75,7 @@
 }
 
 func (b *balancer) watchOne(ctx context.Context, i int) {
-	if !b.entries[i].Ready.Given() {
+	if !b.entries[i].Ready.IsSet() {
 		return
 	}
 	tick := time.NewTicker(readyEvery)
--- a/io/certs/certs_test.go
+++ b/io/certs/certs_test.go
@@ -61,9 +61,9 @@
 	}
 }
 
-func keeper(t *testing.T, dir, name string, role certs.Role, c core.Clock) *certs.Keeper {
+func keeper(t *testing.T, dir, name string, role certs.Role, c core.Clock) *certs.Reloader {
 	t.Helper()
-	k := &certs.Keeper{
+	k := &certs.Reloader{
 		Files: filesOf(dir, name),
 		Self:  certs.Identity{Role: role, Host: core.HostName(name)},
 		Clock: c,
@@ -151,7 +151,7 @@
 			InsecureSkipVerify:   true,
 			GetClientCertificate: stranger.Client(nil, certs.Agent, "").GetClientCertificate,
 		})
-		assertFault(t, srvErr, certs.BadChain)
+		assertFault(t, srvErr, certs.UnknownAuthority)
 	})
 	t.Run("no role", func(t *testing.T) {
 		_, _, srvErr, _ := handshake(t, server, withCert(t, dir, certs.AuthorityCert, certs.AuthorityKey))
@@ -269,7 +269,7 @@
 func TestLoadRefusesWrongName(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "agent-1=agent@127.0.0.1")
-	k := &certs.Keeper{
+	k := &certs.Reloader{
 		Files: filesOf(dir, "agent-1"),
 		Self:  certs.Identity{Role: certs.Entry, Host: "agent-1"},
 		Clock: c,
@@ -281,7 +281,7 @@
 func TestCallers(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1,::1")
-	k := &certs.Keeper{Files: certs.Files{Cert: filesOf(dir, "entry-1").Cert, Key: filesOf(dir, "entry-1").Key}, Clock: c}
+	k := &certs.Reloader{Files: certs.Files{Cert: filesOf(dir, "entry-1").Cert, Key: filesOf(dir, "entry-1").Key}, Clock: c}
 	assert.NilError(t, k.Load())
 	_, cli, srvErr, cliErr := handshake(t, k.Callers([]string{"http/1.1"}), &tls.Config{InsecureSkipVerify: true})
 	assert.NilError(t, errors.Join(srvErr, cliErr))
--- a/io/certs/errors.go
+++ b/io/certs/errors.go
@@ -9,8 +9,8 @@
 const (
 	// NoCertificate: the peer sent no certificate.
 	NoCertificate Fault = "no-certificate"
-	// BadChain: the certificate was not issued by the authority in tls.ca.
-	BadChain Fault = "unknown-authority"
+	// UnknownAuthority: the certificate was not issued by the authority in tls.ca.
+	UnknownAuthority Fault = "unknown-authority"
 	// OutOfDate: the certificate has expired or is not valid yet.
 	OutOfDate Fault = "out-of-date"
 	// NoIdentity: the certificate does not name exactly one role and host.
--- a/io/certs/keeper.go
+++ b/io/certs/keeper.go
@@ -19,9 +19,9 @@
 	warnInterval = 24 * time.Hour
 )
 
-// Keeper holds the newest valid version of a set of TLS files. Its fields must be set
+// Reloader holds the newest valid version of a set of TLS files. Its fields must be set
 // before Load.
-type Keeper struct {
+type Reloader struct {
 	Files Files
 	// Self is the identity that the certificate must name. It is the zero Identity for
 	// a certificate that is used towards callers.
@@ -42,7 +42,7 @@
 
 // Load reads the files for the first time. It returns an error if they cannot be used.
 // It must succeed before any other method is called.
-func (k *Keeper) Load() error {
+func (k *Reloader) Load() error {
 	t, err := k.Files.read()
 	if err != nil {
 		return err
@@ -56,7 +56,7 @@
 }
 
 // Run reads the files again when they change. It returns nil when ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Reloader) Run(ctx context.Context) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
@@ -74,7 +74,7 @@
 // Files are replaced one after the other, so a new certificate may briefly exist
 // together with the previous key. Such a state is reported only if two polls in a row
 // find it.
-func (k *Keeper) Poll() {
+func (k *Reloader) Poll() {
 	k.warn()
 	t, err := k.Files.read()
 	if err == nil && t.equal(k.current.Load().contents) {
@@ -95,7 +95,7 @@
 
 // rejectFiles handles changed files that are invalid: the previous ones stay in use. It
 // logs the error if the last poll found the same files.
-func (k *Keeper) rejectFiles(t contents, err error) {
+func (k *Reloader) rejectFiles(t contents, err error) {
 	if !k.invalid.equal(t) {
 		k.invalid, k.reported = t, false
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-func (k *Keeper) use(m *bundle) {
+func (k *Reloader) use(m *bundle) {
 	k.current.Store(m)
 	k.nextWarning = time.Time{}
 	events.Log(events.CertificateLoaded, "file", k.Files.Cert, "ends", m.leaf.NotAfter)
@@ -114,7 +114,7 @@
 }
 
 // warn logs once a day that the certificate expires soon.
-func (k *Keeper) warn() {
+func (k *Reloader) warn() {
 	now := k.Clock.Now()
 	expiry := k.current.Load().leaf.NotAfter
 	if now.Before(expiry.Add(-warnBefore)) || now.Before(k.nextWarning) {
--- a/io/certs/verify.go
+++ b/io/certs/verify.go
@@ -13,7 +13,7 @@
 
 // Server returns the configuration of a listener that accepts own processes of the given
 // roles only. protocols are those for ALPN, the preferred one first. Refusals are logged.
-func (k *Keeper) Server(protocols []string, roles ...Role) *tls.Config {
+func (k *Reloader) Server(protocols []string, roles ...Role) *tls.Config {
 	base := &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
@@ -41,7 +41,7 @@
 
 // Client returns the configuration for calls to a process of a role on a host; an empty
 // host means any. protocols are those for ALPN. Refusals are logged.
-func (k *Keeper) Client(protocols []string, role Role, host core.HostName) *tls.Config {
+func (k *Reloader) Client(protocols []string, role Role, host core.HostName) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
@@ -59,7 +59,7 @@
 
 // Callers returns the configuration of a listener for callers, which need no
 // certificate. It is for a Keeper whose Self is the zero Identity.
-func (k *Keeper) Callers(protocols []string) *tls.Config {
+func (k *Reloader) Callers(protocols []string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: protocols,
@@ -89,7 +89,7 @@
 // verify returns an error for a peer that does not meet the requirement, and logs the
 // refusal. Only listeners know the remote address; for diallers, the log shows the
 // expected role and host.
-func (k *Keeper) verify(state tls.ConnectionState, remote string, w requirement) error {
+func (k *Reloader) verify(state tls.ConnectionState, remote string, w requirement) error {
 	err := k.check(state, w)
 	if err == nil {
 		return nil
@@ -107,7 +107,7 @@
 }
 
 // check returns the reason why a peer is refused, or nil if it is accepted.
-func (k *Keeper) check(state tls.ConnectionState, w requirement) *PeerError {
+func (k *Reloader) check(state tls.ConnectionState, w requirement) *PeerError {
 	if len(state.PeerCertificates) == 0 {
 		return &PeerError{Fault: NoCertificate}
 	}
@@ -127,7 +127,7 @@
 }
 
 // verifyChain verifies the chain of a peer's certificate and its dates.
-func (k *Keeper) verifyChain(certs []*x509.Certificate, usage x509.ExtKeyUsage) error {
+func (k *Reloader) verifyChain(certs []*x509.Certificate, usage x509.ExtKeyUsage) error {
 	intermediates := x509.NewCertPool()
 	for _, c := range certs[1:] {
 		intermediates.AddCert(c)
@@ -146,5 +146,5 @@
 	if errors.As(err, &invalid) && invalid.Reason == x509.Expired {
 		return OutOfDate
 	}
-	return BadChain
+	return UnknownAuthority
 }
--- a/io/config/check.go
+++ b/io/config/check.go
@@ -176,7 +176,7 @@
 		if u.TLS && p.CA == "" {
 			c.fail(key, "https needs platform.ca")
 		}
-		if u.Given() && slices.Contains(p.URLs[:i], u) {
+		if u.IsSet() && slices.Contains(p.URLs[:i], u) {
 			c.fail(key, "is listed twice")
 		}
 	}
@@ -193,7 +193,7 @@
 func (c *checker) tls() {
 	c.together("tls", map[string]string{"ca": c.s.TLS.CA, "cert": c.s.TLS.Cert, "key": c.s.TLS.Key})
 	c.together("tls.callers", map[string]string{"cert": c.s.TLS.Callers.Cert, "key": c.s.TLS.Callers.Key})
-	if c.s.TLS.Given() || c.s.Managed.Enabled && c.s.Managed.PlainPeers {
+	if c.s.TLS.Enabled() || c.s.Managed.Enabled && c.s.Managed.PlainPeers {
 		return
 	}
 	// Without mutual TLS, anyone who reaches the port may order loads and send requests
@@ -238,8 +238,8 @@
 	}
 }
 
-// Given reports whether own processes communicate over mutual TLS.
-func (t TLS) Given() bool { return t.CA != "" && t.Cert != "" && t.Key != "" }
+// Enabled reports whether own processes communicate over mutual TLS.
+func (t TLS) Enabled() bool { return t.CA != "" && t.Cert != "" && t.Key != "" }
 
 // Check reads settings and catalogue files and returns all of their problems, sorted by
 // file and position. Catalogue files are checked as one catalogue, settings files as
--- a/io/config/config_test.go
+++ b/io/config/config_test.go
@@ -163,7 +163,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var o, again config.Origin
 		if o.UnmarshalText([]byte(text)) != nil {
-			assert.Assert(t, !o.Given())
+			assert.Assert(t, !o.IsSet())
 			return
 		}
 		assert.NilError(t, again.UnmarshalText([]byte(o.String())))
--- a/io/config/types.go
+++ b/io/config/types.go
@@ -75,7 +75,7 @@
 // String returns the address as a URL without a path. It is empty for the zero Origin.
 func (o Origin) String() string {
 	switch {
-	case !o.Given():
+	case !o.IsSet():
 		return ""
 	case o.TLS:
 		return "https://" + o.Addr.String()
@@ -84,5 +84,5 @@
 	}
 }
 
-// Given reports whether the address is set.
-func (o Origin) Given() bool { return o.Addr.IsValid() }
+// IsSet reports whether the address is set.
+func (o Origin) IsSet() bool { return o.Addr.IsValid() }
--- a/io/events/bench_test.go
+++ b/io/events/bench_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	stop, err := (&Outlet{Out: sink, LeftOut: LinesLeftOut}).Start()
+	stop, err := (&AsyncWriter{Out: sink, DroppedEvent: LinesLeftOut}).Start()
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/io/events/outlet.go
+++ b/io/events/outlet.go
@@ -24,14 +24,14 @@
 	stopTimeout = 200 * time.Millisecond
 )
 
-// Outlet is a buffered writer for log lines that never blocks the goroutine that logs. If
+// AsyncWriter is a buffered writer for log lines that never blocks the goroutine that logs. If
 // the reader of the process's output stops reading, writes to the output block, and all
 // requests that log would be blocked too. Lines that exceed the buffer are dropped and
 // counted. The exported fields must be set before Run.
-type Outlet struct {
+type AsyncWriter struct {
 	Out io.Writer
-	// LeftOut is the event that is written with the number of dropped lines.
-	LeftOut Event
+	// DroppedEvent is the event that is written with the number of dropped lines.
+	DroppedEvent Event
 
 	mu      sync.Mutex
 	pending bytes.Buffer
@@ -42,10 +42,10 @@
 	once sync.Once
 }
 
-func (o *Outlet) init() { o.once.Do(func() { o.wake = make(chan struct{}, 1) }) }
+func (o *AsyncWriter) init() { o.once.Do(func() { o.wake = make(chan struct{}, 1) }) }
 
 // Write implements io.Writer. It never blocks and never returns an error.
-func (o *Outlet) Write(line []byte) (int, error) {
+func (o *AsyncWriter) Write(line []byte) (int, error) {
 	o.init()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -60,7 +60,7 @@
 
 // Run writes the buffered lines to Out until ctx ends, and then the last ones. It returns
 // early with the error if Out fails.
-func (o *Outlet) Run(ctx context.Context) error {
+func (o *AsyncWriter) Run(ctx context.Context) error {
 	o.init()
 	for {
 		select {
@@ -75,7 +75,7 @@
 }
 
 // drain writes to Out until the buffer is empty.
-func (o *Outlet) drain() error {
+func (o *AsyncWriter) drain() error {
 	for {
 		text := o.take()
 		if len(text) == 0 {
@@ -89,13 +89,13 @@
 
 // take empties the buffer and returns its lines, followed by one with the number of
 // dropped lines if there are any.
-func (o *Outlet) take() []byte {
+func (o *AsyncWriter) take() []byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	text := bytes.Clone(o.pending.Bytes())
 	o.pending.Reset()
 	if o.dropped > 0 {
-		row := o.LeftOut.Info()
+		row := o.DroppedEvent.Info()
 		text = append(text, `"`+row.Text+`" event="`+row.ID+`" left-out=`+strconv.Itoa(o.dropped)+"\n"...)
 		o.dropped = 0
 	}
@@ -104,7 +104,7 @@
 
 // Start directs all events of the process to the outlet and starts its Run. The returned
 // stop writes the last lines, and waits for at most stopTimeout until they are read.
-func (o *Outlet) Start() (stop func(), err error) {
+func (o *AsyncWriter) Start() (stop func(), err error) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	// Each event is to be written once. By default, klog also writes errors to the outputs
--- a/io/events/outlet_test.go
+++ b/io/events/outlet_test.go
@@ -43,7 +43,7 @@
 	for name, early := range map[string]int{"from the start": 0, "after lines were left out already": 1000} {
 		t.Run(name, func(t *testing.T) {
 			r, w := io.Pipe()
-			o := &events.Outlet{Out: w, LeftOut: events.LinesLeftOut}
+			o := &events.AsyncWriter{Out: w, DroppedEvent: events.LinesLeftOut}
 			write := func(n int) {
 				for range n {
 					n, err := o.Write(line)
@@ -73,7 +73,7 @@
 
 func TestLinesComeWholeAndInOrder(t *testing.T) {
 	var out bytes.Buffer
-	o := &events.Outlet{Out: &out}
+	o := &events.AsyncWriter{Out: &out}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- o.Run(ctx) }()
--- a/io/hosted/commands.go
+++ b/io/hosted/commands.go
@@ -104,7 +104,7 @@
 	if err := events.SetVerbosity(settings.Telemetry.Verbosity); err != nil {
 		return err
 	}
-	stop, err := (&events.Outlet{Out: os.Stdout, LeftOut: events.LinesLeftOut}).Start()
+	stop, err := (&events.AsyncWriter{Out: os.Stdout, DroppedEvent: events.LinesLeftOut}).Start()
 	if err != nil {
 		return err
 	}
--- a/io/meter/meter.go
+++ b/io/meter/meter.go
@@ -91,8 +91,8 @@
 	m.count(nameRetries, "result", label).Inc()
 }
 
-// SentDespite counts a request sent to an upstream that had announced a signal.
-func (m *Meter) SentDespite(s UpstreamSignal) {
+// SentDespiteSignal counts a request sent to an upstream that had announced a signal.
+func (m *Meter) SentDespiteSignal(s UpstreamSignal) {
 	if m != nil {
 		m.count(nameSignalSends, "signal", s.String()).Inc()
 	}
@@ -135,8 +135,8 @@
 	}
 }
 
-// Silent counts a connection that was closed because it went silent.
-func (m *Meter) Silent() {
+// SilentConnection counts a connection that was closed because it went silent.
+func (m *Meter) SilentConnection() {
 	if m != nil {
 		m.count(nameSilent).Inc()
 	}
--- a/io/meter/meter_test.go
+++ b/io/meter/meter_test.go
@@ -59,7 +59,7 @@
 	m.Accelerators(2, true, began, after(30*time.Second))
 	m.Retry(true)
 	m.Retry(false)
-	m.SentDespite(meter.SignalLimited)
+	m.SentDespiteSignal(meter.SignalLimited)
 	m.LimitedUpstreams(func() int { return 1 })
 	m.ReplicaLag(core.KindTable, func() time.Duration { return 2 * time.Second })
 	m.ReplicaAge(core.KindTable, func() time.Duration { return time.Second })
@@ -67,7 +67,7 @@
 	m.Platform(meter.UpdateStatus, &core.PlatformError{Fault: core.Conflict}, began, after(5*time.Millisecond))
 	m.Peer("Sync", true)
 	m.Traffic(100, 2000)
-	m.Silent()
+	m.SilentConnection()
 	m.Strike()
 	m.Claim(meter.ClaimHeld)
 	m.Queue(core.Overnight, func() int { return 3 })
@@ -140,7 +140,7 @@
 	var m *meter.Meter
 	m.Request(core.Evening, nil, began, began, began, true)
 	m.Queue(core.Evening, func() int { return 0 })
-	m.Silent()
+	m.SilentConnection()
 	assert.Equal(t, text(m), "")
 }
 
--- a/io/node/mesh.go
+++ b/io/node/mesh.go
@@ -242,6 +242,6 @@
 
 // silent notes a control connection that was closed for its silence.
 func (n *Node) silent(to peer.Target) {
-	n.meter.Silent()
+	n.meter.SilentConnection()
 	events.Log(events.ConnectionSilent, "host", to.Host, "address", to.Address)
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -41,8 +41,8 @@
 	clock        core.Clock
 	incarnation  core.Incarnation
 	rand         *rand.Rand
-	keeper       *certs.Keeper
-	callers      *certs.Keeper
+	keeper       *certs.Reloader
+	callers      *certs.Reloader
 	meter        *meter.Meter
 	tracer       *spans.Tracer
 	world        *world
@@ -159,14 +159,14 @@
 	t := n.Settings.TLS
 	if t.Cert != "" {
 		self := certs.Identity{Role: certs.Role(n.Settings.Role), Host: n.Settings.Name}
-		n.keeper = &certs.Keeper{Files: certs.Files{CA: t.CA, Cert: t.Cert, Key: t.Key}, Self: self, Clock: n.clock}
+		n.keeper = &certs.Reloader{Files: certs.Files{CA: t.CA, Cert: t.Cert, Key: t.Key}, Self: self, Clock: n.clock}
 		if err := n.keeper.Load(); err != nil {
 			return oops.In("node").Wrapf(err, "load TLS files")
 		}
 		n.addPart("tls", n.keeper.Run)
 	}
 	if t.Callers.Cert != "" {
-		n.callers = &certs.Keeper{Files: certs.Files{Cert: t.Callers.Cert, Key: t.Callers.Key}, Clock: n.clock}
+		n.callers = &certs.Reloader{Files: certs.Files{Cert: t.Callers.Cert, Key: t.Callers.Key}, Clock: n.clock}
 		if err := n.callers.Load(); err != nil {
 			return oops.In("node").Wrapf(err, "load callers' TLS files")
 		}
--- a/io/node/world.go
+++ b/io/node/world.go
@@ -267,7 +267,7 @@
 	if !w.judged {
 		return nil
 	}
-	list := w.view.Due()
+	list := w.view.DueStatuses()
 	w.judged = len(list) > 0
 	return list[:min(len(list), limit)]
 }
--- a/io/proxy/signal.go
+++ b/io/proxy/signal.go
@@ -33,13 +33,13 @@
 	_, s.backoff = t.host.BackingOff(now)
 	c.signals = s
 	if s.limit.Limited {
-		p.Meter.SentDespite(meter.SignalLimited)
+		p.Meter.SentDespiteSignal(meter.SignalLimited)
 	}
 	if s.leaving {
-		p.Meter.SentDespite(meter.SignalLeaving)
+		p.Meter.SentDespiteSignal(meter.SignalLeaving)
 	}
 	if s.backoff {
-		p.Meter.SentDespite(meter.SignalBackoff)
+		p.Meter.SentDespiteSignal(meter.SignalBackoff)
 	}
 	return now
 }
--- a/io/spans/tracer.go
+++ b/io/spans/tracer.go
@@ -46,7 +46,7 @@
 func (t *Tracer) Start(ctx context.Context) error {
 	exporter := t.Exporter
 	if exporter == nil {
-		if !t.Collector.Given() {
+		if !t.Collector.IsSet() {
 			return nil
 		}
 		otlp, err := t.newExporter(ctx)
