--- a/io/certs/certs_test.go
+++ b/io/certs/certs_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func keeper(t *testing.T, dir, name string, role certs.Role, c core.Clock) *certs.Reloader {
+func load(t *testing.T, dir, name string, role certs.Role, c core.Clock) *certs.Reloader {
 	t.Helper()
 	k := &certs.Reloader{
 		Files: filesOf(dir, name),
@@ -114,8 +114,8 @@
 func TestMutual(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1", "boss=operator@127.0.0.1")
-	entry, agent := keeper(t, dir, "entry-1", certs.Entry, c), keeper(t, dir, "agent-1", certs.Agent, c)
-	boss := keeper(t, dir, "boss", certs.Operator, c)
+	entry, agent := load(t, dir, "entry-1", certs.Entry, c), load(t, dir, "agent-1", certs.Agent, c)
+	boss := load(t, dir, "boss", certs.Operator, c)
 	server := agent.Server([]string{"h2"}, certs.Entry)
 
 	t.Run("right role", func(t *testing.T) {
@@ -146,7 +146,7 @@
 	t.Run("other authority", func(t *testing.T) {
 		other := t.TempDir()
 		makeKeys(t, other, c, "entry-1=entry@127.0.0.1")
-		stranger := keeper(t, other, "entry-1", certs.Entry, c)
+		stranger := load(t, other, "entry-1", certs.Entry, c)
 		_, _, srvErr, _ := handshake(t, server, &tls.Config{
 			InsecureSkipVerify:   true,
 			GetClientCertificate: stranger.Client(nil, certs.Agent, "").GetClientCertificate,
@@ -171,7 +171,7 @@
 func TestHTTP2(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1")
-	entry, agent := keeper(t, dir, "entry-1", certs.Entry, c), keeper(t, dir, "agent-1", certs.Agent, c)
+	entry, agent := load(t, dir, "entry-1", certs.Entry, c), load(t, dir, "agent-1", certs.Agent, c)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id, _ := certs.PeerOf(*r.TLS)
 		fmt.Fprint(w, r.Proto, " ", id)
@@ -198,7 +198,7 @@
 func TestExpired(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1")
-	entry, agent := keeper(t, dir, "entry-1", certs.Entry, c), keeper(t, dir, "agent-1", certs.Agent, c)
+	entry, agent := load(t, dir, "entry-1", certs.Entry, c), load(t, dir, "agent-1", certs.Agent, c)
 	c.add(year + day)
 	_, _, srvErr, _ := handshake(t, agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, ""))
 	_, _, _, cliErr := handshake(t, agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, ""))
@@ -216,7 +216,7 @@
 func TestReloadCutsNothing(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1")
-	entry, agent := keeper(t, dir, "entry-1", certs.Entry, c), keeper(t, dir, "agent-1", certs.Agent, c)
+	entry, agent := load(t, dir, "entry-1", certs.Entry, c), load(t, dir, "agent-1", certs.Agent, c)
 	server, client := agent.Server(nil, certs.Entry), entry.Client(nil, certs.Agent, "agent-1")
 	srv, cli, srvErr, cliErr := handshake(t, server, client)
 	assert.NilError(t, errors.Join(srvErr, cliErr))
@@ -241,7 +241,7 @@
 	c, dir, other := newClock(), t.TempDir(), t.TempDir()
 	makeKeys(t, dir, c, "agent-1=agent@127.0.0.1", "entry-1=entry@127.0.0.1")
 	makeKeys(t, other, c, "agent-1=agent@127.0.0.1")
-	entry, agent := keeper(t, dir, "entry-1", certs.Entry, c), keeper(t, dir, "agent-1", certs.Agent, c)
+	entry, agent := load(t, dir, "entry-1", certs.Entry, c), load(t, dir, "agent-1", certs.Agent, c)
 	for _, broken := range []string{"swapped", "empty", "absent"} {
 		t.Run(broken, func(t *testing.T) {
 			path := filepath.Join(dir, "agent-1.crt")
--- a/io/certs/keeper.go
+++ b/io/certs/reload.go
@@ -42,21 +42,21 @@
 
 // Load reads the files for the first time. It returns an error if they cannot be used.
 // It must succeed before any other method is called.
-func (k *Reloader) Load() error {
-	t, err := k.Files.read()
+func (r *Reloader) Load() error {
+	t, err := r.Files.read()
 	if err != nil {
 		return err
 	}
-	m, err := k.Files.parse(t, k.Self)
+	m, err := r.Files.parse(t, r.Self)
 	if err != nil {
 		return err
 	}
-	k.use(m)
+	r.use(m)
 	return nil
 }
 
 // Run reads the files again when they change. It returns nil when ctx ends.
-func (k *Reloader) Run(ctx context.Context) error {
+func (r *Reloader) Run(ctx context.Context) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
@@ -64,7 +64,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			k.Poll()
+			r.Poll()
 		}
 	}
 }
@@ -74,52 +74,52 @@
 // Files are replaced one after the other, so a new certificate may briefly exist
 // together with the previous key. Such a state is reported only if two polls in a row
 // find it.
-func (k *Reloader) Poll() {
-	k.warn()
-	t, err := k.Files.read()
-	if err == nil && t.equal(k.current.Load().contents) {
-		k.invalid, k.reported = contents{}, false
+func (r *Reloader) Poll() {
+	r.warn()
+	t, err := r.Files.read()
+	if err == nil && t.equal(r.current.Load().contents) {
+		r.invalid, r.reported = contents{}, false
 		return
 	}
 	var m *bundle
 	if err == nil {
-		m, err = k.Files.parse(t, k.Self)
+		m, err = r.Files.parse(t, r.Self)
 	}
 	if err != nil {
-		k.rejectFiles(t, err)
+		r.rejectFiles(t, err)
 		return
 	}
-	k.invalid, k.reported = contents{}, false
-	k.use(m)
+	r.invalid, r.reported = contents{}, false
+	r.use(m)
 }
 
 // rejectFiles handles changed files that are invalid: the previous ones stay in use. It
 // logs the error if the last poll found the same files.
-func (k *Reloader) rejectFiles(t contents, err error) {
-	if !k.invalid.equal(t) {
-		k.invalid, k.reported = t, false
+func (r *Reloader) rejectFiles(t contents, err error) {
+	if !r.invalid.equal(t) {
+		r.invalid, r.reported = t, false
 		return
 	}
-	if !k.reported {
-		k.reported = true
-		events.Fail(events.CertificateInvalid, err, "file", k.Files.Cert)
+	if !r.reported {
+		r.reported = true
+		events.Fail(events.CertificateInvalid, err, "file", r.Files.Cert)
 	}
 }
 
-func (k *Reloader) use(m *bundle) {
-	k.current.Store(m)
-	k.nextWarning = time.Time{}
-	events.Log(events.CertificateLoaded, "file", k.Files.Cert, "ends", m.leaf.NotAfter)
-	k.warn()
+func (r *Reloader) use(m *bundle) {
+	r.current.Store(m)
+	r.nextWarning = time.Time{}
+	events.Log(events.CertificateLoaded, "file", r.Files.Cert, "ends", m.leaf.NotAfter)
+	r.warn()
 }
 
 // warn logs once a day that the certificate expires soon.
-func (k *Reloader) warn() {
-	now := k.Clock.Now()
-	expiry := k.current.Load().leaf.NotAfter
-	if now.Before(expiry.Add(-warnBefore)) || now.Before(k.nextWarning) {
+func (r *Reloader) warn() {
+	now := r.Clock.Now()
+	expiry := r.current.Load().leaf.NotAfter
+	if now.Before(expiry.Add(-warnBefore)) || now.Before(r.nextWarning) {
 		return
 	}
-	k.nextWarning = now.Add(warnInterval)
-	events.Log(events.CertificateExpiring, "file", k.Files.Cert, "ends", expiry)
+	r.nextWarning = now.Add(warnInterval)
+	events.Log(events.CertificateExpiring, "file", r.Files.Cert, "ends", expiry)
 }
--- a/io/certs/verify.go
+++ b/io/certs/verify.go
@@ -13,7 +13,7 @@
 
 // Server returns the configuration of a listener that accepts own processes of the given
 // roles only. protocols are those for ALPN, the preferred one first. Refusals are logged.
-func (k *Reloader) Server(protocols []string, roles ...Role) *tls.Config {
+func (r *Reloader) Server(protocols []string, roles ...Role) *tls.Config {
 	base := &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
@@ -22,7 +22,7 @@
 		ClientAuth:             tls.RequestClientCert,
 		SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return k.current.Load().cert, nil
+			return r.current.Load().cert, nil
 		},
 	}
 	base.GetConfigForClient = func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
@@ -30,7 +30,7 @@
 		conf := base.Clone()
 		conf.GetConfigForClient = nil
 		conf.VerifyConnection = func(state tls.ConnectionState) error {
-			return k.verify(state, remote, requirement{roles: roles, usage: x509.ExtKeyUsageClientAuth})
+			return r.verify(state, remote, requirement{roles: roles, usage: x509.ExtKeyUsageClientAuth})
 		}
 		return conf, nil
 	}
@@ -41,7 +41,7 @@
 
 // Client returns the configuration for calls to a process of a role on a host; an empty
 // host means any. protocols are those for ALPN. Refusals are logged.
-func (k *Reloader) Client(protocols []string, role Role, host core.HostName) *tls.Config {
+func (r *Reloader) Client(protocols []string, role Role, host core.HostName) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
@@ -49,22 +49,22 @@
 		// contain. VerifyConnection checks authority, dates, role and host instead.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return k.current.Load().cert, nil
+			return r.current.Load().cert, nil
 		},
 		VerifyConnection: func(state tls.ConnectionState) error {
-			return k.verify(state, "", requirement{roles: []Role{role}, host: host, usage: x509.ExtKeyUsageServerAuth})
+			return r.verify(state, "", requirement{roles: []Role{role}, host: host, usage: x509.ExtKeyUsageServerAuth})
 		},
 	}
 }
 
 // Callers returns the configuration of a listener for callers, which need no
-// certificate. It is for a Keeper whose Self is the zero Identity.
-func (k *Reloader) Callers(protocols []string) *tls.Config {
+// certificate. It is for a Reloader whose Self is the zero Identity.
+func (r *Reloader) Callers(protocols []string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: protocols,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return k.current.Load().cert, nil
+			return r.current.Load().cert, nil
 		},
 	}
 }
@@ -89,8 +89,8 @@
 // verify returns an error for a peer that does not meet the requirement, and logs the
 // refusal. Only listeners know the remote address; for diallers, the log shows the
 // expected role and host.
-func (k *Reloader) verify(state tls.ConnectionState, remote string, w requirement) error {
-	err := k.check(state, w)
+func (r *Reloader) verify(state tls.ConnectionState, remote string, w requirement) error {
+	err := r.check(state, w)
 	if err == nil {
 		return nil
 	}
@@ -107,12 +107,12 @@
 }
 
 // check returns the reason why a peer is refused, or nil if it is accepted.
-func (k *Reloader) check(state tls.ConnectionState, w requirement) *PeerError {
+func (r *Reloader) check(state tls.ConnectionState, w requirement) *PeerError {
 	if len(state.PeerCertificates) == 0 {
 		return &PeerError{Fault: NoCertificate}
 	}
 	id, hasIdentity := IdentityOf(state.PeerCertificates[0])
-	if err := k.verifyChain(state.PeerCertificates, w.usage); err != nil {
+	if err := r.verifyChain(state.PeerCertificates, w.usage); err != nil {
 		return &PeerError{Fault: faultOf(err), Peer: id, Cause: err}
 	}
 	switch {
@@ -127,15 +127,15 @@
 }
 
 // verifyChain verifies the chain of a peer's certificate and its dates.
-func (k *Reloader) verifyChain(certs []*x509.Certificate, usage x509.ExtKeyUsage) error {
+func (r *Reloader) verifyChain(certs []*x509.Certificate, usage x509.ExtKeyUsage) error {
 	intermediates := x509.NewCertPool()
 	for _, c := range certs[1:] {
 		intermediates.AddCert(c)
 	}
 	_, err := certs[0].Verify(x509.VerifyOptions{
-		Roots:         k.current.Load().pool,
+		Roots:         r.current.Load().pool,
 		Intermediates: intermediates,
-		CurrentTime:   k.Clock.Now(),
+		CurrentTime:   r.Clock.Now(),
 		KeyUsages:     []x509.ExtKeyUsage{usage},
 	})
 	return err
--- a/io/events/outlet.go
+++ b/io/events/async.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// bufferBytes bounds the lines that an Outlet buffers: about two thousand, which a
+	// bufferBytes bounds the lines that an AsyncWriter buffers: about two thousand, which a
 	// busy entry writes in half a minute.
 	bufferBytes = 512 << 10
 	// stopTimeout bounds the time that an ending process waits until its last lines are
@@ -42,46 +42,46 @@
 	once sync.Once
 }
 
-func (o *AsyncWriter) init() { o.once.Do(func() { o.wake = make(chan struct{}, 1) }) }
+func (w *AsyncWriter) init() { w.once.Do(func() { w.wake = make(chan struct{}, 1) }) }
 
 // Write implements io.Writer. It never blocks and never returns an error.
-func (o *AsyncWriter) Write(line []byte) (int, error) {
-	o.init()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.pending.Len()+len(line) > bufferBytes {
-		o.dropped++
+func (w *AsyncWriter) Write(line []byte) (int, error) {
+	w.init()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.pending.Len()+len(line) > bufferBytes {
+		w.dropped++
 		return len(line), nil
 	}
-	o.pending.Write(line)
-	loop.Poke(o.wake)
+	w.pending.Write(line)
+	loop.Poke(w.wake)
 	return len(line), nil
 }
 
 // Run writes the buffered lines to Out until ctx ends, and then the last ones. It returns
 // early with the error if Out fails.
-func (o *AsyncWriter) Run(ctx context.Context) error {
-	o.init()
+func (w *AsyncWriter) Run(ctx context.Context) error {
+	w.init()
 	for {
 		select {
 		case <-ctx.Done():
-			return o.drain()
-		case <-o.wake:
+			return w.drain()
+		case <-w.wake:
 		}
-		if err := o.drain(); err != nil {
+		if err := w.drain(); err != nil {
 			return err
 		}
 	}
 }
 
 // drain writes to Out until the buffer is empty.
-func (o *AsyncWriter) drain() error {
+func (w *AsyncWriter) drain() error {
 	for {
-		text := o.take()
+		text := w.take()
 		if len(text) == 0 {
 			return nil
 		}
-		if _, err := o.Out.Write(text); err != nil {
+		if _, err := w.Out.Write(text); err != nil {
 			return err
 		}
 	}
@@ -89,22 +89,22 @@
 
 // take empties the buffer and returns its lines, followed by one with the number of
 // dropped lines if there are any.
-func (o *AsyncWriter) take() []byte {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	text := bytes.Clone(o.pending.Bytes())
-	o.pending.Reset()
-	if o.dropped > 0 {
-		row := o.DroppedEvent.Info()
-		text = append(text, `"`+row.Text+`" event="`+row.ID+`" left-out=`+strconv.Itoa(o.dropped)+"\n"...)
-		o.dropped = 0
+func (w *AsyncWriter) take() []byte {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	text := bytes.Clone(w.pending.Bytes())
+	w.pending.Reset()
+	if w.dropped > 0 {
+		row := w.DroppedEvent.Info()
+		text = append(text, `"`+row.Text+`" event="`+row.ID+`" left-out=`+strconv.Itoa(w.dropped)+"\n"...)
+		w.dropped = 0
 	}
 	return text
 }
 
-// Start directs all events of the process to the outlet and starts its Run. The returned
+// Start directs all events of the process to the writer and starts its Run. The returned
 // stop writes the last lines, and waits for at most stopTimeout until they are read.
-func (o *AsyncWriter) Start() (stop func(), err error) {
+func (w *AsyncWriter) Start() (stop func(), err error) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	// Each event is to be written once. By default, klog also writes errors to the outputs
@@ -114,10 +114,10 @@
 			return nil, oops.In("events").Wrapf(err, "set klog's %s", name)
 		}
 	}
-	klog.SetOutput(o)
+	klog.SetOutput(w)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- o.Run(ctx) }()
+	go func() { ended <- w.Run(ctx) }()
 	return func() {
 		klog.Flush()
 		cancel()
--- a/io/events/outlet_test.go
+++ b/io/events/async_test.go
@@ -20,7 +20,7 @@
 var leftOut = regexp.MustCompile(`left-out=(\d+)\n`)
 
 // wantAll fails unless each of the lines written is in the text or counted there as
-// dropped. There are several counts if the outlet wrote lines between two dropped ones.
+// dropped. There are several counts if the writer wrote lines between two dropped ones.
 func wantAll(t *testing.T, text string, written int) {
 	t.Helper()
 	lines, left := strings.Count(text, "xxx\n"), 0
@@ -39,7 +39,7 @@
 func TestStoppedReaderHoldsUpNobody(t *testing.T) {
 	const written = 5000
 	line := []byte(strings.Repeat("x", 999) + "\n")
-	// early is the number of lines written before the outlet's goroutine first runs.
+	// early is the number of lines written before the writer's goroutine first runs.
 	for name, early := range map[string]int{"from the start": 0, "after lines were left out already": 1000} {
 		t.Run(name, func(t *testing.T) {
 			r, w := io.Pipe()
