--- a/core/catlog/build.go
+++ b/core/catlog/build.go
@@ -30,31 +30,31 @@
 	shared map[Digest]bool
 }
 
-func (b *builder) add(g *validSpec) {
-	switch g.spec.kind {
+func (b *builder) add(vs *validSpec) {
+	switch vs.spec.kind {
 	case core.KindOwner:
-		b.owner(g)
+		b.owner(vs)
 	case core.KindService:
-		b.service(g)
+		b.service(vs)
 	case core.KindModel:
-		b.model(g)
+		b.model(vs)
 	case core.KindAdapter:
-		b.adapter(g)
+		b.adapter(vs)
 	}
 }
 
-func (b *builder) owner(g *validSpec) {
-	o := g.spec.owner
+func (b *builder) owner(vs *validSpec) {
+	o := vs.spec.owner
 	a := &Account{
-		Name:         core.OwnerName(g.spec.name),
+		Name:         core.OwnerName(vs.spec.name),
 		Limits:       o.Limits,
 		CallerLimits: o.CallerLimits,
-		Version:      g.version,
+		Version:      vs.version,
 	}
 	b.s.accounts[a.Name] = a
 	b.s.list = append(b.s.list, a)
 	for i, k := range o.Keys {
-		d := g.digests[i]
+		d := vs.digests[i]
 		if _, taken := b.s.keys[d]; taken || b.shared[d] {
 			b.shared[d] = true
 			delete(b.s.keys, d)
@@ -64,14 +64,14 @@
 	}
 }
 
-func (b *builder) service(g *validSpec) {
-	s := g.spec.service
+func (b *builder) service(vs *validSpec) {
+	s := vs.spec.service
 	p := &Pool{
-		Name:        core.ServiceName(g.spec.name),
+		Name:        core.ServiceName(vs.spec.name),
 		Type:        s.Type,
 		Limits:      s.Limits,
 		ChecksFence: s.ChecksFence,
-		Version:     g.version,
+		Version:     vs.version,
 	}
 	b.s.pools[p.Name] = p
 	b.s.poolList = append(b.s.poolList, p)
@@ -85,7 +85,7 @@
 		Class:      s.Class,
 		Limits:     s.Limits,
 		Repeatable: s.Repeatable,
-		Version:    g.version,
+		Version:    vs.version,
 	}
 	if e.Repeatable == "" {
 		e.Repeatable = core.RepeatSafe
@@ -94,11 +94,11 @@
 	b.s.services[p.Name] = e
 }
 
-func (b *builder) model(g *validSpec) {
-	m := g.spec.model
+func (b *builder) model(vs *validSpec) {
+	m := vs.spec.model
 	e := &Entry{
 		Kind:         core.KindModel,
-		Target:       core.Target{Service: m.Service, Model: core.ModelName(g.spec.name)},
+		Target:       core.Target{Service: m.Service, Model: core.ModelName(vs.spec.name)},
 		Owner:        m.Owner,
 		Class:        m.Class,
 		Limits:       m.Limits,
@@ -106,18 +106,18 @@
 		Accelerators: max(m.Accelerators, 1),
 		Repeatable:   repeatRule(m.Repeatable),
 		ChecksFence:  b.s.pools[m.Service].ChecksFence,
-		Version:      g.version,
+		Version:      vs.version,
 	}
 	setSharing(e, m.SharedWith)
 	b.item(e)
 }
 
-func (b *builder) adapter(g *validSpec) {
-	a := g.spec.adapter
+func (b *builder) adapter(vs *validSpec) {
+	a := vs.spec.adapter
 	base := b.s.models[a.Base]
 	e := &Entry{
 		Kind:         core.KindAdapter,
-		Target:       core.Target{Service: base.Target.Service, Model: core.ModelName(g.spec.name), Base: a.Base},
+		Target:       core.Target{Service: base.Target.Service, Model: core.ModelName(vs.spec.name), Base: a.Base},
 		Owner:        a.Owner,
 		Class:        a.Class,
 		Limits:       a.Limits,
@@ -125,7 +125,7 @@
 		Accelerators: base.Accelerators,
 		Repeatable:   repeatRule(a.Repeatable),
 		ChecksFence:  base.ChecksFence,
-		Version:      g.version,
+		Version:      vs.version,
 	}
 	setSharing(e, a.SharedWith)
 	b.item(e)
--- a/core/catlog/cross.go
+++ b/core/catlog/cross.go
@@ -40,26 +40,26 @@
 // it had when it was last served.
 func (x *index) addRecord(r *record) {
 	if !r.object.Deleted {
-		x.known[r.at] = true
+		x.known[r.id] = true
 	}
-	g := r.reserved()
+	vs := r.reserved()
 	switch {
-	case g == nil:
-	case r.at.kind == core.KindOwner:
-		for d := range g.has {
+	case vs == nil:
+	case r.id.kind == core.KindOwner:
+		for d := range vs.has {
 			x.reservedDigests[d]++
 		}
 	default:
-		x.reservedNames[r.at.name]++
+		x.reservedNames[r.id.name]++
 	}
 }
 
 // addServed adds a version that is in force.
-func (x *index) addServed(g *validSpec) {
-	switch s := g.spec; s.kind {
+func (x *index) addServed(vs *validSpec) {
+	switch s := vs.spec; s.kind {
 	case core.KindOwner:
 		x.owners[core.OwnerName(s.name)] = s.owner
-		for _, d := range g.digests {
+		for _, d := range vs.digests {
 			x.listed[d]++
 		}
 	case core.KindService:
@@ -70,26 +70,26 @@
 }
 
 // faults checks a version of an entry against the entries in force.
-func (x *index) faults(r *record, g *validSpec) []Fault {
-	switch r.at.kind {
+func (x *index) faults(r *record, vs *validSpec) []Fault {
+	switch r.id.kind {
 	case core.KindOwner:
-		return x.ownerFaults(g, r.reserved())
+		return x.ownerFaults(vs, r.reserved())
 	case core.KindService:
-		return append(x.nameFaults(r, false), x.serviceFaults(g.spec.service)...)
+		return append(x.nameFaults(r, false), x.serviceFaults(vs.spec.service)...)
 	case core.KindModel:
-		inForce := x.services[core.ServiceName(r.at.name)] != nil
-		return append(x.nameFaults(r, inForce), x.modelFaults(g.spec.model)...)
+		inForce := x.services[core.ServiceName(r.id.name)] != nil
+		return append(x.nameFaults(r, inForce), x.modelFaults(vs.spec.model)...)
 	default:
-		inForce := x.services[core.ServiceName(r.at.name)] != nil || x.models[core.ModelName(r.at.name)] != nil
-		return append(x.nameFaults(r, inForce), x.adapterFaults(g.spec.adapter)...)
+		inForce := x.services[core.ServiceName(r.id.name)] != nil || x.models[core.ModelName(r.id.name)] != nil
+		return append(x.nameFaults(r, inForce), x.adapterFaults(vs.spec.adapter)...)
 	}
 }
 
 // ownerFaults reports digests that other owners list. If a key belonged to two
 // owners, requests would be charged to the wrong one.
-func (x *index) ownerFaults(g, previous *validSpec) []Fault {
+func (x *index) ownerFaults(vs, previous *validSpec) []Fault {
 	var faults []Fault
-	for i, d := range g.digests {
+	for i, d := range vs.digests {
 		had := previous != nil && previous.has[d]
 		key := "keys[" + strconv.Itoa(i) + "].digest"
 		switch {
@@ -106,7 +106,7 @@
 // before take precedence; among the others, those of the kind that is resolved
 // first.
 func (x *index) nameFaults(r *record, inForce bool) []Fault {
-	taken := r.reserved() == nil && x.reservedNames[r.at.name] > 0
+	taken := r.reserved() == nil && x.reservedNames[r.id.name] > 0
 	if !taken && !inForce {
 		return nil
 	}
--- a/core/catlog/file.go
+++ b/core/catlog/file.go
@@ -139,10 +139,10 @@
 	for _, r := range v.sorted {
 		for _, f := range r.crossFaults {
 			if faulty[f.target] {
-				faulty[r.at] = true
+				faulty[r.id] = true
 				continue
 			}
-			problems = append(problems, problemOf(from[r.at].head, from[r.at].doc, f))
+			problems = append(problems, problemOf(from[r.id].head, from[r.id].doc, f))
 		}
 	}
 	return problems
--- a/core/catlog/record.go
+++ b/core/catlog/record.go
@@ -10,7 +10,7 @@
 
 // record is the state of one entry.
 type record struct {
-	at id
+	id id
 	// rank is the index of the kind in resolveOrder.
 	rank int
 	// changed is set if a newer object has arrived since the last resolve.
@@ -22,7 +22,7 @@
 	// ownFaults are the faults of the current spec alone; crossFaults are those found
 	// against other entries in the spec that would be served.
 	ownFaults, crossFaults []Fault
-	// current is the current spec; nil if it is invalid.
+	// current is the current spec; nil if the spec fails a check of single entries.
 	current *validSpec
 	// lastServed is the version served last. served equals lastServed while the entry
 	// is served, and is nil otherwise.
@@ -50,17 +50,17 @@
 }
 
 func newValidSpec(s spec, version core.Version, generation int64, text []byte) *validSpec {
-	g := &validSpec{spec: s, version: version, generation: generation, text: text}
+	vs := &validSpec{spec: s, version: version, generation: generation, text: text}
 	if s.kind != core.KindOwner {
-		return g
+		return vs
 	}
-	g.has = map[Digest]bool{}
+	vs.has = map[Digest]bool{}
 	for _, k := range s.owner.Keys {
 		d, _ := ParseDigest(k.Digest)
-		g.digests = append(g.digests, d)
-		g.has[d] = true
+		vs.digests = append(vs.digests, d)
+		vs.has[d] = true
 	}
-	return g
+	return vs
 }
 
 // update replaces the record's object by a newer one. It reports whether o was
@@ -124,16 +124,16 @@
 // specInForce returns the version that a status names, or nil if it is invalid for
 // this process.
 func (r *record) specInForce(f *InForce) *validSpec {
-	for _, g := range []*validSpec{r.current, r.lastServed} {
-		if g == nil || g.generation != f.Generation || !equalSpecs(g.text, f.Spec) {
+	for _, vs := range []*validSpec{r.current, r.lastServed} {
+		if vs == nil || vs.generation != f.Generation || !equalSpecs(vs.text, f.Spec) {
 			continue
 		}
 		// All processes use the version number at which the deciding process received
 		// the spec, unless they have already served the spec under another number.
-		if g == r.current && r.firstSeen == r.object.Version {
-			g.version = min(g.version, f.Version)
+		if vs == r.current && r.firstSeen == r.object.Version {
+			vs.version = min(vs.version, f.Version)
 		}
-		return g
+		return vs
 	}
 	s, faults := parseSpec(r.object.Kind, r.object.Name, f.Spec)
 	if len(faults) > 0 {
--- a/core/catlog/resolve.go
+++ b/core/catlog/resolve.go
@@ -17,7 +17,7 @@
 	owners := 0
 	for i, r := range v.sorted {
 		// Owners are checked against other owners, so all of them must be in the index.
-		if r.at.kind == core.KindOwner {
+		if r.id.kind == core.KindOwner {
 			owners = i + 1
 		} else if i == owners {
 			v.checkOwners(x, owners)
@@ -42,17 +42,17 @@
 // only if the deciding process says so, and then in all processes.
 func (r *record) choose(x *index) {
 	r.crossFaults, r.served = nil, nil
-	for _, g := range []*validSpec{r.current, r.lastServed, r.reserved()} {
-		if g == nil {
+	for _, vs := range []*validSpec{r.current, r.lastServed, r.reserved()} {
+		if vs == nil {
 			continue
 		}
-		faults := x.faults(r, g)
+		faults := x.faults(r, vs)
 		if r.crossFaults == nil {
 			r.crossFaults = faults
 		}
 		if !blocked(faults) {
-			r.lastServed, r.served = g, g
-			x.addServed(g)
+			r.lastServed, r.served = vs, vs
+			x.addServed(vs)
 			return
 		}
 	}
@@ -111,8 +111,8 @@
 
 func (r *record) report() Report {
 	return Report{
-		Kind:    r.at.kind,
-		Name:    r.at.name,
+		Kind:    r.id.kind,
+		Name:    r.id.name,
 		State:   r.reported.state,
 		Version: r.object.Version,
 		Served:  r.reported.served,
--- a/core/catlog/view.go
+++ b/core/catlog/view.go
@@ -31,7 +31,7 @@
 var resolveOrder = []core.Kind{core.KindOwner, core.KindService, core.KindModel, core.KindAdapter}
 
 func compareRecords(a, b *record) int {
-	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.at.name, b.at.name))
+	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.id.name, b.id.name))
 }
 
 // Report describes the state of an entry after a change of this entry or of one that
@@ -75,7 +75,7 @@
 		at := id{o.Kind, o.Name}
 		r := v.records[at]
 		if r == nil {
-			r = &record{at: at, rank: rank}
+			r = &record{id: at, rank: rank}
 			v.records[at] = r
 			v.sorted = append(v.sorted, r)
 			added = true
--- a/io/config/check.go
+++ b/io/config/check.go
@@ -305,7 +305,7 @@
 	addresses []address
 }
 
-// add checks a settings file by itself and against those added before.
+// add checks a settings file alone and against those added before.
 func (f *fleet) add(file string, text []byte) strict.Problems {
 	docs, problems := strict.Parse(file, text)
 	if len(problems) > 0 || len(docs) != 1 {
--- a/io/events/async.go
+++ b/io/events/async.go
@@ -124,7 +124,7 @@
 		timer := time.NewTimer(stopTimeout)
 		defer timer.Stop()
 		select {
-		case <-ended: // The only error is that the reader is gone.
+		case <-ended: // An error can only mean that the reader is gone.
 		case <-timer.C:
 		}
 	}, nil
