--- a/core/catlog/build.go
+++ b/core/catlog/build.go
@@ -2,7 +2,7 @@
 
 import "radishwell/core"
 
-// snapshot builds the lookups from the records in force.
+// snapshot builds the lookup tables from the entries in force.
 func (v *View) snapshot() *Snapshot {
 	b := builder{
 		s: &Snapshot{
@@ -16,8 +16,8 @@
 		shared: map[Digest]bool{},
 	}
 	for _, r := range v.sorted {
-		if r.chosen != nil {
-			b.add(r.chosen)
+		if r.served != nil {
+			b.add(r.served)
 		}
 	}
 	return b.s
@@ -25,35 +25,36 @@
 
 type builder struct {
 	s *Snapshot
-	// shared holds digests that more than one owner lists.
+	// shared holds the digests that more than one owner lists. They authenticate
+	// nobody.
 	shared map[Digest]bool
 }
 
-func (b *builder) add(g *good) {
-	switch g.spec.kind {
+func (b *builder) add(vs *validSpec) {
+	switch vs.spec.kind {
 	case core.KindOwner:
-		b.owner(g)
+		b.owner(vs)
 	case core.KindService:
-		b.service(g)
+		b.service(vs)
 	case core.KindModel:
-		b.model(g)
+		b.model(vs)
 	case core.KindAdapter:
-		b.adapter(g)
+		b.adapter(vs)
 	}
 }
 
-func (b *builder) owner(g *good) {
-	o := g.spec.owner
+func (b *builder) owner(vs *validSpec) {
+	o := vs.spec.owner
 	a := &Account{
-		Name:         core.OwnerName(g.spec.name),
+		Name:         core.OwnerName(vs.spec.name),
 		Limits:       o.Limits,
 		CallerLimits: o.CallerLimits,
-		Version:      g.version,
+		Version:      vs.version,
 	}
 	b.s.accounts[a.Name] = a
 	b.s.list = append(b.s.list, a)
 	for i, k := range o.Keys {
-		d := g.digests[i]
+		d := vs.digests[i]
 		if _, taken := b.s.keys[d]; taken || b.shared[d] {
 			b.shared[d] = true
 			delete(b.s.keys, d)
@@ -63,14 +64,14 @@
 	}
 }
 
-func (b *builder) service(g *good) {
-	s := g.spec.service
+func (b *builder) service(vs *validSpec) {
+	s := vs.spec.service
 	p := &Pool{
-		Name:        core.ServiceName(g.spec.name),
+		Name:        core.ServiceName(vs.spec.name),
 		Type:        s.Type,
 		Limits:      s.Limits,
 		ChecksFence: s.ChecksFence,
-		Version:     g.version,
+		Version:     vs.version,
 	}
 	b.s.pools[p.Name] = p
 	b.s.poolList = append(b.s.poolList, p)
@@ -84,20 +85,20 @@
 		Class:      s.Class,
 		Limits:     s.Limits,
 		Repeatable: s.Repeatable,
-		Version:    g.version,
+		Version:    vs.version,
 	}
 	if e.Repeatable == "" {
 		e.Repeatable = core.RepeatSafe
 	}
-	share(e, s.SharedWith)
+	setSharing(e, s.SharedWith)
 	b.s.services[p.Name] = e
 }
 
-func (b *builder) model(g *good) {
-	m := g.spec.model
+func (b *builder) model(vs *validSpec) {
+	m := vs.spec.model
 	e := &Entry{
 		Kind:         core.KindModel,
-		Target:       core.Target{Service: m.Service, Model: core.ModelName(g.spec.name)},
+		Target:       core.Target{Service: m.Service, Model: core.ModelName(vs.spec.name)},
 		Owner:        m.Owner,
 		Class:        m.Class,
 		Limits:       m.Limits,
@@ -105,18 +106,18 @@
 		Accelerators: max(m.Accelerators, 1),
 		Repeatable:   repeatRule(m.Repeatable),
 		ChecksFence:  b.s.pools[m.Service].ChecksFence,
-		Version:      g.version,
+		Version:      vs.version,
 	}
-	share(e, m.SharedWith)
+	setSharing(e, m.SharedWith)
 	b.item(e)
 }
 
-func (b *builder) adapter(g *good) {
-	a := g.spec.adapter
+func (b *builder) adapter(vs *validSpec) {
+	a := vs.spec.adapter
 	base := b.s.models[a.Base]
 	e := &Entry{
 		Kind:         core.KindAdapter,
-		Target:       core.Target{Service: base.Target.Service, Model: core.ModelName(g.spec.name), Base: a.Base},
+		Target:       core.Target{Service: base.Target.Service, Model: core.ModelName(vs.spec.name), Base: a.Base},
 		Owner:        a.Owner,
 		Class:        a.Class,
 		Limits:       a.Limits,
@@ -124,9 +125,9 @@
 		Accelerators: base.Accelerators,
 		Repeatable:   repeatRule(a.Repeatable),
 		ChecksFence:  base.ChecksFence,
-		Version:      g.version,
+		Version:      vs.version,
 	}
-	share(e, a.SharedWith)
+	setSharing(e, a.SharedWith)
 	b.item(e)
 }
 
@@ -135,7 +136,8 @@
 	b.s.items = append(b.s.items, e)
 }
 
-func share(e *Entry, with []core.OwnerName) {
+// setSharing sets the owners other than its own whose callers may use the entry.
+func setSharing(e *Entry, with []core.OwnerName) {
 	for _, n := range with {
 		if n == everyone {
 			e.Shared = true
@@ -145,8 +147,8 @@
 	e.SharedWith = with
 }
 
-// repeatRule turns an entry's flag into a rule: model requests are repeatable
-// unless it says false.
+// repeatRule converts the optional repeatable flag of a model or adapter to a
+// rule. Its requests are repeatable unless the flag is false.
 func repeatRule(flag *bool) core.RepeatRule {
 	if flag != nil && !*flag {
 		return core.RepeatNone
--- a/io/events/outlet_test.go
+++ b/io/events/async_test.go
@@ -16,12 +16,11 @@
 	"radishwell/io/events"
 )
 
-// leftOut is a line that tells how many lines were left out before it.
+// leftOut matches the number of lines dropped before a line.
 var leftOut = regexp.MustCompile(`left-out=(\d+)\n`)
 
 // wantAll fails unless each of the lines written is in the text or counted there as
-// left out. The counts stand in several lines where the outlet began to pass lines on
-// between two that were left out.
+// dropped. There are several counts if the writer wrote lines between two dropped ones.
 func wantAll(t *testing.T, text string, written int) {
 	t.Helper()
 	lines, left := strings.Count(text, "xxx\n"), 0
@@ -34,16 +33,17 @@
 	assert.Equal(t, lines+left, written)
 }
 
-// Whoever reads the process's output stops reading. Its pipe fills up, and the
-// next request that logs would wait for as long as nobody reads.
+// Guards against requests that block when the reader of the process's output stops
+// reading: once the pipe is full, the next request that logs would wait until the reader
+// continues.
 func TestStoppedReaderHoldsUpNobody(t *testing.T) {
 	const written = 5000
 	line := []byte(strings.Repeat("x", 999) + "\n")
-	// early is how many lines are written before the outlet's goroutine runs first.
+	// early is the number of lines written before the writer's goroutine first runs.
 	for name, early := range map[string]int{"from the start": 0, "after lines were left out already": 1000} {
 		t.Run(name, func(t *testing.T) {
 			r, w := io.Pipe()
-			o := &events.Outlet{Out: w, LeftOut: events.LinesLeftOut}
+			o := &events.AsyncWriter{Out: w, DroppedEvent: events.LinesLeftOut}
 			write := func(n int) {
 				for range n {
 					n, err := o.Write(line)
@@ -73,7 +73,7 @@
 
 func TestLinesComeWholeAndInOrder(t *testing.T) {
 	var out bytes.Buffer
-	o := &events.Outlet{Out: &out}
+	o := &events.AsyncWriter{Out: &out}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- o.Run(ctx) }()
--- a/io/hosted/commands.go
+++ b/io/hosted/commands.go
@@ -106,7 +106,7 @@
 	if err := events.SetVerbosity(settings.Telemetry.Verbosity); err != nil {
 		return err
 	}
-	stop, err := (&events.Outlet{Out: os.Stdout, LeftOut: events.LinesLeftOut}).Start()
+	stop, err := (&events.AsyncWriter{Out: os.Stdout, DroppedEvent: events.LinesLeftOut}).Start()
 	if err != nil {
 		return err
 	}
--- a/io/node/fleetview.go
+++ b/io/node/fleetview.go
@@ -271,7 +271,7 @@
 	if !f.statusesDue {
 		return nil
 	}
-	list := f.view.Due()
+	list := f.view.DueStatuses()
 	f.statusesDue = len(list) > 0
 	return list[:min(len(list), limit)]
 }
--- a/io/node/mesh.go
+++ b/io/node/mesh.go
@@ -250,6 +250,6 @@
 // recordSilence counts and logs a control connection that was closed because it had
 // gone silent.
 func (n *Node) recordSilence(to peer.Target) {
-	n.meter.Silent()
+	n.meter.SilentConnection()
 	events.Log(events.ConnectionSilent, "host", to.Host, "address", to.Address)
 }
