--- a/io/front/answer.go
+++ b/io/front/answer.go
@@ -9,12 +9,12 @@
 	"radishwell/core"
 )
 
-// problem is an OpenAI-shaped error document.
-type problem struct {
-	Error problemBody `json:"error"`
+// errorDocument is an error document in the format of the OpenAI API.
+type errorDocument struct {
+	Error errorBody `json:"error"`
 }
 
-type problemBody struct {
+type errorBody struct {
 	Message   string         `json:"message"`
 	Type      string         `json:"type"`
 	Code      core.Code      `json:"code"`
@@ -23,8 +23,8 @@
 	RequestID core.RequestID `json:"request-id"`
 }
 
-func document(r *core.Refusal, id core.RequestID) []byte {
-	p := problem{Error: problemBody{
+func encodeRefusal(r *core.Refusal, id core.RequestID) []byte {
+	p := errorDocument{Error: errorBody{
 		Message: r.Reason, Type: r.Code.Info().Type, Code: r.Code, Outcome: r.Outcome, RequestID: id,
 	}}
 	raw, err := json.Marshal(p)
@@ -34,29 +34,31 @@
 	return raw
 }
 
-// mayRepeat tells a client's library whether to try again by itself: only what
-// certainly did not run and can pass later.
-func mayRepeat(r *core.Refusal) bool { return r.Outcome == core.NotRun && r.Code.Info().Retryable }
+// retryable reports whether client libraries should retry on their own. They
+// should only if the request certainly did not run and a later attempt can
+// succeed.
+func retryable(r *core.Refusal) bool { return r.Outcome == core.NotRun && r.Code.Info().Retryable }
 
-// writeRefusal writes an answer that consists of a refusal.
+// writeRefusal writes r as the whole answer: status, header and error document.
 func writeRefusal(w http.ResponseWriter, r *core.Refusal, id core.RequestID, now time.Time) {
 	h := w.Header()
 	h.Set(HeaderOutcome, r.Outcome.String())
 	h.Set(HeaderRequestID, string(id))
 	h.Set(headerType, "application/json")
-	h.Set(headerShouldRetry, strconv.FormatBool(mayRepeat(r)))
+	h.Set(headerShouldRetry, strconv.FormatBool(retryable(r)))
 	if r.Code == core.CodeBadKey {
 		h.Set("WWW-Authenticate", "Bearer")
 	}
-	if mayRepeat(r) {
+	if retryable(r) {
 		h.Set(headerRetryAfter, strconv.Itoa(retrySeconds(r, now)))
 	}
 	w.WriteHeader(r.Code.Info().Status)
-	// An error here is the caller's going away; there is nobody left to tell.
-	_, _ = w.Write(document(r, id))
+	// A write fails only if the caller has disconnected, so the error is ignored.
+	_, _ = w.Write(encodeRefusal(r, id))
 }
 
-// retrySeconds rounds up, so that a caller that obeys does not come too early.
+// retrySeconds returns the value of Retry-After, at least 1. It rounds up, so
+// that a caller that waits that long does not retry too early.
 func retrySeconds(r *core.Refusal, now time.Time) int {
 	left := r.RetryAt.Sub(now)
 	if left <= 0 {
@@ -66,26 +68,30 @@
 }
 
 // Answer writes one answer to a caller. The entry calls Head once, Data any
-// number of times and one of Done and Fail at the end; Fail alone is a refusal.
+// number of times, and at the end either Done or Fail. A refusal consists of a
+// call of Fail alone.
 type Answer struct {
-	w      http.ResponseWriter
-	flush  *http.ResponseController
-	id     core.RequestID
-	clock  core.Clock
+	w     http.ResponseWriter
+	flush *http.ResponseController
+	id    core.RequestID
+	clock core.Clock
+	// stream is set if Data writes to the caller at once instead of to buffered.
 	stream bool
-	events bool
-	headed bool
-	ended  bool
-	held   []byte
-	status int
-	header http.Header
+	// events is set if a streamed answer is a stream of server-sent events.
+	events      bool
+	headWritten bool
+	ended       bool
+	buffered    []byte
+	status      int
+	header      http.Header
 }
 
-// Begun tells whether any part of the answer has been written to the caller,
-// after which the request cannot be tried elsewhere.
-func (a *Answer) Begun() bool { return a.headed }
+// Begun reports whether any part of the answer has been written to the caller,
+// after which the request can't be retried on another host.
+func (a *Answer) Begun() bool { return a.headWritten }
 
-// Head takes the upstream's status and header.
+// Head sets the status and header received from the upstream. It writes them at
+// once if the answer is streamed.
 func (a *Answer) Head(status int, header http.Header) {
 	a.status = status
 	a.header = endToEnd(header)
@@ -94,15 +100,16 @@
 	}
 }
 
-// Data takes a piece of the body. An answer that is not streamed is held until
-// Done, so that a failure midway becomes a proper error and not half an answer.
+// Data appends p to the body. An answer that is not streamed is buffered until
+// Done, so that a failure midway becomes an error answer instead of a truncated
+// body. An error means that the caller has disconnected.
 func (a *Answer) Data(p []byte) error {
 	if !a.stream {
-		a.held = append(a.held, p...)
-		if len(a.held) > maxHeld {
+		a.buffered = append(a.buffered, p...)
+		if len(a.buffered) > maxBuffered {
 			a.stream = true
 			a.writeHead(true)
-			p, a.held = a.held, nil
+			p, a.buffered = a.buffered, nil
 		} else {
 			return nil
 		}
@@ -113,16 +120,17 @@
 	return a.flush.Flush()
 }
 
-// maxHeld is the most of an answer that is held; a longer one is streamed.
-const maxHeld = 1 << 20
+// maxBuffered is the number of bytes up to which an answer is buffered; a longer
+// answer is streamed.
+const maxBuffered = 1 << 20
 
-// Reset forgets what was held, for another attempt. Begun must be false.
-func (a *Answer) Reset() { a.held, a.status, a.header = nil, 0, nil }
+// Reset discards the buffered answer before another attempt. Begun must be false.
+func (a *Answer) Reset() { a.buffered, a.status, a.header = nil, 0, nil }
 
-// writeHead sends status and header; the outcome follows as a trailer where it
-// is not known yet.
+// writeHead writes the status and header. If open is set, the answer is
+// streamed: its outcome isn't known yet and follows in a trailer.
 func (a *Answer) writeHead(open bool) {
-	a.headed = true
+	a.headWritten = true
 	h := a.w.Header()
 	for name, values := range a.header {
 		if name == HeaderOutcome || name == HeaderRequestID {
@@ -136,36 +144,37 @@
 		h.Set("Trailer", HeaderOutcome)
 	} else {
 		h.Set(HeaderOutcome, core.Done.String())
-		if len(a.held) > 0 {
-			h.Set("Content-Length", strconv.Itoa(len(a.held)))
+		if len(a.buffered) > 0 {
+			h.Set("Content-Length", strconv.Itoa(len(a.buffered)))
 		}
 	}
 	a.w.WriteHeader(a.status)
 }
 
-// Done ends a whole answer.
+// Done ends a complete answer. It does nothing after Done or Fail.
 func (a *Answer) Done() {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if a.headed {
+	if a.headWritten {
 		a.w.Header().Set(HeaderOutcome, core.Done.String())
 		return
 	}
 	a.writeHead(false)
-	_, _ = a.w.Write(a.held)
+	_, _ = a.w.Write(a.buffered)
 }
 
-// Fail ends the answer with a refusal. Where part of it was already sent, the
-// refusal is the last event of a stream of events and the outcome a trailer;
-// any other stream is cut, so that half a body is never taken for a whole one.
+// Fail ends the answer with a refusal; it does nothing after Done or Fail. If
+// part of a stream of events was already sent, the refusal becomes its last
+// event and the outcome a trailer. Any other stream is aborted (by a panic with
+// http.ErrAbortHandler), so that no caller takes a truncated body for a whole one.
 func (a *Answer) Fail(r *core.Refusal) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if !a.headed {
+	if !a.headWritten {
 		writeRefusal(a.w, r, a.id, a.clock.Now())
 		return
 	}
@@ -173,5 +182,5 @@
 	if !a.events {
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = a.w.Write(append(append([]byte("data: "), document(r, a.id)...), "\n\n"...))
+	_, _ = a.w.Write(append(append([]byte("data: "), encodeRefusal(r, a.id)...), "\n\n"...))
 }
--- a/io/front/doc.go
+++ b/io/front/doc.go
@@ -1,7 +1,8 @@
-// Package front is the callers' interface of an entry: OpenAI-style paths for
-// models, plain services under /services/, bearer keys, deadlines and
-// idempotency keys in; whole or streamed answers, outcomes and typed errors out.
+// Package front implements the HTTP interface that an entry offers to callers.
 //
-// It reads and checks requests and writes answers. What happens in between is
-// the business of its Server, which the entry implements.
+// It serves models under the paths of the OpenAI API and plain services under
+// /services/. It authenticates callers by their bearer keys, checks requests,
+// deadlines and idempotency keys, and writes whole or streamed answers with
+// their outcomes and typed errors. Front.Serve, which the entry sets, runs the
+// requests in between.
 package front
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -11,37 +11,39 @@
 	"radishwell/core/catlog"
 )
 
-// Call is one request that has passed the callers' interface.
+// Call is one request that has passed all checks.
 type Call struct {
 	Request core.Request
-	// Entry is the catalogue entry asked for, Account and Caller who asks.
-	Entry   *catlog.Entry
+	// Entry is the catalogue entry of the requested model, adapter or service.
+	Entry *catlog.Entry
+	// Account is the account of the owner whose key the caller sent.
 	Account *catlog.Account
-	// Method, Path, Header and Body are what the upstream gets.
+	// Method, Path, Header and Body form the request that the upstream receives.
 	Method string
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Trace is the caller's W3C traceparent.
+	// Trace is the caller's W3C traceparent field.
 	Trace  string
 	Answer *Answer
 }
 
-// Front is the handler of the callers' interface. Set the exported fields
-// before use.
+// Front is the http.Handler for callers. All fields have to be set before use.
 type Front struct {
 	Clock core.Clock
-	// Snapshot returns the catalogue in force, nil before there is one.
+	// Snapshot returns the catalogue in force, or nil before the first one has
+	// arrived.
 	Snapshot func() *catlog.Snapshot
-	// Serve answers a call: it returns once Answer has been ended.
+	// Serve answers a call. It returns after it has called Done or Fail of the
+	// call's Answer.
 	Serve func(ctx context.Context, c *Call)
-	// Refused is told of each request that did not get as far as Serve.
+	// Refused is called for each request that is refused without a call of Serve.
 	Refused func(id core.RequestID, r *core.Refusal)
-	// MaxBody is the largest body taken.
+	// MaxBody is the largest request body that is accepted.
 	MaxBody core.Bytes
-	// Deadline returns when a request without a deadline of its own ends.
+	// Deadline returns the deadline of a request that does not set its own.
 	Deadline func(class core.Class, arrived time.Time) time.Time
-	// NewID returns a fresh request id.
+	// NewID returns a unique request id.
 	NewID func() core.RequestID
 }
 
@@ -67,7 +69,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	p := pending{front: f, w: w, r: r, id: id, arrived: arrived, snapshot: snapshot, caller: caller}
+	p := inbound{front: f, w: w, r: r, id: id, arrived: arrived, snapshot: snapshot, caller: caller}
 	return p.dispatch()
 }
 
@@ -83,8 +85,8 @@
 	return caller, nil
 }
 
-// pending is a request on its way through the checks.
-type pending struct {
+// inbound is an authenticated request that is being checked.
+type inbound struct {
 	front    *Front
 	w        http.ResponseWriter
 	r        *http.Request
@@ -94,24 +96,24 @@
 	caller   catlog.Caller
 }
 
-func (p *pending) dispatch() *core.Refusal {
+func (p *inbound) dispatch() *core.Refusal {
 	path := p.r.URL.Path
 	switch {
 	case path == "/v1/chat/completions":
-		return p.work(true)
+		return p.serveModel(true)
 	case path == "/v1/completions":
-		return p.work(false)
+		return p.serveModel(false)
 	case path == "/v1/models":
 		return p.listModels()
 	case strings.HasPrefix(path, "/v1/models/"):
 		return p.showModel(core.ModelName(strings.TrimPrefix(path, "/v1/models/")))
 	case strings.HasPrefix(path, "/services/"):
-		return p.service()
+		return p.serveService()
 	}
 	return core.Refuse(core.CodeUnknownPath, "there is nothing at "+path)
 }
 
-func (p *pending) method(want string) *core.Refusal {
+func (p *inbound) requireMethod(want string) *core.Refusal {
 	if p.r.Method == want {
 		return nil
 	}
@@ -119,16 +121,17 @@
 	return core.Refuse(core.CodeMethod, "the path takes "+want)
 }
 
-// work serves a request to a model or adapter.
-func (p *pending) work(chat bool) *core.Refusal {
-	if refusal := p.method(http.MethodPost); refusal != nil {
+// serveModel serves a request to a model or adapter. If chat is set, it came to
+// /v1/chat/completions, otherwise to /v1/completions.
+func (p *inbound) serveModel(chat bool) *core.Refusal {
+	if refusal := p.requireMethod(http.MethodPost); refusal != nil {
 		return refusal
 	}
 	raw, refusal := readAll(p.w, p.r, p.front.MaxBody)
 	if refusal != nil {
 		return refusal
 	}
-	parsed, refusal := parseAsk(p.r.Header, raw, chat)
+	parsed, refusal := parseCompletion(p.r.Header, raw, chat)
 	if refusal != nil {
 		return refusal
 	}
@@ -138,12 +141,12 @@
 	}
 	c := &Call{Entry: entry, Method: http.MethodPost, Path: p.r.URL.Path, Body: raw}
 	c.Request.Tokens, c.Request.Stream, c.Request.Prefixes = parsed.tokens, parsed.stream, parsed.prefixes
-	return p.hand(c, parsed.stream)
+	return p.forward(c, parsed.stream)
 }
 
-// service serves a request to a plain service.
-func (p *pending) service() *core.Refusal {
-	name, below, ok := splitService(p.r.URL.EscapedPath())
+// serveService serves a request to a plain serveService.
+func (p *inbound) serveService() *core.Refusal {
+	name, below, ok := splitServicePath(p.r.URL.EscapedPath())
 	if !ok {
 		return core.Refuse(core.CodeUnknownPath, "name a service, as in /services/NAME/")
 	}
@@ -163,11 +166,11 @@
 	}
 	c := &Call{Entry: entry, Method: p.r.Method, Path: below, Body: raw}
 	c.Request.Stream = true
-	return p.hand(c, true)
+	return p.forward(c, true)
 }
 
-// hand completes the call and passes it on.
-func (p *pending) hand(c *Call, stream bool) *core.Refusal {
+// forward fills in the remaining fields of the call and passes it to Front.Serve.
+func (p *inbound) forward(c *Call, stream bool) *core.Refusal {
 	if !c.Entry.Allows(p.caller.Account.Name) {
 		return core.Refuse(core.CodeForbidden, "the owner "+string(p.caller.Account.Name)+" may not use "+c.Entry.Target.Name())
 	}
@@ -210,8 +213,8 @@
 	return modelInfo{ID: e.Target.Model, Object: "model", OwnedBy: e.Owner, Class: e.Class, Base: e.Target.Base}
 }
 
-func (p *pending) listModels() *core.Refusal {
-	if refusal := p.method(http.MethodGet); refusal != nil {
+func (p *inbound) listModels() *core.Refusal {
+	if refusal := p.requireMethod(http.MethodGet); refusal != nil {
 		return refusal
 	}
 	list := []modelInfo{}
@@ -222,8 +225,8 @@
 	return nil
 }
 
-func (p *pending) showModel(name core.ModelName) *core.Refusal {
-	if refusal := p.method(http.MethodGet); refusal != nil {
+func (p *inbound) showModel(name core.ModelName) *core.Refusal {
+	if refusal := p.requireMethod(http.MethodGet); refusal != nil {
 		return refusal
 	}
 	e, ok := p.snapshot.Model(name)
@@ -234,11 +237,11 @@
 	return nil
 }
 
-func (p *pending) writeDocument(v any) {
+func (p *inbound) writeDocument(v any) {
 	h := p.w.Header()
 	h.Set(headerType, "application/json")
 	h.Set(HeaderOutcome, core.Done.String())
 	h.Set(HeaderRequestID, string(p.id))
-	// An error here is the caller's going away; there is nobody left to tell.
+	// A write fails only if the caller has disconnected, so the error is ignored.
 	_ = json.NewEncoder(p.w).Encode(v)
 }
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -56,10 +56,10 @@
 
 type fixedClock struct{}
 
-// Now is a time that the tests count deadlines from.
+// Now returns a fixed time, from which the tests compute deadlines.
 func (fixedClock) Now() time.Time { return time.Date(2026, 12, 1, 20, 0, 0, 0, time.UTC) }
 
-// serveWith returns the address of a front whose requests are answered by serve.
+// serveWith starts a Front that answers requests with serve and returns its URL.
 func serveWith(t *testing.T, serve func(*front.Call)) string {
 	t.Helper()
 	var view catlog.View
@@ -195,9 +195,9 @@
 	})
 }
 
-// A stream breaks in the middle of an answer. The caller must not take the half
-// it has for the whole: the failure is the last event, and the trailer says what
-// is known.
+// If a stream breaks off midway, the caller must not take the part that it has
+// for the whole answer: the last event reports the failure, and the trailer
+// carries the outcome.
 func TestStreamFailsMidway(t *testing.T) {
 	url := serveWith(t, func(c *front.Call) {
 		c.Answer.Head(http.StatusOK, http.Header{"Content-Type": {"text/event-stream"}})
@@ -227,7 +227,8 @@
 	assert.Equal(t, resp.Header.Get("X-Outer"), "2")
 }
 
-// answerChat plays an engine for the client library.
+// answerChat answers as an engine does, in the format that the client library
+// expects.
 func answerChat(c *front.Call) {
 	if !c.Request.Stream {
 		c.Answer.Head(http.StatusOK, http.Header{"Content-Type": {"application/json"}})
@@ -281,8 +282,9 @@
 	})
 }
 
-// The library repeats any 5xx by itself. A call that may have run must not be
-// repeated without its caller's decision.
+// The client library retries any 5xx on its own unless X-Should-Retry forbids
+// it. A request that may have run must not be repeated unless its caller decides
+// so.
 func TestClientLibraryDoesNotRepeat(t *testing.T) {
 	calls := 0
 	url := serveWith(t, func(c *front.Call) {
--- a/io/front/fuzz_test.go
+++ b/io/front/fuzz_test.go
@@ -7,7 +7,7 @@
 	"radishwell/core"
 )
 
-func FuzzParseAsk(f *testing.F) {
+func FuzzParseCompletion(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"x"}]}`, `{"model":"m","prompt":"x","stream":true}`,
 		`{}`, `[]`, `{"model":1}`, `{"model":"m","messages":[null]}`, `{"model":"m","prompt":null}`,
@@ -17,7 +17,7 @@
 	}
 	header := http.Header{"Content-Type": {"application/json"}}
 	f.Fuzz(func(t *testing.T, raw []byte, chat bool) {
-		b, refusal := parseAsk(header, raw, chat)
+		b, refusal := parseCompletion(header, raw, chat)
 		if refusal == nil && b.model == "" {
 			t.Error("accepted without a model")
 		}
@@ -27,12 +27,12 @@
 	})
 }
 
-func FuzzSplitService(f *testing.F) {
+func FuzzSplitServicePath(f *testing.F) {
 	for _, seed := range []string{"/services/a/b", "/services/", "/services//x", "/services/a", "/services/a//b"} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, path string) {
-		name, below, ok := splitService(path)
+		name, below, ok := splitServicePath(path)
 		if ok && (name == "" || below == "" || below[0] != '/') {
 			t.Errorf("%q gives %q and %q", path, name, below)
 		}
--- a/io/front/header.go
+++ b/io/front/header.go
@@ -8,18 +8,19 @@
 	"radishwell/core"
 )
 
-// Header fields of the callers' interface.
+// Names of header fields in requests of callers and in answers to them.
 const (
-	// HeaderOutcome carries the outcome: a field, a trailer, or both.
+	// HeaderOutcome carries the outcome of a request, as a field, a trailer, or
+	// both.
 	HeaderOutcome = "Radishwell-Outcome"
-	// HeaderDeadline carries the caller's absolute deadline, RFC 3339.
+	// HeaderDeadline carries the caller's absolute deadline in RFC 3339 format.
 	HeaderDeadline = "Radishwell-Deadline"
-	// HeaderRequestID carries the request's id, in answers only.
+	// HeaderRequestID carries the id of the request. It occurs in answers only.
 	HeaderRequestID = "X-Request-Id"
 	// HeaderKey carries the caller's idempotency key.
 	HeaderKey = "Idempotency-Key"
-	// headerShouldRetry tells clients' libraries whether to try again by
-	// themselves; without it they repeat any 5xx.
+	// headerShouldRetry tells client libraries whether to retry on their own.
+	// Without it they retry any 5xx.
 	headerShouldRetry = "X-Should-Retry"
 	headerAuth        = "Authorization"
 	headerType        = "Content-Type"
@@ -27,15 +28,15 @@
 	headerTraceParent = "Traceparent"
 )
 
-// maxKey is the longest idempotency key, in bytes.
-const maxKey = 255
+// maxKeyBytes is the maximum length of an idempotency key, in bytes.
+const maxKeyBytes = 255
 
-// single are fields that must not come twice: two readers of the same request
-// could each take a different one.
-var single = []string{headerAuth, headerType, HeaderDeadline, HeaderKey, headerTraceParent, "Content-Length", "Host"}
+// singleFields lists the fields that must not occur twice: two readers of the same
+// request could each use a different value.
+var singleFields = []string{headerAuth, headerType, HeaderDeadline, HeaderKey, headerTraceParent, "Content-Length", "Host"}
 
 func checkSingle(h http.Header) *core.Refusal {
-	for _, name := range single {
+	for _, name := range singleFields {
 		if len(h.Values(name)) > 1 {
 			return core.Refuse(core.CodeBadRequest, "the header field "+name+" comes more than once")
 		}
@@ -43,23 +44,24 @@
 	return nil
 }
 
-// idempotencyKey returns the caller's key, empty where there is none.
+// idempotencyKey returns the caller's idempotency key, or "" if the caller sent
+// none.
 func idempotencyKey(h http.Header) (string, *core.Refusal) {
 	if len(h.Values(HeaderKey)) == 0 {
 		return "", nil
 	}
 	key := h.Get(HeaderKey)
-	if key == "" || len(key) > maxKey {
+	if key == "" || len(key) > maxKeyBytes {
 		return "", core.Refuse(core.CodeBadRequest, HeaderKey+" must have 1 to 255 bytes")
 	}
 	return key, nil
 }
 
-// deadline returns the caller's deadline, or the given default.
-func deadline(h http.Header, now, otherwise time.Time) (time.Time, *core.Refusal) {
+// deadline returns the caller's deadline, or otherwise if the caller sent none.
+func deadline(h http.Header, now, fallback time.Time) (time.Time, *core.Refusal) {
 	text := h.Get(HeaderDeadline)
 	if text == "" {
-		return otherwise, nil
+		return fallback, nil
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
@@ -71,15 +73,15 @@
 	return at, nil
 }
 
-// hopByHop are the fields that concern one connection only and are not passed
-// on (RFC 9110, section 7.6.1).
+// hopByHop lists the fields that apply to a single connection and must not be
+// forwarded (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd returns a copy of h without the fields that concern one connection,
-// those that Connection names among them.
+// endToEnd returns a copy of h without the hop-by-hop fields, which include
+// those that Connection lists.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h.Values("Connection") {
@@ -93,8 +95,9 @@
 	return out
 }
 
-// upstreamHeader is what an upstream gets of a caller's header: no credentials
-// of ours, no fields of this hop.
+// upstreamHeader returns the part of a caller's header that is forwarded to the
+// upstream. It leaves out the caller's key and the fields that concern only the
+// caller and the entry.
 func upstreamHeader(h http.Header) http.Header {
 	out := endToEnd(h)
 	for _, name := range []string{headerAuth, HeaderDeadline, HeaderRequestID, headerTraceParent, "Content-Length", "Accept-Encoding", "Expect"} {
--- a/io/front/parse.go
+++ b/io/front/parse.go
@@ -15,8 +15,9 @@
 	"radishwell/core"
 )
 
-// ask is what an entry reads of an OpenAI-style request; engines read the rest.
-type ask struct {
+// completionRequest holds the members of a completion request that an entry reads or checks.
+// Engines read the rest.
+type completionRequest struct {
 	Model               *string           `json:"model"`
 	Messages            []json.RawMessage `json:"messages"`
 	Prompt              json.RawMessage   `json:"prompt"`
@@ -34,20 +35,22 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// body is a checked request body.
-type body struct {
+// parsedRequest is a checked request parsedRequest.
+type parsedRequest struct {
 	raw    []byte
 	model  core.ModelName
 	stream bool
+	// tokens is the limit that the caller set for the answer, or 0.
 	tokens int
-	// prefixes are hashes of the prompt's ever longer beginnings.
+	// prefixes are hashes of ever longer prefixes of the prompt.
 	prefixes []uint64
 }
 
-// maxPrefixes bounds the prefixes looked at; a longer prompt shares little more.
+// maxPrefixes limits the number of hashed prefixes. Prompts that share more
+// messages than that are rare.
 const maxPrefixes = 16
 
-// readAll reads a body of at most limit bytes.
+// readAll reads the body of r. It refuses a body of more than limit bytes.
 func readAll(w http.ResponseWriter, r *http.Request, limit core.Bytes) ([]byte, *core.Refusal) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(limit)))
 	var tooLarge *http.MaxBytesError
@@ -60,26 +63,26 @@
 	return raw, nil
 }
 
-// parseAsk checks the body of a request to /v1/chat/completions (chat) or
-// /v1/completions.
-func parseAsk(h http.Header, raw []byte, chat bool) (body, *core.Refusal) {
+// parseCompletion decodes and checks the body of a request to /v1/chat/completions if
+// chat is set, otherwise to /v1/completions.
+func parseCompletion(h http.Header, raw []byte, chat bool) (parsedRequest, *core.Refusal) {
 	if kind, _, err := mime.ParseMediaType(h.Get(headerType)); err != nil || kind != "application/json" {
-		return body{}, core.Refuse(core.CodeBadRequest, "Content-Type must be application/json")
+		return parsedRequest{}, core.Refuse(core.CodeBadRequest, "Content-Type must be application/json")
 	}
-	var a ask
+	var a completionRequest
 	if err := decodeOne(raw, &a); err != nil {
-		return body{}, core.Refuse(core.CodeBadRequest, jsonReason(err))
+		return parsedRequest{}, core.Refuse(core.CodeBadRequest, jsonReason(err))
 	}
 	if reason := a.check(chat); reason != "" {
-		return body{}, core.Refuse(core.CodeBadRequest, reason)
+		return parsedRequest{}, core.Refuse(core.CodeBadRequest, reason)
 	}
-	return body{
+	return parsedRequest{
 		raw: raw, model: core.ModelName(*a.Model), stream: a.Stream,
 		tokens: a.tokens(), prefixes: a.prefixes(),
 	}, nil
 }
 
-// trailingError reports data behind the one JSON value of a body.
+// trailingError reports that data follows the JSON value of a body.
 type trailingError struct{}
 
 func (trailingError) Error() string { return "data follows the JSON object" }
@@ -107,7 +110,7 @@
 	}
 }
 
-func (a ask) check(chat bool) string {
+func (a completionRequest) check(chat bool) string {
 	switch {
 	case a.Model == nil || *a.Model == "":
 		return "model is missing"
@@ -145,7 +148,7 @@
 	return ""
 }
 
-func (a ask) tokens() int {
+func (a completionRequest) tokens() int {
 	switch {
 	case a.MaxCompletionTokens != nil:
 		return *a.MaxCompletionTokens
@@ -155,7 +158,7 @@
 	return 0
 }
 
-func (a ask) prefixes() []uint64 {
+func (a completionRequest) prefixes() []uint64 {
 	pieces := a.Messages
 	if len(pieces) == 0 {
 		pieces = []json.RawMessage{a.Prompt}
@@ -169,8 +172,9 @@
 	return out
 }
 
-// fingerprint hashes what makes two requests the same: target, method, path
-// and body, each preceded by its length so that none runs into the next.
+// fingerprint returns a hash of parts: target, method, path and body. Requests
+// with equal fingerprints count as the same request. Each part is preceded by
+// its length, so that different splits of the same bytes differ.
 func fingerprint(parts ...[]byte) core.Fingerprint {
 	h := xxhash.New()
 	for _, p := range parts {
@@ -180,9 +184,9 @@
 	return core.Fingerprint(h.Sum64())
 }
 
-// splitService splits a path below /services/ into the service's name and the
-// path the upstream sees.
-func splitService(path string) (core.ServiceName, string, bool) {
+// splitServicePath splits a path below /services/ into the name of the service and
+// the path that the upstream receives.
+func splitServicePath(path string) (core.ServiceName, string, bool) {
 	rest, ok := strings.CutPrefix(path, "/services/")
 	if !ok {
 		return "", "", false
