--- a/cmd/hosted/radishwell/main.go
+++ b/cmd/hosted/radishwell/main.go
@@ -1,5 +1,5 @@
-// Command radishwell, as managed platforms run it: entries and agents, checks and
-// explanations. See radishwell --help.
+// Command radishwell is the build of radishwell for managed platforms. It runs
+// entries and agents, checks files and explains decisions. See radishwell --help.
 package main
 
 import (
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak runs radishwell's programs on this machine under faults drawn from
-// seeds, and reports promises that were broken. See soak --help.
+// Command soak runs the programs of radishwell on this machine, injects faults
+// that are drawn from seeds, and reports violated guarantees. See soak --help.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs stand-ins of the systems that radishwell meets: the
+// Command standin runs stand-ins of the systems that radishwell works with: the
 // platform, model engines and plain services. See standin --help.
 package main
 
--- a/io/cmds/bench.go
+++ b/io/cmds/bench.go
@@ -19,23 +19,23 @@
 	"radishwell/io/hosted"
 )
 
-// benchCommand drives load at a running system.
+// benchCommand sends load to a running system.
 type benchCommand struct {
 	Files   []string        `arg:"" help:"Experiment (YAML); with --compare two reports (JSON)." type:"existingfile"`
 	At      []config.Origin `help:"Base addresses of the entries; several, with commas." placeholder:"URL"`
-	Ready   []config.Origin `help:"Operators' addresses of the same entries, whose /ready is asked as a balancer does." placeholder:"URL"`
+	Ready   []config.Origin `help:"Operators' addresses of the same entries; their /ready is polled as a load balancer does." placeholder:"URL"`
 	Keys    []string        `name:"key" help:"Bearer key, as KEY or CALLER=KEY; once for each caller." placeholder:"[CALLER=]KEY"`
-	CA      string          `name:"ca" help:"File with the certificates that the entries' are checked against." type:"existingfile"`
+	CA      string          `name:"ca" help:"File with the certificates of the authorities that entries are verified against." type:"existingfile"`
 	JSON    string          `name:"json" help:"File for the report as JSON." placeholder:"FILE"`
 	HTML    string          `name:"html" help:"File for the report as HTML." placeholder:"FILE"`
-	Kills   string          `help:"File in which a script notes kills of entries, a line each: seconds since 1970 and IP:PORT. Connections that they break are counted apart." placeholder:"FILE"`
-	For     time.Duration   `help:"Length of the load: the experiment's phases are repeated or cut to it." placeholder:"TIME"`
-	AllDone bool            `help:"Fail where any request is not done."`
-	Compare bool            `help:"Print how two reports differ."`
+	Kills   string          `help:"File in which a script records kills of entries, one per line: seconds since 1970 and IP:PORT. Connections that they break are counted separately." placeholder:"FILE"`
+	For     time.Duration   `help:"Length of the load: the phases of the experiment are repeated or cut to fit it." placeholder:"TIME"`
+	AllDone bool            `help:"Fail if any request is not done."`
+	Compare bool            `help:"Print the differences between two reports."`
 }
 
-// Run drives the load and prints the report; it fails where something happened
-// that never must.
+// Run sends the load and prints the report. It fails if the report lists faults,
+// which must never occur.
 func (c *benchCommand) Run(ctx context.Context, out io.Writer) error {
 	if c.Compare {
 		return c.compare(out)
@@ -75,7 +75,7 @@
 	return bench.Compare(out, a, b)
 }
 
-// usageError reports arguments that do not go together.
+// usageError reports arguments that are missing, invalid or contradictory.
 type usageError struct{ text string }
 
 // Error implements error.
--- a/io/cmds/capacity.go
+++ b/io/cmds/capacity.go
@@ -9,13 +9,13 @@
 	"github.com/samber/oops"
 )
 
-// capacityCommand makes the tables of the page on capacity from raw figures.
+// capacityCommand generates the tables of the capacity page from raw figures.
 type capacityCommand struct {
 	Figures string `default:"docs/capacity" help:"Directory with the raw figures (CSV)." type:"existingdir"`
-	Page    string `default:"docs/CAPACITY.md" help:"Page whose tables are made anew." type:"existingfile"`
+	Page    string `default:"docs/CAPACITY.md" help:"Page whose tables are regenerated." type:"existingfile"`
 }
 
-// Run writes the page.
+// Run rewrites the page in place.
 func (c *capacityCommand) Run(_ io.Writer) error {
 	old, err := os.ReadFile(c.Page)
 	if err != nil {
@@ -28,14 +28,14 @@
 	return oops.Wrapf(os.WriteFile(c.Page, []byte(page), 0o644), "write page")
 }
 
-// Marks round a table of the page.
+// Marks that enclose a table of the page.
 const (
 	tableBegin = "<!-- table "
 	tableClose = " -->\n"
 	tableEnd   = "<!-- end -->\n"
 )
 
-// MarkError reports a page whose marks are not those of a known table.
+// MarkError reports a mark that names an unknown table or has no end mark.
 type MarkError struct{ Table string }
 
 // Error implements error.
@@ -43,7 +43,8 @@
 	return "no table " + e.Table + " can be made, or its mark has no end"
 }
 
-// capacityPage returns the page with each table between its marks made anew.
+// capacityPage returns the page old with the table between each pair of marks
+// regenerated from the figures in dir.
 func capacityPage(old, dir string) (string, error) {
 	var b strings.Builder
 	for {
@@ -67,11 +68,11 @@
 	}
 }
 
-// grid is a table in Markdown.
-type grid struct{ bytes.Buffer }
+// markdownTable builds a table in Markdown.
+type markdownTable struct{ bytes.Buffer }
 
-func newGrid(heads ...string) *grid {
-	g := &grid{}
+func newTable(heads ...string) *markdownTable {
+	g := &markdownTable{}
 	g.row(heads...)
 	rule := make([]string, len(heads))
 	for i := range rule {
@@ -82,4 +83,6 @@
 	return g
 }
 
-func (g *grid) row(cells ...string) { g.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
+func (g *markdownTable) row(cells ...string) {
+	g.WriteString("| " + strings.Join(cells, " | ") + " |\n")
+}
--- a/io/cmds/capacity_test.go
+++ b/io/cmds/capacity_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The page's tables are what the raw figures give: go run ./cmd/standin capacity
-// makes them anew.
+// The tables of the page match the raw figures. To regenerate them, run
+// go run ./cmd/standin capacity.
 func TestCapacityPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	assert.NilError(t, err)
@@ -51,12 +51,12 @@
 	t.Run("statistics worked out by hand", func(t *testing.T) {
 		list := []float64{4, 2, 8, 6}
 		assert.Equal(t, mean(list), 5.0)
-		assert.Equal(t, number(deviation(list), 3), "2.582")
+		assert.Equal(t, formatNumber(standardDeviation(list), 3), "2.582")
 		assert.Equal(t, percentile(list, 50), 4.0)
 		assert.Equal(t, percentile(list, 99), 8.0)
-		l := fit([]float64{0, 1, 2}, []float64{1, 2, 6})
+		l := fitLine([]float64{0, 1, 2}, []float64{1, 2, 6})
 		assert.Equal(t, l.slope, 2.5)
-		assert.Equal(t, number(l.base, 3), "0.500")
-		assert.Equal(t, number(l.spread, 3), "0.866")
+		assert.Equal(t, formatNumber(l.intercept, 3), "0.500")
+		assert.Equal(t, formatNumber(l.slopeError, 3), "0.866")
 	})
 }
--- a/io/cmds/captab.go
+++ b/io/cmds/captab.go
@@ -5,18 +5,19 @@
 	"strconv"
 )
 
-// The size that the page on capacity is for.
+// The size of the deployment for which the capacity page extrapolates.
 const (
-	sizeEntries   = 400
-	sizeAgents    = 640
-	sizeProcesses = sizeEntries + sizeAgents
-	sizeAdapters  = 3400
-	sizeRequests  = 5400
-	sizeTokens    = 1_800_000
+	targetEntries   = 400
+	targetAgents    = 640
+	targetProcesses = targetEntries + targetAgents
+	targetAdapters  = 3400
+	targetRequests  = 5400
+	targetTokens    = 1_800_000
 )
 
-// capacityTables make the page's tables from a directory of raw figures.
-var capacityTables = map[string]func(dir string) (*grid, error){
+// capacityTables maps the name of each table of the page to the function that
+// generates it from a directory of raw figures.
+var capacityTables = map[string]func(dir string) (*markdownTable, error){
 	"rest":      restTable,
 	"slopes":    slopesTable,
 	"adapters":  adaptersTable,
@@ -29,7 +30,7 @@
 	"agentkill": agentKillTable,
 }
 
-// Columns of the figures of processes at rest.
+// Columns of the files with figures of idle processes.
 const (
 	colProcesses = "processes"
 	colModels    = "models"
@@ -42,121 +43,122 @@
 	colSettle    = "settle-seconds"
 )
 
-func number(v float64, digits int) string { return strconv.FormatFloat(v, 'f', digits, 64) }
+func formatNumber(v float64, digits int) string { return strconv.FormatFloat(v, 'f', digits, 64) }
 
-// spreadOf writes a mean, its sample's standard deviation, and the maximum.
-func spreadOf(list []float64, digits int) string {
-	return fmt.Sprintf("%s ± %s, %s", number(mean(list), digits), number(deviation(list), digits), number(percentile(list, 100), digits))
+// formatSpread formats the mean, the standard deviation and the maximum of a sample.
+func formatSpread(list []float64, digits int) string {
+	return fmt.Sprintf("%s ± %s, %s", formatNumber(mean(list), digits), formatNumber(standardDeviation(list), digits), formatNumber(percentile(list, 100), digits))
 }
 
-func restTable(dir string) (*grid, error) { return atRest(dir, "rest.csv") }
+func restTable(dir string) (*markdownTable, error) { return idleTable(dir, "rest.csv") }
 
-func quietTable(dir string) (*grid, error) { return atRest(dir, "quiet.csv") }
+func quietTable(dir string) (*markdownTable, error) { return idleTable(dir, "quiet.csv") }
 
-func listedTable(dir string) (*grid, error) { return atRest(dir, "listed.csv") }
+func listedTable(dir string) (*markdownTable, error) { return idleTable(dir, "listed.csv") }
 
-// atRest tells what processes of each size of fleet and each role cost.
-func atRest(dir, name string) (*grid, error) {
+// idleTable returns a table of what an idle process costs, by size of the fleet and
+// role.
+func idleTable(dir, name string) (*markdownTable, error) {
 	f, err := readFigures(dir, name)
 	if err != nil {
 		return nil, err
 	}
-	g := newGrid("processes, models, adapters, role", "n", "control B/s", "% of a core", "MiB", "platform calls/s of all", "s to all grants")
+	g := newTable("processes, models, adapters, role", "n", "control B/s", "% of a core", "MiB", "platform calls/s of all", "s to all grants")
 	for _, v := range f.distinct(colProcesses, colModels, colAdapters, colRole) {
 		rows := f.where(colProcesses, v[0], colModels, v[1], colAdapters, v[2], colRole, v[3])
-		g.row(v[0]+", "+v[1]+", "+v[2]+", "+v[3], strconv.Itoa(len(rows.rows)), spreadOf(rows.numbers(colBytes), 0),
-			spreadOf(rows.numbers(colCPU), 2), spreadOf(rows.numbers(colMemory), 1),
-			number(mean(rows.numbers(colCalls)), 2), number(mean(rows.numbers(colSettle)), 0))
+		g.row(v[0]+", "+v[1]+", "+v[2]+", "+v[3], strconv.Itoa(len(rows.rows)), formatSpread(rows.numbers(colBytes), 0),
+			formatSpread(rows.numbers(colCPU), 2), formatSpread(rows.numbers(colMemory), 1),
+			formatNumber(mean(rows.numbers(colCalls)), 2), formatNumber(mean(rows.numbers(colSettle)), 0))
 	}
 	return g, nil
 }
 
-// slopesTable fits lines over the number of processes at 70 models.
-func slopesTable(dir string) (*grid, error) {
+// slopesTable fits the cost of a process to the number of processes at 70 models.
+func slopesTable(dir string) (*markdownTable, error) {
 	f, err := readFigures(dir, "rest.csv")
 	if err != nil {
 		return nil, err
 	}
-	g := newGrid("per role, against processes", "base", "per 100 processes, ± standard error", "line's value at "+strconv.Itoa(sizeProcesses))
+	g := newTable("per role, against processes", "base", "per 100 processes, ± standard error", "line's value at "+strconv.Itoa(targetProcesses))
 	for _, role := range []string{"entry", "agent"} {
 		rows := f.where(colModels, "70", colAdapters, "0", colRole, role)
 		for _, column := range []string{colBytes, colCPU, colMemory} {
-			l := fit(rows.numbers(colProcesses), rows.numbers(column))
-			g.row(role+", "+column, number(l.base, 2), number(100*l.slope, 3)+" ± "+number(100*l.spread, 3), number(l.at(sizeProcesses), 2))
+			l := fitLine(rows.numbers(colProcesses), rows.numbers(column))
+			g.row(role+", "+column, formatNumber(l.intercept, 2), formatNumber(100*l.slope, 3)+" ± "+formatNumber(100*l.slopeError, 3), formatNumber(l.at(targetProcesses), 2))
 		}
 	}
 	return g, nil
 }
 
-// adaptersTable fits memory over the number of adapters at 40 processes.
-func adaptersTable(dir string) (*grid, error) {
+// adaptersTable fits memory to the number of adapters at 40 processes.
+func adaptersTable(dir string) (*markdownTable, error) {
 	f, err := readFigures(dir, "rest.csv")
 	if err != nil {
 		return nil, err
 	}
-	g := newGrid("per role, against adapters", "base MiB", "KiB an adapter, ± standard error", "MiB at "+strconv.Itoa(sizeAdapters))
+	g := newTable("per role, against adapters", "base MiB", "KiB an adapter, ± standard error", "MiB at "+strconv.Itoa(targetAdapters))
 	for _, role := range []string{"entry", "agent"} {
 		rows := f.where(colProcesses, "40", colModels, "70", colRole, role)
-		l := fit(rows.numbers(colAdapters), rows.numbers(colMemory))
-		g.row(role, number(l.base, 1), number(1024*l.slope, 2)+" ± "+number(1024*l.spread, 2), number(l.at(sizeAdapters), 1))
+		l := fitLine(rows.numbers(colAdapters), rows.numbers(colMemory))
+		g.row(role, formatNumber(l.intercept, 1), formatNumber(1024*l.slope, 2)+" ± "+formatNumber(1024*l.slopeError, 2), formatNumber(l.at(targetAdapters), 1))
 	}
 	return g, nil
 }
 
-// dataTable fits processor time over the tokens of a request.
-func dataTable(dir string) (*grid, error) {
+// dataTable fits processor time to the number of tokens of a request.
+func dataTable(dir string) (*markdownTable, error) {
 	f, err := readFigures(dir, "datapath.csv")
 	if err != nil {
 		return nil, err
 	}
-	g := newGrid("role", "ms a request", "µs a token, ± standard error", "requests and tokens a second each at the size", "% of a core each")
+	g := newTable("role", "ms a request", "µs a token, ± standard error", "requests and tokens a second each at the size", "% of a core each")
 	for _, one := range []struct {
 		role, column string
 		processes    float64
 	}{
-		{"entry", "entry-cpu-ms-per-request", sizeEntries},
-		{"agent", "agents-cpu-ms-per-request", sizeAgents},
+		{"entry", "entry-cpu-ms-per-request", targetEntries},
+		{"agent", "agents-cpu-ms-per-request", targetAgents},
 	} {
-		l := fit(f.numbers("tokens"), f.numbers(one.column))
-		requests, tokens := sizeRequests/one.processes, sizeTokens/one.processes
-		g.row(one.role, number(l.base, 2), number(1000*l.slope, 1)+" ± "+number(1000*l.spread, 1),
-			number(requests, 1)+", "+number(tokens, 0), number((l.base*requests+l.slope*tokens)/10, 1))
+		l := fitLine(f.numbers("tokens"), f.numbers(one.column))
+		requests, tokens := targetRequests/one.processes, targetTokens/one.processes
+		g.row(one.role, formatNumber(l.intercept, 2), formatNumber(1000*l.slope, 1)+" ± "+formatNumber(1000*l.slopeError, 1),
+			formatNumber(requests, 1)+", "+formatNumber(tokens, 0), formatNumber((l.intercept*requests+l.slope*tokens)/10, 1))
 	}
 	return g, nil
 }
 
-func convergeTable(dir string) (*grid, error) {
+func convergeTable(dir string) (*markdownTable, error) {
 	f, err := readFigures(dir, "converge.csv")
 	if err != nil {
 		return nil, err
 	}
-	g := newGrid("scenario", "edits or starts", "measured", "never", "p50 s", "p99 s", "max s")
+	g := newTable("scenario", "edits or starts", "measured", "never", "p50 s", "p99 s", "max s")
 	for _, v := range f.distinct("scenario") {
 		rows := f.where("scenario", v[0])
 		list := rows.numbers("seconds")
 		g.row(v[0], strconv.Itoa(len(rows.distinct("edit"))), strconv.Itoa(len(list)), strconv.Itoa(len(rows.rows)-len(list)),
-			number(percentile(list, 50), 3), number(percentile(list, 99), 3), number(percentile(list, 100), 3))
+			formatNumber(percentile(list, 50), 3), formatNumber(percentile(list, 99), 3), formatNumber(percentile(list, 100), 3))
 	}
 	return g, nil
 }
 
-func failoverTable(dir string) (*grid, error) {
+func failoverTable(dir string) (*markdownTable, error) {
 	f, err := readFigures(dir, "failover.csv")
 	if err != nil {
 		return nil, err
 	}
-	g := newGrid("from the kill until", "rounds", "min s", "mean s", "max s")
+	g := newTable("from the kill until", "rounds", "min s", "mean s", "max s")
 	for _, one := range []struct{ column, what string }{
 		{"lease-seconds", "another entry has the lease"},
 		{"grant-seconds", "a new model has its grant"},
 	} {
 		list := f.numbers(one.column)
-		g.row(one.what, strconv.Itoa(len(list)), number(percentile(list, 0), 2), number(mean(list), 2), number(percentile(list, 100), 2))
+		g.row(one.what, strconv.Itoa(len(list)), formatNumber(percentile(list, 0), 2), formatNumber(mean(list), 2), formatNumber(percentile(list, 100), 2))
 	}
 	return g, nil
 }
 
-func wakeTable(dir string) (*grid, error) {
+func wakeTable(dir string) (*markdownTable, error) {
 	f, err := readFigures(dir, "wake.csv")
 	if err != nil {
 		return nil, err
@@ -165,29 +167,29 @@
 	if err != nil {
 		return nil, err
 	}
-	g := newGrid("figure", "value")
+	g := newTable("figure", "value")
 	for _, column := range []string{
 		"entries", "agents", "models", "adapters", "woken", "at-once", "done", "wave-seconds", "platform-reads", "platform-writes",
 		"platform-watches", "platform-calls-per-second-at-rest", "control-bytes", "entries-cpu-seconds", "agents-cpu-seconds",
 	} {
-		g.row(column, number(mean(f.numbers(column)), 2))
+		g.row(column, formatNumber(mean(f.numbers(column)), 2))
 	}
 	list := requests.numbers("seconds")
 	for _, p := range []float64{50, 99, 100} {
-		g.row("request-seconds-p"+number(p, 0), number(percentile(list, p), 3))
+		g.row("request-seconds-p"+formatNumber(p, 0), formatNumber(percentile(list, p), 3))
 	}
 	return g, nil
 }
 
-func agentKillTable(dir string) (*grid, error) {
+func agentKillTable(dir string) (*markdownTable, error) {
 	f, err := readFigures(dir, "agentkill.csv")
 	if err != nil {
 		return nil, err
 	}
-	g := newGrid("caller", "status, outcome", "rounds", "min s", "mean s", "max s")
+	g := newTable("caller", "status, outcome", "rounds", "min s", "mean s", "max s")
 	for _, v := range f.distinct("caller", "status", "outcome") {
 		list := f.where("caller", v[0], "status", v[1], "outcome", v[2]).numbers("seconds")
-		g.row(v[0], v[1]+", "+v[2], strconv.Itoa(len(list)), number(percentile(list, 0), 2), number(mean(list), 2), number(percentile(list, 100), 2))
+		g.row(v[0], v[1]+", "+v[2], strconv.Itoa(len(list)), formatNumber(percentile(list, 0), 2), formatNumber(mean(list), 2), formatNumber(percentile(list, 100), 2))
 	}
 	return g, nil
 }
--- a/io/cmds/demo.go
+++ b/io/cmds/demo.go
@@ -24,13 +24,13 @@
 	"radishwell/io/objapi"
 )
 
-// demoCommand runs the whole path in one process.
+// demoCommand runs entries, agents and stand-ins in one process.
 type demoCommand struct {
 	Listen netip.AddrPort `default:"127.0.0.1:8080" help:"Address for callers; port 0 is any free one."`
 	Log    bool           `help:"Write the log events to standard error."`
 }
 
-// Sizes of the demo's fleet.
+// Sizes and times of the demo's fleet.
 const (
 	demoEngines     = 2
 	demoAccelerator = 16 * core.GiB
@@ -70,7 +70,8 @@
 spec: {owner: demo, base: small, class: interactive, memory: 256MiB, limits: {replicas: 2}}
 `
 
-// Run starts the parts, says that it is ready, and stops them when told to.
+// Run starts the stand-ins and nodes, prints how to call them once they are ready,
+// and stops them when ctx ends.
 func (c *demoCommand) Run(ctx context.Context, out io.Writer) error {
 	if !c.Log {
 		events.Discard()
@@ -86,9 +87,10 @@
 	if err == nil {
 		<-d.nodes.ctx.Done()
 	}
-	// The nodes end what is in progress, for which they need the stand-ins.
-	first := d.nodes.end()
-	if other := d.standins.end(); first == nil {
+	// The nodes stop first: they need the stand-ins to finish the requests in
+	// progress.
+	first := d.nodes.stopAndWait()
+	if other := d.standins.stopAndWait(); first == nil {
 		first = other
 	}
 	if err != nil && ctx.Err() == nil {
@@ -104,10 +106,10 @@
 	return err
 }
 
-// demo is the running parts.
+// demo holds the running nodes and stand-ins.
 type demo struct {
-	nodes    group
-	standins group
+	nodes    taskGroup
+	standins taskGroup
 	client   *objapi.Client
 	callers  netip.AddrPort
 }
@@ -120,15 +122,16 @@
 	return d
 }
 
-// group is parts that are stopped together; the first that ends stops the rest.
-type group struct {
+// taskGroup is a set of functions that run in parallel. The first that returns stops
+// the rest.
+type taskGroup struct {
 	ctx     context.Context
 	stop    context.CancelFunc
 	ended   chan error
 	running int
 }
 
-func (g *group) run(part func(context.Context) error) {
+func (g *taskGroup) run(part func(context.Context) error) {
 	g.running++
 	go func() {
 		err := part(g.ctx)
@@ -137,8 +140,8 @@
 	}()
 }
 
-// end stops the parts, waits for all of them, and returns the first failure.
-func (g *group) end() error {
+// stopAndWait stops all functions, waits for them and returns the first error.
+func (g *taskGroup) stopAndWait() error {
 	g.stop()
 	var first error
 	for range g.running {
@@ -205,7 +208,8 @@
 	return s
 }
 
-// demoObjects is the catalogue and the platform's list of hosts.
+// demoObjects returns the objects that the platform holds at the start: the
+// catalogue and the hosts.
 func demoObjects(nodes []config.Settings) ([]core.Object, error) {
 	digest := sha256.Sum256([]byte(demoKey))
 	objects, problems := catlog.Read(catlog.Source{Name: "demo", Text: fmt.Appendf(nil, demoCatalogue, hex.EncodeToString(digest[:]))})
@@ -229,10 +233,11 @@
 	return objects, nil
 }
 
-// demoItems is the number of models and adapters in the demo's catalogue.
+// demoItems is the number of models and adapters in demoCatalogue.
 const demoItems = 3
 
-// awaitGrants waits until every model may be loaded somewhere.
+// awaitGrants waits until every model and adapter has a grant, which allows a host
+// to load it.
 func (d *demo) awaitGrants() error {
 	ctx, stop := context.WithTimeout(d.nodes.ctx, demoReadyTime)
 	defer stop()
--- a/io/cmds/doc.go
+++ b/io/cmds/doc.go
@@ -1,3 +1,4 @@
-// Package cmds is the full command line of radishwell and that of its stand-ins:
-// what the flags are, and which part of the system each command runs.
+// Package cmds implements the command lines of radishwell, of its stand-ins and of
+// the soak test. It declares the flags of each command and runs the package that
+// does the work.
 package cmds
--- a/io/cmds/figures.go
+++ b/io/cmds/figures.go
@@ -11,7 +11,7 @@
 	"github.com/samber/oops"
 )
 
-// figures are raw figures: rows of a CSV file by the names of its columns.
+// figures holds the rows of a CSV file with raw figures.
 type figures struct {
 	file    string
 	columns map[string]int
@@ -41,7 +41,8 @@
 	return out, nil
 }
 
-// where returns the rows that have each column's value: pairs of column and value.
+// where returns the rows that match all pairs, which alternate between the name
+// of a column and its value.
 func (f figures) where(pairs ...string) figures {
 	out := figures{file: f.file, columns: f.columns}
 	for _, row := range f.rows {
@@ -56,7 +57,8 @@
 	return out
 }
 
-// distinct returns a column's values in the order of their first rows.
+// distinct returns the distinct combinations of values of columns, in the order
+// of their first rows.
 func (f figures) distinct(columns ...string) [][]string {
 	var list [][]string
 	for _, row := range f.rows {
@@ -71,7 +73,8 @@
 	return list
 }
 
-// numbers returns a column's numbers; what is none, as "none", is left out.
+// numbers returns the numbers in a column. It skips values that aren't numbers,
+// such as "none", and returns nil if there is no such column.
 func (f figures) numbers(column string) []float64 {
 	n, ok := f.columns[column]
 	if !ok {
@@ -94,8 +97,8 @@
 	return sum / float64(len(list))
 }
 
-// deviation is the standard deviation of a sample.
-func deviation(list []float64) float64 {
+// standardDeviation returns the standard deviation of a sample.
+func standardDeviation(list []float64) float64 {
 	if len(list) < 2 {
 		return 0
 	}
@@ -106,7 +109,8 @@
 	return math.Sqrt(sum / float64(len(list)-1))
 }
 
-// percentile returns the smallest value that p of a hundred are at or below.
+// percentile returns the smallest value v such that at least p percent of the
+// values are at most v.
 func percentile(list []float64, p float64) float64 {
 	if len(list) == 0 {
 		return math.NaN()
@@ -116,32 +120,33 @@
 	return sorted[max(0, i)]
 }
 
-// line is a straight line through points by least squares.
-type line struct {
-	base, slope float64
-	// spread is the standard error of the slope.
-	spread float64
+// fittedLine is a straight line fitted by least squares.
+type fittedLine struct {
+	intercept, slope float64
+	// slopeError is the standard error of slope.
+	slopeError float64
 }
 
-// fit needs two different values of x at least.
-func fit(x, y []float64) line {
+// fitLine returns the line through the points (x[i], y[i]). It needs at least two
+// different values of x.
+func fitLine(x, y []float64) fittedLine {
 	mx, my := mean(x), mean(y)
 	var xx, xy float64
 	for i := range x {
 		xx += (x[i] - mx) * (x[i] - mx)
 		xy += (x[i] - mx) * (y[i] - my)
 	}
-	l := line{slope: xy / xx}
-	l.base = my - l.slope*mx
+	l := fittedLine{slope: xy / xx}
+	l.intercept = my - l.slope*mx
 	if len(x) > 2 {
-		rest := 0.0
+		residuals := 0.0
 		for i := range x {
 			d := y[i] - l.at(x[i])
-			rest += d * d
+			residuals += d * d
 		}
-		l.spread = math.Sqrt(rest / float64(len(x)-2) / xx)
+		l.slopeError = math.Sqrt(residuals / float64(len(x)-2) / xx)
 	}
 	return l
 }
 
-func (l line) at(x float64) float64 { return l.base + l.slope*x }
+func (l fittedLine) at(x float64) float64 { return l.intercept + l.slope*x }
--- a/io/cmds/fleet.go
+++ b/io/cmds/fleet.go
@@ -16,18 +16,18 @@
 	"radishwell/io/fakes/llmsrv"
 )
 
-// standinFleet writes the files of a fleet of processes on the loopback, for
-// measuring what a process costs at different sizes.
+// standinFleet writes the files of a fleet of processes on the loopback interface.
+// Such fleets measure what a process costs at different sizes.
 type standinFleet struct {
 	Dir      string `required:"" help:"Directory for settings, catalogue and hosts."`
 	Entries  int    `default:"2" help:"Number of entries."`
 	Agents   int    `default:"4" help:"Number of agents, each beside an engine."`
 	Models   int    `default:"70" help:"Number of models."`
 	Adapters int    `default:"0" help:"Number of adapters."`
-	Port     uint16 `default:"20000" help:"First port used; five for each process."`
+	Port     uint16 `default:"20000" help:"First port used; each process takes five."`
 }
 
-// Ports of one process, from its first.
+// Offsets of the ports of a process from its first port.
 const (
 	portControl = iota
 	portOperators
@@ -83,32 +83,33 @@
 	return name, settings, host
 }
 
-// owners is how many owners the models are spread over.
-const owners = 20
+// ownerCount is the number of owners among whom the models and adapters are divided.
+const ownerCount = 20
 
 func (c *standinFleet) catalogue() string {
 	var b strings.Builder
-	for i := range owners {
+	for i := range ownerCount {
 		fmt.Fprintf(&b, "---\nkind: owners\nname: owner-%02d\nspec: {keys: [{caller: caller, digest: %q}]}\n", i, fmt.Sprintf("%064x", i+1))
 	}
 	b.WriteString("---\nkind: services\nname: pool\nspec: {type: engine, class: interactive, checks-fence: true}\n")
 	for i := range c.Models {
-		fmt.Fprintf(&b, "---\nkind: models\nname: model-%03d\nspec: {owner: owner-%02d, service: pool, class: interactive, memory: 40GiB, limits: {replicas: 4, concurrency: 32}}\n", i, i%owners)
+		fmt.Fprintf(&b, "---\nkind: models\nname: model-%03d\nspec: {owner: owner-%02d, service: pool, class: interactive, memory: 40GiB, limits: {replicas: 4, concurrency: 32}}\n", i, i%ownerCount)
 	}
 	for i := range c.Adapters {
-		fmt.Fprintf(&b, "---\nkind: adapters\nname: adapter-%04d\nspec: {owner: owner-%02d, base: model-%03d, class: evening, memory: 128MiB, limits: {replicas: 2}}\n", i, i%owners, i%max(1, c.Models))
+		fmt.Fprintf(&b, "---\nkind: adapters\nname: adapter-%04d\nspec: {owner: owner-%02d, base: model-%03d, class: evening, memory: 128MiB, limits: {replicas: 2}}\n", i, i%ownerCount, i%max(1, c.Models))
 	}
 	return b.String()
 }
 
-// standinEngines runs the engines of such a fleet in one process.
+// standinEngines runs the engines of a fleet that standinFleet wrote, all in one
+// process.
 type standinEngines struct {
 	Entries int    `default:"2" help:"Number of entries of the fleet."`
 	Agents  int    `default:"4" help:"Number of agents of the fleet."`
 	Port    uint16 `default:"20000" help:"First port of the fleet."`
 }
 
-// Run serves until the process is told to stop.
+// Run serves until ctx ends.
 func (c *standinEngines) Run(ctx context.Context, _ io.Writer) error {
 	f := &standinFleet{Entries: c.Entries, Agents: c.Agents, Port: c.Port}
 	ended := make(chan error, c.Agents)
--- a/io/cmds/radishwell.go
+++ b/io/cmds/radishwell.go
@@ -10,26 +10,26 @@
 	"radishwell/io/node"
 )
 
-// radishwellCLI is the full command line of radishwell: what hosts run, and what
-// developers and operators use elsewhere.
+// radishwellCLI is the full command line of radishwell. It extends the commands
+// for hosts by those that developers and operators use elsewhere.
 type radishwellCLI struct {
 	hosted.Commands
 
-	Keys   keysCommand   `cmd:"" help:"Make an authority and certificates for own processes, for trials."`
-	Demo   demoCommand   `cmd:"" help:"Run the whole path in one process on embedded stand-ins."`
-	Bench  benchCommand  `cmd:"" help:"Drive load at a running system and report what callers got."`
-	Replay replayCommand `cmd:"" help:"Replay generated weeks against policies of keeping models loaded: waits and idle hours."`
+	Keys   keysCommand   `cmd:"" help:"Create an authority and certificates for the processes of radishwell, for trials."`
+	Demo   demoCommand   `cmd:"" help:"Run an entry, agents and stand-ins in one process."`
+	Bench  benchCommand  `cmd:"" help:"Send load to a running system and report what callers received."`
+	Replay replayCommand `cmd:"" help:"Replay generated weeks against policies of keeping models loaded; print waits and idle hours."`
 }
 
-// Radishwell runs radishwell's command line and returns the exit status.
+// Radishwell runs the command line of radishwell and returns the exit status.
 func Radishwell(args []string, out, errs io.Writer) int {
 	own := hosted.Own(func(ctx context.Context, s config.Settings) error { return (&node.Node{Settings: s}).Run(ctx) })
 	return hosted.Run(&radishwellCLI{}, "radishwell", hosted.About, args, out, errs, own)
 }
 
 type keysCommand struct {
-	Dir   string   `required:"" help:"Directory for the files; an authority that is there is used again."`
-	Hosts []string `name:"host" required:"" help:"NAME=ROLE@IP[,IP...], role entry, agent or operator; once for each host." placeholder:"NAME=ROLE@IP"`
+	Dir   string   `required:"" help:"Directory for the files; an existing authority is reused."`
+	Hosts []string `name:"host" required:"" help:"NAME=ROLE@IP[,IP...], role entry, agent or operator; repeated for each host." placeholder:"NAME=ROLE@IP"`
 }
 
 // Run writes the files.
--- a/io/cmds/replay.go
+++ b/io/cmds/replay.go
@@ -10,14 +10,14 @@
 	"radishwell/core/warm"
 )
 
-// replayCommand plays generated weeks against the keep-warm policies.
+// replayCommand replays generated weeks of arrivals against the keep-warm policies.
 type replayCommand struct {
 	Seed  uint64  `default:"1" help:"Seed of the generated arrivals."`
-	Scale float64 `default:"0" help:"How much a second of waiting is worth, as a multiple of the default; 0 is 4 for evenings and 1 for working days."`
+	Scale float64 `default:"0" help:"Cost of a second of waiting, as a multiple of the default; 0 means 4 for evenings and 1 for working days."`
 }
 
-// Scales of the two deployments: treasurers weigh waits more, the co-operative
-// its accelerators.
+// Default scales of the two deployments. For the treasurers of the first, waits
+// weigh more; for the co-operative of the second, the use of its accelerators.
 const (
 	eveningScale = 4
 	workingScale = 1
@@ -34,24 +34,24 @@
 		if c.Scale > 0 {
 			scale = c.Scale
 		}
-		if err := printFront(out, t.trace, scale); err != nil {
+		if err := printTable(out, t.trace, scale); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func printFront(out io.Writer, t replay.Trace, scale float64) error {
+func printTable(out io.Writer, t replay.Trace, scale float64) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%s: %d items, a second of waiting worth %g times the default\n", t.Name, len(t.Items), scale)
 	fmt.Fprintln(w, "policy\trequests\tcold\tp50\tp99\tmax\topeners mean\topeners p99\tidle hours\tload hours\tcost\t")
 	for _, r := range replay.Compare(t, scale) {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%.1f\t%.1f\t%.1f\t\n", r.Policy, r.Requests, r.Cold,
-			short(r.P50), short(r.P99), short(r.Max), short(r.OpenerMean), short(r.OpenerP99), r.IdleHours, r.LoadHours,
+			formatWait(r.P50), formatWait(r.P99), formatWait(r.Max), formatWait(r.OpenerMean), formatWait(r.OpenerP99), r.IdleHours, r.LoadHours,
 			r.Cost(warm.DefaultWorth.Scale(scale)))
 	}
 	fmt.Fprintln(w)
 	return w.Flush()
 }
 
-func short(d time.Duration) string { return d.Round(10 * time.Millisecond).String() }
+func formatWait(d time.Duration) string { return d.Round(10 * time.Millisecond).String() }
--- a/io/cmds/script_test.go
+++ b/io/cmds/script_test.go
@@ -29,9 +29,9 @@
 	testscript.Run(t, testscript.Params{Dir: "testdata"})
 }
 
-// TestDemo runs the README's main command end to end: it says that it is ready,
-// answers a chat request for a model that nothing has loaded yet, streams the
-// tokens, and stops at an interrupt without a trace.
+// TestDemo runs the main command of the README end to end. The demo reports that
+// it is ready, answers a streamed chat request for a model that isn't loaded yet,
+// and exits at an interrupt without leaving files behind.
 func TestDemo(t *testing.T) {
 	self, err := os.Executable()
 	assert.NilError(t, err)
--- a/io/cmds/soak.go
+++ b/io/cmds/soak.go
@@ -11,25 +11,25 @@
 	"radishwell/io/soak"
 )
 
-// soakCLI is the command line of the soak.
+// soakCLI is the command line of the soak test.
 type soakCLI struct {
-	Program string        `default:"target/radishwell" help:"The program of entries and agents." type:"existingfile"`
+	Program string        `default:"target/radishwell" help:"The program that runs entries and agents." type:"existingfile"`
 	Seed    uint64        `default:"1" help:"The first seed."`
-	Seeds   int           `default:"1" help:"How many seeds are run, one after the other."`
-	Length  time.Duration `default:"12s" help:"When the faults of a run end."`
+	Seeds   int           `default:"1" help:"Number of seeds to run, one after the other."`
+	Length  time.Duration `default:"12s" help:"Time from the start of a run until its faults end."`
 	Keep    string        `default:"target/soak-runs" help:"Directory for the logs and schedules of runs that failed." type:"path"`
 }
 
-// Soak runs the soak's command line and returns the exit status.
+// Soak runs the command line of the soak test and returns the exit status.
 func Soak(args []string, out, errs io.Writer) int {
 	return hosted.Run(&soakCLI{}, "soak", "Runs of the real programs under faults from outside.", args, out, errs)
 }
 
-// Run runs the seeds and fails where one found something.
+// Run runs all seeds. It fails if any of them found a violation.
 func (c *soakCLI) Run(out io.Writer) error {
 	failed := false
 	for i := range c.Seeds {
-		found, err := c.play(out, c.Seed+uint64(i))
+		found, err := c.runSeed(out, c.Seed+uint64(i))
 		if err != nil {
 			return err
 		}
@@ -41,7 +41,9 @@
 	return nil
 }
 
-func (c *soakCLI) play(out io.Writer, seed uint64) (found bool, err error) {
+// runSeed runs one seed and reports whether it found a violation. It keeps the files
+// of the run only in that case.
+func (c *soakCLI) runSeed(out io.Writer, seed uint64) (found bool, err error) {
 	program, err := filepath.Abs(c.Program)
 	if err != nil {
 		return false, &soak.StartError{What: c.Program, Cause: err}
--- a/io/cmds/standin.go
+++ b/io/cmds/standin.go
@@ -21,26 +21,26 @@
 	Platform standinPlatform `cmd:"" help:"The platform's object API, with faults at /faults and counts of calls at /calls."`
 	Engine   standinEngine   `cmd:"" help:"A model engine, with faults at /faults."`
 	Fleet    standinFleet    `cmd:"" help:"Write the files of a fleet on the loopback, for measuring."`
-	Engines  standinEngines  `cmd:"" help:"The engines of such a fleet in one process."`
-	Service  standinService  `cmd:"" help:"A plain service that echoes calls and counts them at /runs, with faults at /faults."`
-	Capacity capacityCommand `cmd:"" help:"Make the tables of docs/CAPACITY.md anew from the raw figures."`
+	Engines  standinEngines  `cmd:"" help:"The engines of a fleet, in one process."`
+	Service  standinService  `cmd:"" help:"A plain service that echoes calls, with counts of runs at /runs and faults at /faults."`
+	Capacity capacityCommand `cmd:"" help:"Regenerate the tables of docs/CAPACITY.md from the raw figures."`
 }
 
-// Standin runs the stand-ins' command line and returns the exit status.
+// Standin runs the command line of the stand-ins and returns the exit status.
 func Standin(args []string, out, errs io.Writer) int {
 	var c standinCLI
-	return hosted.Run(&c, "standin", "Stand-ins of the systems that radishwell meets, for trials and tests.", args, out, errs)
+	return hosted.Run(&c, "standin", "Stand-ins of the systems that radishwell works with, for trials and tests.", args, out, errs)
 }
 
 type standinPlatform struct {
 	Listen  netip.AddrPort `required:"" help:"Address of the object API."`
-	Control netip.AddrPort `help:"Address for /faults and /calls, reached while the API is down."`
-	Seed    []string       `help:"YAML files with the objects at the start: documents with kind, name and spec." type:"existingfile"`
-	Token   string         `help:"Bearer token that callers have to show."`
-	History int            `default:"10000" help:"Events kept for watches that resume."`
+	Control netip.AddrPort `help:"Address for /faults and /calls that stays reachable while the API is down."`
+	Seed    []string       `help:"YAML files with the initial objects: documents with kind, name and spec." type:"existingfile"`
+	Token   string         `help:"Bearer token that callers have to send."`
+	History int            `default:"10000" help:"Number of events kept for watches that resume."`
 }
 
-// Run serves until the process is told to stop.
+// Run serves until ctx ends.
 func (c *standinPlatform) Run(ctx context.Context) error {
 	srv := &apisrv.Server{Listen: c.Listen, Control: c.Control, Token: c.Token, History: c.History}
 	for _, name := range c.Seed {
@@ -72,11 +72,11 @@
 	LoadAdapter  time.Duration  `default:"5ms" help:"Time of the load of an adapter."`
 	FirstToken   time.Duration  `default:"5ms" help:"Time before the first token."`
 	TokenTime    time.Duration  `default:"2ms" help:"Time between tokens."`
-	Batch        int            `default:"32" help:"Requests that make progress at once."`
-	IgnoreFence  bool           `help:"Obey orders with an old fencing number."`
+	Batch        int            `default:"32" help:"Requests that are processed at the same time."`
+	IgnoreFence  bool           `help:"Carry out orders with an outdated fencing number."`
 }
 
-// Run serves until the process is told to stop.
+// Run serves until ctx ends.
 func (c *standinEngine) Run(ctx context.Context) error {
 	srv := &llmsrv.Server{
 		Listen: c.Listen, LoadTimes: [3]time.Duration{c.LoadMemory, c.LoadDisk, c.LoadStore},
@@ -92,7 +92,7 @@
 	Listen netip.AddrPort `required:"" help:"Address of the service."`
 }
 
-// Run serves until the process is told to stop.
+// Run serves until ctx ends.
 func (c *standinService) Run(ctx context.Context) error {
 	return (&plain.Server{Listen: c.Listen}).Run(ctx)
 }
--- a/io/front/answer.go
+++ b/io/front/answer.go
@@ -75,7 +75,7 @@
 	flush *http.ResponseController
 	id    core.RequestID
 	clock core.Clock
-	// stream is set if Data writes to the caller at once instead of to buffered.
+	// stream is set if Data writes to the caller at once instead of buffering.
 	stream bool
 	// events is set if a streamed answer is a stream of server-sent events.
 	events      bool
--- a/io/httpd/doc.go
+++ b/io/httpd/doc.go
@@ -1,3 +1,3 @@
-// Package httpd serves HTTP on kratos' transport, as all of radishwell's
-// processes do.
+// Package httpd provides the HTTP server that all processes of radishwell use.
+// It is built on the HTTP transport of kratos.
 package httpd
--- a/io/httpd/server.go
+++ b/io/httpd/server.go
@@ -20,38 +20,43 @@
 )
 
 const (
-	// headTime bounds the arrival of a request's head, so that idle peers do not
-	// hold connections for nothing.
-	headTime = 10 * time.Second
-	idleTime = 2 * time.Minute
-	// pingAfter and pingTimeout find a silent connection to an entry; see the
-	// entry's end of it.
-	pingAfter   = time.Second
-	pingTimeout = time.Second
-	// maxStreams is how many answers an entry may read over one connection.
+	// readHeaderTimeout is the time within which the header of a request has to arrive, so
+	// that peers that send nothing don't keep connections open.
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 2 * time.Minute
+	// pingInterval and pingTimeout detect a silent connection to an entry. The entry
+	// checks the connection in the same way from its end.
+	pingInterval = time.Second
+	pingTimeout  = time.Second
+	// maxStreams is the number of answers that an entry may read at the same time
+	// over one connection.
 	maxStreams = 4096
 )
 
-// Server is one of a process's HTTP servers, on kratos' transport. Set the
-// exported fields before Listen.
+// Server is an HTTP server on the transport of kratos. A process may have several.
+// The exported fields have to be set before Listen.
 type Server struct {
-	// Address is where it listens; after Listen with the port that was taken.
+	// Address is the address to listen on. Listen replaces port 0 by the port
+	// that the system assigned.
 	Address netip.AddrPort
 	// TLS is nil for plain HTTP.
 	TLS     *tls.Config
 	Handler http.Handler
-	// Peers sets HTTP/2 up for streams between own processes.
+	// Peers enables HTTP/2 with settings for streams between processes of
+	// radishwell.
 	Peers bool
 
 	listener net.Listener
 	server   *khttp.Server
 }
 
-// Quiet keeps kratos from logging beside the numbered events. Its logger is one
-// for the whole process, in which several nodes may run.
+// Quiet discards the log of kratos, so that only numbered events are logged. It
+// runs once per process, because kratos has one logger for the whole process and
+// several nodes may run in it.
 var Quiet = sync.OnceFunc(func() { kratoslog.SetLogger(kratoslog.NewStdLogger(io.Discard)) })
 
-// Listen takes the address, so that a second process on it fails at once.
+// Listen starts to listen on Address. It fails at once if another process listens
+// there.
 func (s *Server) Listen() error {
 	lis, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(s.Address))
 	if err != nil {
@@ -59,8 +64,8 @@
 	}
 	s.listener = lis
 	s.Address = lis.Addr().(*net.TCPAddr).AddrPort()
-	// kratos' router would clean paths and answer them with redirects; plain
-	// services get their paths as callers sent them.
+	// The filter bypasses the router of kratos, which would clean paths and answer
+	// with redirects. Plain services receive paths as callers sent them.
 	options := []khttp.ServerOption{
 		khttp.Listener(lis), khttp.Timeout(0), khttp.Endpoint(&url.URL{Scheme: "http", Host: s.Address.String()}),
 		khttp.Filter(func(http.Handler) http.Handler { return s.Handler }),
@@ -69,8 +74,8 @@
 		options = append(options, khttp.TLSConfig(s.TLS))
 	}
 	s.server = khttp.NewServer(options...)
-	s.server.ReadHeaderTimeout = headTime
-	s.server.IdleTimeout = idleTime
+	s.server.ReadHeaderTimeout = readHeaderTimeout
+	s.server.IdleTimeout = idleTimeout
 	s.server.ErrorLog = events.Logger(events.ConnectionFailed)
 	if s.Peers {
 		var protocols http.Protocols
@@ -79,18 +84,18 @@
 		protocols.SetUnencryptedHTTP2(s.TLS == nil)
 		s.server.Protocols = &protocols
 		s.server.HTTP2 = &http.HTTP2Config{
-			SendPingTimeout: pingAfter, PingTimeout: pingTimeout, WriteByteTimeout: pingAfter + pingTimeout,
+			SendPingTimeout: pingInterval, PingTimeout: pingTimeout, WriteByteTimeout: pingInterval + pingTimeout,
 			MaxConcurrentStreams: maxStreams,
 		}
 	}
 	return nil
 }
 
-// Start implements kratos' transport.Server.
+// Start implements transport.Server of kratos.
 func (s *Server) Start(ctx context.Context) error { return s.server.Start(ctx) }
 
-// Stop implements kratos' transport.Server: no new connections, and those with
-// requests in progress are left to end.
+// Stop implements transport.Server of kratos. It accepts no new connections and
+// waits until the requests in progress have ended or ctx ends.
 func (s *Server) Stop(ctx context.Context) error {
 	err := s.server.Stop(ctx)
 	if errors.Is(err, http.ErrServerClosed) {
