--- a/io/bench/arrive.go
+++ b/io/bench/arrive.go
@@ -16,70 +16,77 @@
 	"radishwell/core"
 )
 
-// shot is one request to be sent.
-type shot struct {
+// request is one request of the load.
+type request struct {
 	number int
-	// at is when the request should be sent; latencies count from it.
-	at    time.Time
+	// at is the time at which the request is to be sent. Latencies count from it.
+	at time.Time
+	// due is the deadline of the request.
 	due   time.Time
 	phase int
 	call  *Call
 	model core.ModelName
-	// prompt and tokens make a model's answer, which the stand-in echoes.
+	// prompt and tokens determine the answer of a model stand-in, which repeats the
+	// words of the prompt until it has written this many tokens.
 	prompt []string
 	tokens int
 	stream bool
-	key    string
-	body   []byte
-	// repeat marks a second sending of an earlier request's key and body.
+	// key is the idempotency key, or "" for none.
+	key  string
+	body []byte
+	// repeat is set if the request repeats the key and body of an earlier one.
 	repeat bool
 }
 
-// arrivals yields an experiment's requests in the order of their times. Two
-// with the same seed, run and start yield the same.
+// arrivals generates the requests of an experiment in the order of their times.
+// Equal plans, runs and starts give equal requests.
 type arrivals struct {
 	plan *Plan
-	// run tells this run's keys and bodies from those of every other.
-	run   string
-	moves *rand.Rand
-	picks *rand.Rand
-	mixes []mix
-	// repeats are requests to be sent again.
-	repeats shotHeap
-	phase   int
-	begin   time.Time
-	// burst are the times left of a burst; next is the next Poisson arrival.
+	// run makes keys and bodies distinct from those of all other runs.
+	run string
+	// timeRand generates times, contentRand the contents of requests.
+	timeRand    *rand.Rand
+	contentRand *rand.Rand
+	mixes       []mix
+	// repeats holds the repetitions that are still to be sent.
+	repeats requestHeap
+	// phase is the index of the current phase, which started at begin.
+	phase int
+	begin time.Time
+	// burst holds the remaining times of the current burst; next is the time of the
+	// next Poisson arrival.
 	burst     []time.Time
 	nextBurst time.Time
 	next      time.Time
 	number    int
 }
 
-// mix is the choice among a phase's calls.
+// mix is the distribution of the requests of a phase among its calls. shares is
+// cumulative, and models holds the cumulative popularity of the models of each call.
 type mix struct {
 	calls  []*Call
 	shares []float64
 	models map[*Call][]float64
 }
 
-// Streams of random numbers; each has its own so that a change of lengths does
-// not move the arrivals.
+// Streams of random numbers. Times and contents have a stream each, so that a
+// change of lengths doesn't change the times.
 const (
-	streamMoves = 1
-	streamPicks = 2
+	streamTimes    = 1
+	streamContents = 2
 )
 
 func newArrivals(p *Plan, run string, start time.Time) *arrivals {
 	a := &arrivals{
 		plan: p, run: run, begin: start,
-		moves: rand.New(rand.NewPCG(uint64(p.Seed), streamMoves)),
-		picks: rand.New(rand.NewPCG(uint64(p.Seed), streamPicks)),
+		timeRand:    rand.New(rand.NewPCG(uint64(p.Seed), streamTimes)),
+		contentRand: rand.New(rand.NewPCG(uint64(p.Seed), streamContents)),
 	}
 	for i := range p.Phases {
 		a.mixes = append(a.mixes, newMix(p, &p.Phases[i]))
 	}
 	if len(p.Phases) > 0 {
-		a.enter()
+		a.startPhase()
 	}
 	return a
 }
@@ -96,20 +103,21 @@
 		weights = append(weights, c.Weight)
 		m.models[c] = c.shares()
 	}
-	m.shares = running(weights)
+	m.shares = cumulative(weights)
 	return m
 }
 
-// enter starts the present phase.
-func (a *arrivals) enter() {
+// startPhase starts the current phase.
+func (a *arrivals) startPhase() {
 	p := &a.plan.Phases[a.phase]
 	a.burst, a.nextBurst = nil, a.begin
-	a.next = a.after(p, a.begin)
+	a.next = a.nextPoisson(p, a.begin)
 }
 
-// after draws the next Poisson arrival behind t, by thinning: candidates come
-// at the peak rate, and each stays with the share of the rate at its time.
-func (a *arrivals) after(p *Phase, t time.Time) time.Time {
+// nextPoisson draws the next Poisson arrival after t, or returns the end of the
+// phase. It uses thinning: candidates arrive at the peak rate, and each is accepted
+// with the ratio of the rate at its time to the peak rate.
+func (a *arrivals) nextPoisson(p *Phase, t time.Time) time.Time {
 	end := a.begin.Add(p.For)
 	if p.Rate == 0 {
 		return end
@@ -119,16 +127,16 @@
 		peak *= 1 + p.Swing
 	}
 	for t.Before(end) {
-		t = t.Add(time.Duration(a.moves.ExpFloat64() / peak * float64(time.Second)))
-		if a.moves.Float64()*peak < rateAt(p, t.Sub(a.begin)) {
+		t = t.Add(time.Duration(a.timeRand.ExpFloat64() / peak * float64(time.Second)))
+		if a.timeRand.Float64()*peak < rateAt(p, t.Sub(a.begin)) {
 			return t
 		}
 	}
 	return end
 }
 
-// rateAt is a phase's rate at a time after its beginning: a wave starts in its
-// trough.
+// rateAt returns the rate of a phase at a time after its beginning. A wave starts
+// at its minimum.
 func rateAt(p *Phase, since time.Duration) float64 {
 	if p.Shape != Wave {
 		return p.Rate
@@ -137,35 +145,36 @@
 	return p.Rate * (1 - p.Swing*math.Cos(turn))
 }
 
-// pull returns the next request, or nil at the end.
-func (a *arrivals) pull() *shot {
+// pull returns the next request, or nil after the last one.
+func (a *arrivals) pull() *request {
 	for a.phase < len(a.plan.Phases) && a.number < a.plan.MaxRequests {
 		p := &a.plan.Phases[a.phase]
 		end := a.begin.Add(p.For)
 		at := a.candidate(p, end)
 		if len(a.repeats) > 0 && !at.Before(a.repeats[0].at) {
-			return a.repetition()
+			return a.popRepeat()
 		}
 		if !at.Before(end) {
 			a.begin, a.phase = end, a.phase+1
 			if a.phase < len(a.plan.Phases) {
-				a.enter()
+				a.startPhase()
 			}
 			continue
 		}
-		a.take(p, at)
-		return a.shoot(at)
+		a.consume(p, at)
+		return a.makeRequest(at)
 	}
 	if len(a.repeats) > 0 && a.number < a.plan.MaxRequests {
-		return a.repetition()
+		return a.popRepeat()
 	}
 	return nil
 }
 
-// candidate is the time of the next fresh request of the phase.
+// candidate returns the time of the next request of the phase that isn't a
+// repetition.
 func (a *arrivals) candidate(p *Phase, end time.Time) time.Time {
 	if p.Shape == Bursts && len(a.burst) == 0 && a.nextBurst.Before(end) {
-		a.burst = a.spread(p)
+		a.burst = a.drawBurst(p)
 		a.nextBurst = a.nextBurst.Add(p.Period)
 	}
 	if len(a.burst) > 0 && a.burst[0].Before(a.next) {
@@ -174,52 +183,56 @@
 	return a.next
 }
 
-func (a *arrivals) spread(p *Phase) []time.Time {
+// drawBurst returns the times of the requests of the next burst.
+func (a *arrivals) drawBurst(p *Phase) []time.Time {
 	times := make([]time.Time, p.Burst)
 	for i := range times {
-		times[i] = a.nextBurst.Add(time.Duration(a.moves.Float64() * float64(p.Spread)))
+		times[i] = a.nextBurst.Add(time.Duration(a.timeRand.Float64() * float64(p.Spread)))
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	return times
 }
 
-func (a *arrivals) take(p *Phase, at time.Time) {
+// consume removes the candidate at the given time.
+func (a *arrivals) consume(p *Phase, at time.Time) {
 	if len(a.burst) > 0 && a.burst[0].Equal(at) {
 		a.burst = a.burst[1:]
 		return
 	}
-	a.next = a.after(p, at)
+	a.next = a.nextPoisson(p, at)
 }
 
-func (a *arrivals) repetition() *shot {
-	s := heap.Pop(&a.repeats).(*shot)
+func (a *arrivals) popRepeat() *request {
+	s := heap.Pop(&a.repeats).(*request)
 	s.number = a.number
 	a.number++
 	return s
 }
 
-// shoot draws what a request asks for.
-func (a *arrivals) shoot(at time.Time) *shot {
+// makeRequest draws the call and the contents of a request to be sent at the given
+// time.
+func (a *arrivals) makeRequest(at time.Time) *request {
 	m := &a.mixes[a.phase]
-	c := m.calls[pick(a.picks, m.shares)]
-	s := &shot{number: a.number, at: at, due: at.Add(c.Deadline), phase: a.phase, call: c}
+	c := m.calls[pick(a.contentRand, m.shares)]
+	s := &request{number: a.number, at: at, due: at.Add(c.Deadline), phase: a.phase, call: c}
 	a.number++
 	if c.Service == "" {
-		a.ask(s, m.models[c])
+		a.fillChat(s, m.models[c])
 	} else {
-		a.post(s)
+		a.fillService(s)
 	}
 	return s
 }
 
+// pick draws an index from a cumulative distribution.
 func pick(r *rand.Rand, shares []float64) int {
 	return min(sort.SearchFloat64s(shares, r.Float64()), len(shares)-1)
 }
 
 func (s Span) draw(r *rand.Rand) int { return s.Min + r.IntN(s.Max-s.Min+1) }
 
-// askBody is the part of a chat request that the tool sends.
-type askBody struct {
+// chatBody is the body of a chat request.
+type chatBody struct {
 	Model     core.ModelName `json:"model"`
 	Stream    bool           `json:"stream,omitempty"`
 	MaxTokens int            `json:"max_tokens"`
@@ -231,34 +244,35 @@
 	Content string `json:"content"`
 }
 
-// ask makes a chat request. The first word of its prompt is its own, so that
-// an answer to another request is recognised.
-func (a *arrivals) ask(s *shot, shares []float64) {
+// fillChat draws a chat request. The first word of its prompt is unique, so that an
+// answer to another request is recognised.
+func (a *arrivals) fillChat(s *request, shares []float64) {
 	c := s.call
-	s.model = c.Models[pick(a.picks, shares)]
-	s.stream = a.picks.Float64() < c.Stream
-	s.tokens = c.Tokens.draw(a.picks)
+	s.model = c.Models[pick(a.contentRand, shares)]
+	s.stream = a.contentRand.Float64() < c.Stream
+	s.tokens = c.Tokens.draw(a.contentRand)
 	s.prompt = []string{fmt.Sprintf("%s-%d", a.run, s.number)}
-	for range c.Prompt.draw(a.picks) - 1 {
-		s.prompt = append(s.prompt, "w"+strconv.Itoa(a.picks.IntN(1000)))
+	for range c.Prompt.draw(a.contentRand) - 1 {
+		s.prompt = append(s.prompt, "w"+strconv.Itoa(a.contentRand.IntN(1000)))
 	}
-	s.body = mustJSON(askBody{
+	s.body = mustJSON(chatBody{
 		Model: s.model, Stream: s.stream, MaxTokens: s.tokens,
 		Messages: []message{{Role: "user", Content: strings.Join(s.prompt, " ")}},
 	})
 }
 
-// post makes a call of a service, with a body of its own, and its repetition.
-func (a *arrivals) post(s *shot) {
+// fillService draws a call of a service with a unique body. It may schedule a
+// repetition of the call.
+func (a *arrivals) fillService(s *request) {
 	c := s.call
 	if c.Method != http.MethodGet {
 		s.body = fmt.Appendf(nil, `{"call":%q,"run":%q,"number":%d}`, c.Name, a.run, s.number)
 	}
-	if a.picks.Float64() >= c.Keyed {
+	if a.contentRand.Float64() >= c.Keyed {
 		return
 	}
 	s.key = fmt.Sprintf("%s-%d", a.run, s.number)
-	if a.picks.Float64() < c.Repeat {
+	if a.contentRand.Float64() < c.Repeat {
 		again := *s
 		again.at, again.repeat = s.at.Add(c.RepeatAfter), true
 		again.due = again.at.Add(c.Deadline)
@@ -266,7 +280,7 @@
 	}
 }
 
-// mustJSON encodes one of the package's own types, which cannot fail.
+// mustJSON encodes a type of this package, which can't fail.
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -275,23 +289,23 @@
 	return b
 }
 
-// shotHeap orders requests by time.
-type shotHeap []*shot
+// requestHeap is a heap of requests ordered by time.
+type requestHeap []*request
 
 // Len implements sort.Interface.
-func (h shotHeap) Len() int { return len(h) }
+func (h requestHeap) Len() int { return len(h) }
 
 // Less implements sort.Interface.
-func (h shotHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h requestHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
 
 // Swap implements sort.Interface.
-func (h shotHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h requestHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *shotHeap) Push(x any) { *h = append(*h, x.(*shot)) }
+func (h *requestHeap) Push(x any) { *h = append(*h, x.(*request)) }
 
 // Pop implements heap.Interface.
-func (h *shotHeap) Pop() any {
+func (h *requestHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/io/bench/audit.go
+++ b/io/bench/audit.go
@@ -14,41 +14,45 @@
 	"radishwell/io/config"
 )
 
-// group is what the callers of one body were told: a request and its
-// repetitions under the same idempotency key.
-type group struct {
+// callGroup counts the outcomes of the requests with the same body: a request and
+// its repetitions with the same idempotency key. unknown counts those without an
+// outcome.
+type callGroup struct {
 	call             string
 	done, mayRun     int
 	refused, unknown int
 }
 
-// audit keeps what is to be compared with the stand-ins' counts of runs.
+// audit collects outcomes, to compare them with the counts of runs of the
+// stand-ins.
 type audit struct {
-	// groups are calls of plain services that have a body, by the body.
-	groups map[string]*group
-	// refused are requests to models that were refused as not run.
+	// groups holds the calls of plain services, by body. Calls without a body are
+	// left out.
+	groups map[string]*callGroup
+	// refused holds the requests to models that were refused as not run, with the
+	// codes of the refusals.
 	refused map[core.RequestID]core.Code
 }
 
 func newAudit() *audit {
-	return &audit{groups: map[string]*group{}, refused: map[core.RequestID]core.Code{}}
+	return &audit{groups: map[string]*callGroup{}, refused: map[core.RequestID]core.Code{}}
 }
 
-// add notes what a caller was told.
+// add adds the outcome of one request.
 func (a *audit) add(r result) {
-	if r.shot.call.Service == "" {
+	if r.request.call.Service == "" {
 		if r.fate == refused && r.id != "" {
 			a.refused[r.id] = r.code
 		}
 		return
 	}
-	if len(r.shot.body) == 0 {
+	if len(r.request.body) == 0 {
 		return
 	}
-	g := a.groups[string(r.shot.body)]
+	g := a.groups[string(r.request.body)]
 	if g == nil {
-		g = &group{call: r.shot.call.Name}
-		a.groups[string(r.shot.body)] = g
+		g = &callGroup{call: r.request.call.Name}
+		a.groups[string(r.request.body)] = g
 	}
 	switch {
 	case r.fate == done:
@@ -62,64 +66,67 @@
 	}
 }
 
-// Audit compares what callers were told with what the stand-ins ran.
+// Audit is the comparison of the outcomes that callers received with what the
+// stand-ins ran.
 type Audit struct {
-	// Services tells that the plain services' counts were read, Engines that the
-	// engines' were.
+	// Services reports whether the counts of all plain services could be read,
+	// Engines whether those of all engines could.
 	Services bool `json:"services"`
 	Engines  bool `json:"engines"`
-	// Calls is how many different calls of services were sent.
+	// Calls is the number of different calls of services that were sent.
 	Calls int `json:"calls"`
-	// Ran is how many of them ran.
+	// Ran is the number of these calls that ran.
 	Ran int `json:"ran"`
 	// RanTwice counts calls that ran more than once.
 	RanTwice int `json:"ran-twice"`
-	// RanThoughRefused counts calls that ran although every sending was
-	// answered not-run, and model requests started under a refused id.
+	// RanThoughRefused counts calls that ran although each of their requests was
+	// refused as not run or never sent, and model requests that an engine started
+	// although they were refused as not run.
 	RanThoughRefused int `json:"ran-though-refused"`
-	// DoneWithoutRun counts calls answered done that the service knows nothing of.
+	// DoneWithoutRun counts calls with the outcome done that no service ran.
 	DoneWithoutRun int `json:"done-without-run"`
 	// Reruns counts model requests that one engine started more than once.
 	Reruns int `json:"model-reruns"`
-	// Examples names some of the breaches.
+	// Examples describes some of the breaches.
 	Examples []string `json:"examples,omitempty"`
-	// Problems are stand-ins that could not be asked.
+	// Problems describes the failures to read counts of stand-ins.
 	Problems []string `json:"problems,omitempty"`
 }
 
-// Breaches counts what must never happen.
+// Breaches returns the number of runs and outcomes that must never occur.
 func (a Audit) Breaches() int { return a.RanTwice + a.RanThoughRefused + a.DoneWithoutRun }
 
-// maxExamples bounds the examples of a report.
+// maxExamples is the maximum number of examples in a report.
 const maxExamples = 20
 
-func (a *Audit) example(text string) {
+func (a *Audit) addExample(text string) {
 	if len(a.Examples) < maxExamples {
 		a.Examples = append(a.Examples, text)
 	}
 }
 
-// compare asks the stand-ins and returns the comparison.
+// compare reads the counts of the stand-ins and returns the comparison.
 func (a *audit) compare(ctx context.Context, p *Plan) Audit {
 	var out Audit
 	out.Calls = len(a.groups)
 	if len(p.Services) > 0 {
-		runs, ok := a.ask(ctx, &out, p.Services, "/runs")
+		runs, ok := a.readCounts(ctx, &out, p.Services, "/runs")
 		out.Services = ok
 		if ok {
 			a.checkServices(&out, runs)
 		}
 	}
 	if len(p.Engines) > 0 {
-		runs, ok := a.ask(ctx, &out, p.Engines, "/started")
+		runs, ok := a.readCounts(ctx, &out, p.Engines, "/started")
 		out.Engines = ok
 		a.checkEngines(&out, runs)
 	}
 	return out
 }
 
-// ask reads the counts of several stand-ins, and whether all of them answered.
-func (a *audit) ask(ctx context.Context, out *Audit, at []config.Origin, path string) ([]map[string]int, bool) {
+// readCounts returns the counts of several stand-ins and whether all of them could
+// be read.
+func (a *audit) readCounts(ctx context.Context, out *Audit, at []config.Origin, path string) ([]map[string]int, bool) {
 	var all []map[string]int
 	for _, o := range at {
 		counts := map[string]int{}
@@ -144,13 +151,13 @@
 		switch {
 		case runs > 1:
 			out.RanTwice++
-			out.example("ran more than once: " + body)
+			out.addExample("ran more than once: " + body)
 		case runs == 1 && g.done+g.mayRun+g.unknown == 0:
 			out.RanThoughRefused++
-			out.example("ran though refused: " + body)
+			out.addExample("ran though refused: " + body)
 		case runs == 0 && g.done > 0:
 			out.DoneWithoutRun++
-			out.example("done without a run: " + body)
+			out.addExample("done without a run: " + body)
 		}
 	}
 }
@@ -163,7 +170,7 @@
 			}
 			if code, ok := a.refused[core.RequestID(id)]; ok {
 				out.RanThoughRefused++
-				out.example("started though refused with " + string(code) + ": " + id)
+				out.addExample("started though refused with " + string(code) + ": " + id)
 			}
 		}
 	}
@@ -178,12 +185,12 @@
 	return keys
 }
 
-// askTime bounds a question to a stand-in.
-const askTime = 10 * time.Second
+// standinTimeout is the timeout of a request to a stand-in's own paths.
+const standinTimeout = 10 * time.Second
 
-// getJSON reads a JSON document.
+// getJSON decodes the JSON document at url into to.
 func getJSON(ctx context.Context, url string, to any) error {
-	ctx, stop := context.WithTimeout(ctx, askTime)
+	ctx, stop := context.WithTimeout(ctx, standinTimeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/io/bench/charts.go
+++ b/io/bench/charts.go
@@ -23,7 +23,8 @@
 	lineWidth   = vg.Length(1.2)
 )
 
-// palette is told apart also by readers who do not see red and green.
+// palette holds colours that readers with red-green colour blindness can
+// distinguish.
 var palette = []color.RGBA{
 	{0, 114, 178, 255},
 	{213, 94, 0, 255},
@@ -36,15 +37,15 @@
 	{0, 0, 0, 255},
 }
 
-// curveOf is one named line of a chart.
-type curveOf struct {
+// namedCurve is one line of a chart.
+type namedCurve struct {
 	name   string
 	points plotter.XYs
 }
 
-// chart draws curves as an SVG document to stand in a page; ids of its parts
-// begin with the chart's own name.
-func chart(title, x, y string, curves []curveOf, adapt func(*plot.Plot)) (template.HTML, error) {
+// chart draws curves as an SVG element for an HTML page. If adapt is given, it may
+// change the plot before it is drawn.
+func chart(title, x, y string, curves []namedCurve, adapt func(*plot.Plot)) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Legend.Top, p.Legend.Left = true, true
@@ -78,15 +79,15 @@
 	fontFace  = regexp.MustCompile(`font-family:[^;"]*`)
 )
 
-// inline makes a part of a page of an SVG document. The text is the plotting
-// library's, which escapes what it is given.
+// inline turns an SVG document into an element of an HTML page. The text can be
+// trusted: the plotting library, which wrote it, escapes its input.
 func inline(svg []byte) template.HTML {
 	svg = beforeSVG.ReplaceAll(svg, []byte("<svg"))
 	svg = fontFace.ReplaceAll(svg, []byte("font-family:sans-serif"))
 	return template.HTML(svg)
 }
 
-// charts draws a report's charts.
+// charts draws the charts of a report.
 func (r *Report) charts() ([]template.HTML, error) {
 	var out []template.HTML
 	for _, one := range []func() (template.HTML, error){r.outcomeChart, r.latencyChart, r.percentileChart} {
@@ -100,17 +101,17 @@
 }
 
 func (r *Report) outcomeChart() (template.HTML, error) {
-	curves := []curveOf{{name: "sent", points: r.series(func(p Point) float64 { return float64(p.Sent) / p.Width })}}
+	curves := []namedCurve{{name: "sent", points: r.series(func(p Point) float64 { return float64(p.Sent) / p.Width })}}
 	for f := range fateCount {
 		if r.Fates[f.String()] > 0 {
-			curves = append(curves, curveOf{f.String(), r.series(func(p Point) float64 { return float64(p.Fates[f.String()]) / p.Width })})
+			curves = append(curves, namedCurve{f.String(), r.series(func(p Point) float64 { return float64(p.Fates[f.String()]) / p.Width })})
 		}
 	}
 	return chart("Requests a second by outcome, at the time they were due", "seconds", "requests/s", curves, r.markFaults)
 }
 
 func (r *Report) latencyChart() (template.HTML, error) {
-	curves := []curveOf{
+	curves := []namedCurve{
 		{"p50", r.series(func(p Point) float64 { return p.P50 })},
 		{"p99", r.series(func(p Point) float64 { return p.P99 })},
 		{"max", r.series(func(p Point) float64 { return p.Max })},
@@ -122,14 +123,14 @@
 }
 
 func (r *Report) percentileChart() (template.HTML, error) {
-	var curves []curveOf
+	var curves []namedCurve
 	most := 1.0
 	for _, l := range r.Lines {
-		c := curveOf{name: l.Call}
+		c := namedCurve{name: l.Call}
 		for _, p := range l.Curve {
 			nines := -math.Log10(math.Max(1-p.Percentile/100, 1e-9))
 			most = max(most, nines)
-			c.points = append(c.points, plotter.XY{X: nines, Y: math.Max(p.Millis, leastMillis)})
+			c.points = append(c.points, plotter.XY{X: nines, Y: math.Max(p.Millis, minMillis)})
 		}
 		if l.Model == "" {
 			curves = append(curves, c)
@@ -150,16 +151,16 @@
 	return ticks
 }
 
-// leastMillis keeps zero off a logarithmic axis.
-const leastMillis = 0.01
+// minMillis replaces smaller values, because a logarithmic axis has no zero.
+const minMillis = 0.01
 
-// logarithmic changes an axis's scale. An axis without data has no range yet,
-// and none can be drawn of it.
+// logarithmic makes an axis logarithmic. An axis without data gets a default range,
+// without which it can't be drawn.
 func logarithmic(a *plot.Axis) {
 	if a.Min > a.Max {
-		a.Min, a.Max = leastMillis, 1
+		a.Min, a.Max = minMillis, 1
 	}
-	a.Min = max(a.Min, leastMillis)
+	a.Min = max(a.Min, minMillis)
 	a.Max = max(a.Max, a.Min*10)
 	a.Scale = plot.LogScale{}
 	a.Tick.Marker = plot.LogTicks{Prec: -1}
@@ -168,18 +169,18 @@
 func (r *Report) series(value func(Point) float64) plotter.XYs {
 	var out plotter.XYs
 	for _, p := range r.Points {
-		out = append(out, plotter.XY{X: p.Second, Y: math.Max(value(p), leastMillis)})
+		out = append(out, plotter.XY{X: p.Second, Y: math.Max(value(p), minMillis)})
 	}
 	return out
 }
 
-// markFaults draws a dashed line where a fault was switched.
+// markFaults draws a dashed line at each time at which faults were set.
 func (r *Report) markFaults(p *plot.Plot) {
 	for _, s := range r.Switched {
 		x := s.At.Sub(r.Start).Seconds()
-		line, err := plotter.NewLine(plotter.XYs{{X: x, Y: max(p.Y.Min, leastMillis)}, {X: x, Y: max(p.Y.Max, 1)}})
+		line, err := plotter.NewLine(plotter.XYs{{X: x, Y: max(p.Y.Min, minMillis)}, {X: x, Y: max(p.Y.Max, 1)}})
 		if err != nil {
-			continue // a mark less; the table below names the fault all the same
+			continue // the table of faults in the page still lists this one
 		}
 		line.Color, line.Dashes = color.Gray{120}, []vg.Length{2, 2}
 		p.Add(line)
--- a/io/bench/judge.go
+++ b/io/bench/classify.go
@@ -9,8 +9,8 @@
 	"radishwell/core"
 )
 
-// judge finds a request's fate from its whole answer.
-func judge(r *result, status int, outcome string, raw []byte) {
+// classify sets the fate of a request from its complete answer.
+func classify(r *result, status int, outcome string, raw []byte) {
 	var o core.Outcome
 	if o.UnmarshalText([]byte(outcome)) != nil {
 		r.fate, r.note = unmarked, http.StatusText(status)
@@ -19,7 +19,7 @@
 	switch o {
 	case core.Done:
 		r.fate = done
-		if reason := mismatch(r.shot, status, raw); reason != "" {
+		if reason := mismatch(r.request, status, raw); reason != "" {
 			r.fate, r.note = wrong, reason
 		}
 	case core.NotRun:
@@ -29,14 +29,14 @@
 	}
 }
 
-// failure is the error document of an answer or of a stream's last event.
+// failure is the error document of an answer or of the last event of a stream.
 type failure struct {
 	Error struct {
 		Code core.Code `json:"code"`
 	} `json:"error"`
 }
 
-// failureCode returns the code of a failed answer, empty where there is none.
+// failureCode returns the error code of a failed answer, or "" if it has none.
 func failureCode(raw []byte) core.Code {
 	text := bytes.TrimSpace(raw)
 	if i := bytes.LastIndex(text, []byte("data: ")); i >= 0 {
@@ -49,9 +49,10 @@
 	return f.Error.Code
 }
 
-// mismatch tells how an answer marked done is not the whole answer to its own
-// request, or nothing. The stand-ins echo what they are asked.
-func mismatch(s *shot, status int, raw []byte) string {
+// mismatch checks that an answer with the outcome done is the complete answer to
+// its own request, which it can tell because the stand-ins echo requests. It
+// returns the difference, or "" if there is none.
+func mismatch(s *request, status int, raw []byte) string {
 	switch {
 	case status != http.StatusOK:
 		return "done with status " + http.StatusText(status)
@@ -64,7 +65,7 @@
 	}
 }
 
-func mismatchEcho(s *shot, raw []byte) string {
+func mismatchEcho(s *request, raw []byte) string {
 	var e struct {
 		Body string `json:"body"`
 	}
@@ -77,7 +78,7 @@
 	return ""
 }
 
-// chunk is the part of a chat answer that is looked at, streamed or whole.
+// chunk is the part of a chat answer, streamed or whole, that is checked.
 type chunk struct {
 	Choices []struct {
 		Delta   message `json:"delta"`
@@ -85,7 +86,7 @@
 	} `json:"choices"`
 }
 
-func mismatchWhole(s *shot, raw []byte) string {
+func mismatchWhole(s *request, raw []byte) string {
 	var c chunk
 	if json.Unmarshal(raw, &c) != nil || len(c.Choices) != 1 {
 		return "the answer is no completion"
@@ -93,7 +94,7 @@
 	return mismatchText(s, c.Choices[0].Message.Content)
 }
 
-func mismatchStream(s *shot, raw []byte) string {
+func mismatchStream(s *request, raw []byte) string {
 	var text strings.Builder
 	ended := false
 	for event := range bytes.SplitSeq(raw, []byte("\n\n")) {
@@ -122,7 +123,7 @@
 	return mismatchText(s, text.String())
 }
 
-func mismatchText(s *shot, got string) string {
+func mismatchText(s *request, got string) string {
 	words := strings.Fields(got)
 	if len(words) != s.tokens {
 		return "the answer has another number of tokens than asked for"
--- a/io/bench/differ.go
+++ b/io/bench/compare.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Compare prints how two reports differ.
+// Compare prints the differences between two reports.
 func Compare(out io.Writer, a, b *Report) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "what\t%s %s\t%s %s\tdifference\t\n", a.Name, a.Start.Format("15:04:05"), b.Name, b.Start.Format("15:04:05"))
@@ -51,7 +51,7 @@
 	fmt.Fprintf(d.w, "%s\t%.3f\t%.3f\t%+.3f%s\t\n", what, a, b, b-a, change)
 }
 
-// lines compares the lines that both reports have.
+// lines compares the lines that occur in both reports.
 func (d differ) lines(a, b *Report) {
 	for _, x := range a.Lines {
 		for _, y := range b.Lines {
--- a/io/bench/doc.go
+++ b/io/bench/doc.go
@@ -1,14 +1,14 @@
-// Package bench drives load at a running system and reports what its callers
-// got: every outcome counted, and latencies that leave nothing out.
+// Package bench sends load to a running system and reports what callers
+// received: the outcome of every request, and latencies.
 //
-// The load is open-loop. An experiment's seed decides before the run when each
-// request is sent; a slow answer delays no later request, and latency counts
-// from the moment at which a request should have been sent. A closed loop would
-// send less while the system is slow and so leave out the worst waits
-// (coordinated omission). How late the tool itself sends is measured and
-// reported beside the latencies.
+// The load is open-loop. The seed of an experiment determines before the run when
+// each request is sent. A slow answer delays no later request, and latency counts
+// from the time at which a request was due to be sent. A closed loop would send
+// less while the system is slow and thus miss the longest waits (coordinated
+// omission). The package also measures how late it sends requests itself and
+// reports that beside the latencies.
 //
-// After the load the package compares what callers were told with what the
-// stand-ins ran: nothing that may not be repeated ran twice, and nothing that
-// was refused as not run ran at all.
+// After the load the package compares the outcomes that callers received with
+// what the stand-ins ran: no request that must not be repeated ran twice, and none
+// that was refused as not run ran at all.
 package bench
--- a/io/bench/entries.go
+++ b/io/bench/entries.go
@@ -11,56 +11,58 @@
 	"radishwell/io/config"
 )
 
-// Entry is an entry host as its balancer sees it.
+// Entry is an entry host to which load is sent.
 type Entry struct {
-	// At is where callers are served.
+	// At is the address for callers.
 	At config.Origin
-	// Ready is the operators' address whose /ready is asked; without one the
+	// Ready is the address for operators, whose /ready is polled. Without one the
 	// entry always counts as ready.
 	Ready config.Origin
 }
 
-// Constants of the balancer.
+// Times and limits of the balancer.
 const (
-	readyEvery  = 100 * time.Millisecond
-	readyTime   = time.Second
-	dialTime    = 2 * time.Second
-	redialPause = 50 * time.Millisecond
-	idlePerHost = 4096
+	readyInterval  = 100 * time.Millisecond
+	readyTimeout   = time.Second
+	dialTimeout    = 2 * time.Second
+	redialPause    = 50 * time.Millisecond
+	maxIdlePerHost = 4096
 )
 
-// balancer chooses entries in turn among those that say they are ready, as the
-// platform's balancer does before real entries.
+// balancer distributes requests round-robin over the entries that report that they
+// are ready, as the load balancer of a platform does in front of entries.
 type balancer struct {
 	entries []Entry
 	clients []*http.Client
-	down    []atomic.Bool
-	turn    atomic.Uint64
-	probe   *http.Client
+	// down is set for entries that were not ready at the last poll.
+	down []atomic.Bool
+	turn atomic.Uint64
+	// probe is the client that polls /ready.
+	probe *http.Client
 }
 
 func newBalancer(entries []Entry, conf *tls.Config) *balancer {
-	b := &balancer{entries: entries, down: make([]atomic.Bool, len(entries)), probe: &http.Client{Timeout: readyTime}}
+	b := &balancer{entries: entries, down: make([]atomic.Bool, len(entries)), probe: &http.Client{Timeout: readyTimeout}}
 	for range entries {
 		b.clients = append(b.clients, newClient(conf))
 	}
 	return b
 }
 
-// newClient returns a client that keeps its connections, follows no redirect
-// and sends nothing twice: without a body that can be rewound, net/http does
-// not repeat a request on another connection by itself.
+// newClient returns a client that keeps connections open, follows no redirects and
+// sends nothing twice: net/http doesn't repeat a request on another connection if
+// its body can't be rewound.
 func newClient(conf *tls.Config) *http.Client {
 	return &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{
-			DialContext: (&net.Dialer{Timeout: dialTime}).DialContext, TLSClientConfig: conf, DisableCompression: true,
-			MaxIdleConns: idlePerHost, MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: time.Minute,
+			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, TLSClientConfig: conf, DisableCompression: true,
+			MaxIdleConns: maxIdlePerHost, MaxIdleConnsPerHost: maxIdlePerHost, IdleConnTimeout: time.Minute,
 		},
 	}
 }
 
-// watch asks each entry whether it is ready until the context ends.
+// watch polls whether the entries are ready until ctx ends.
 func (b *balancer) watch(ctx context.Context) {
 	ended := make(chan struct{})
 	for i := range b.entries {
@@ -78,7 +80,7 @@
 	if !b.entries[i].Ready.Given() {
 		return
 	}
-	tick := time.NewTicker(readyEvery)
+	tick := time.NewTicker(readyInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		b.down[i].Store(!b.ready(ctx, i))
@@ -102,10 +104,11 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// order returns the entries in the order in which to try them: those that are
-// ready first, beginning at the next in turn. A repetition begins one further,
-// so that it reaches another entry than the first sending where it can.
-func (b *balancer) order(s *shot) []int {
+// order returns the indexes of the entries in the order in which to try them. The
+// ready ones come first, starting with the next in turn. For a request with a key,
+// the start depends on the key, and a repetition starts with the entry after it, so
+// that it reaches another entry than the first request if possible.
+func (b *balancer) order(s *request) []int {
 	n := len(b.entries)
 	from := int(b.turn.Add(1))
 	if s.key != "" {
--- a/io/bench/fate.go
+++ b/io/bench/fate.go
@@ -6,28 +6,31 @@
 	"radishwell/core"
 )
 
-// fate is what became of a request, as its caller saw it.
+// fate is the way in which a request ended from the point of view of its caller.
 type fate uint8
 
-// Fates. The first three are the system's own outcomes.
+// Fates. The first three are outcomes that the system reports.
 const (
-	// done: the whole answer came, and it is the request's own.
+	// done: the caller received the complete answer to its request.
 	done fate = iota
-	// refused: an answer that says not-run.
+	// refused: the answer has the outcome not-run.
 	refused
-	// mayHaveRun: an answer that says may-have-run.
+	// mayHaveRun: the answer has the outcome may-have-run.
 	mayHaveRun
-	// unreached: no entry took a connection until the deadline; nothing was sent.
+	// unreached: no entry accepted a connection before the deadline, so the
+	// request was never sent.
 	unreached
-	// killed: the connection broke when the entry at its other end was killed.
+	// killed: the connection broke because the entry process was killed.
 	killed
-	// cut: the connection broke without an outcome.
+	// cut: the connection broke before an outcome arrived.
 	cut
-	// unanswered: no whole answer until the deadline and the grace after it.
+	// unanswered: the answer wasn't complete at the end of the grace period after
+	// the deadline.
 	unanswered
-	// unmarked: a whole answer without an outcome.
+	// unmarked: the answer was complete but had no outcome.
 	unmarked
-	// wrong: an answer marked done that is not the request's own whole answer.
+	// wrong: the answer has the outcome done but isn't the complete answer to the
+	// request.
 	wrong
 	fateCount
 )
@@ -36,35 +39,36 @@
 	"done", "not-run", "may-have-run", "unreached", "entry-killed", "cut", "unanswered", "unmarked", "wrong-answer",
 }
 
-// String returns the fate's name in reports.
+// String returns the name of the fate as in reports.
 func (f fate) String() string { return fateNames[f] }
 
-// silent tells whether the caller was left without an outcome.
+// silent reports whether the caller received no outcome.
 func (f fate) silent() bool { return f == cut || f == unanswered || f == unmarked }
 
-// result is what became of one request.
+// result is the result of one request.
 type result struct {
-	shot *shot
-	fate fate
-	code core.Code
-	id   core.RequestID
-	// entry is the index of the entry that took the request.
+	request *request
+	fate    fate
+	code    core.Code
+	id      core.RequestID
+	// entry is the index of the last entry that was tried.
 	entry int
-	// sent is when the tool sent it; first and end are when the first byte and
-	// the last of the answer came, zero where none did.
+	// sent is the time at which the request was sent. first and end are the times
+	// at which the first and the last byte of the answer arrived, zero if none did.
 	sent, first, end time.Time
-	// retryAfter tells that the answer named a time for another try.
+	// retryAfter is set if the answer has a Retry-After field.
 	retryAfter bool
-	// cold tells that no engine had the model loaded when the request was due to
-	// be sent; known tells that this was looked at.
+	// cold is set if no engine had the model loaded when the request was due to be
+	// sent. It is valid only if known is set.
 	cold, known bool
-	// redials counts entries that refused the connection.
+	// redials counts failed attempts to connect to an entry.
 	redials int
-	// note says more of a failure.
+	// note describes a failure in more detail.
 	note string
 }
 
-// incident is a request whose fate a reader of the report will want to trace.
+// incident is a request that the report lists because a reader may want to trace
+// it.
 type incident struct {
 	At    time.Time      `json:"at"`
 	After string         `json:"after"`
@@ -76,7 +80,8 @@
 	Note  string         `json:"note,omitempty"`
 }
 
-// Bounds of what a report lists, in all and of one code; the counts go on.
+// Maximum number of incidents that a report lists, in total and with the same
+// error code. Requests beyond that are still counted.
 const (
 	maxIncidents = 400
 	maxOfCode    = 25
--- a/io/bench/faults.go
+++ b/io/bench/faults.go
@@ -10,7 +10,8 @@
 	"github.com/samber/oops"
 )
 
-// Switched is a fault that was switched during a run.
+// Switched is a setting of a stand-in's faults during a run. Problem is empty if
+// it succeeded.
 type Switched struct {
 	At      time.Time `json:"at"`
 	To      string    `json:"to"`
@@ -27,8 +28,8 @@
 // Error implements error.
 func (e *StatusError) Error() string { return e.URL + " answered " + http.StatusText(e.Status) }
 
-// switchFaults sets the experiment's faults at their times, until the context
-// ends. What was not switched by then is missing in the result.
+// switchFaults sets the faults of the experiment at their times until ctx ends, and
+// returns those that it has set by then.
 func switchFaults(ctx context.Context, faults []Fault, start time.Time) []Switched {
 	faults = slices.Clone(faults)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
@@ -48,7 +49,7 @@
 }
 
 func putFaults(ctx context.Context, f Fault) error {
-	ctx, stop := context.WithTimeout(ctx, askTime)
+	ctx, stop := context.WithTimeout(ctx, standinTimeout)
 	defer stop()
 	url := f.To.String() + "/faults"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, strings.NewReader(f.Set))
--- a/io/bench/page.go
+++ b/io/bench/page.go
@@ -8,8 +8,8 @@
 	"github.com/samber/oops"
 )
 
-// page is the HTML report. It holds everything it shows: it is read where no
-// network is.
+// page is the template of the HTML report. It refers to no other files, because
+// reports are also read without a network.
 var page = template.Must(template.New("report").Funcs(template.FuncMap{
 	"balance": balance, "listing": listing,
 	"ms": func(v float64) string { return strconv.FormatFloat(v, 'f', 1, 64) },
--- a/io/bench/page_test.go
+++ b/io/bench/page_test.go
@@ -16,7 +16,8 @@
 	tableHead     = "| key | default | range | meaning |\n| --- | --- | --- | --- |\n"
 )
 
-// The operators' page lists every key of an experiment, from the code's tags.
+// The page for operators lists all keys of an experiment, as the tags of the fields
+// describe them.
 func TestPage(t *testing.T) {
 	old, err := os.ReadFile(operatorsPage)
 	assert.NilError(t, err)
@@ -38,7 +39,7 @@
 	golden.Assert(t, b.String(), "../"+operatorsPage)
 }
 
-// The experiments that come with the project can be read.
+// The example experiments of the repository are valid.
 func TestExamples(t *testing.T) {
 	for _, name := range []string{"mixed", "evening", "site", "pair", "soak", "rolling"} {
 		t.Run(name, func(t *testing.T) {
--- a/io/bench/pair.go
+++ b/io/bench/pair.go
@@ -17,14 +17,16 @@
 	"radishwell/io/config"
 )
 
-// Paired is a side-by-side measurement of warm first bytes.
+// Paired holds the result of a paired measurement of the time to the first byte of
+// a loaded model.
 type Paired struct {
 	Model    core.ModelName `json:"model"`
 	Direct   string         `json:"direct"`
 	Requests int            `json:"requests"`
-	// Through is by way of an entry and an agent, At is at the engine itself;
-	// Added are the differences of both in each pair, AddedP50 and AddedP99 the
-	// differences of the two distributions' percentiles. All in milliseconds.
+	// Through is the time through an entry and an agent, At the time at the engine
+	// itself. Added is the distribution of the differences within the pairs,
+	// AddedP50 and AddedP99 are the differences between the percentiles of Through
+	// and At. All are in milliseconds.
 	Through  Quantiles `json:"through"`
 	At       Quantiles `json:"at-engine"`
 	Added    Quantiles `json:"added-in-pairs"`
@@ -34,14 +36,15 @@
 	Negative int `json:"negative-pairs"`
 }
 
-// Constants of pairs.
+// Parameters of the paired measurement.
 const (
 	pairWarmUp   = 50
 	pairTokens   = 4
 	pairDeadline = 30 * time.Second
 )
 
-// NotLoadedError reports that no engine has a model loaded that was just used.
+// NotLoadedError reports that none of the engines has the model loaded, although
+// it was just used.
 type NotLoadedError struct{ Model core.ModelName }
 
 // Error implements error.
@@ -49,7 +52,7 @@
 	return "none of the engines of the pair has " + string(e.Model) + " loaded"
 }
 
-// PairError reports a request of a pair that was not answered with 200.
+// PairError reports a request whose answer had another status than 200.
 type PairError struct {
 	URL    string
 	Status int
@@ -58,21 +61,22 @@
 // Error implements error.
 func (e *PairError) Error() string { return e.URL + " answered with status " + strconv.Itoa(e.Status) }
 
-// pairing measures requests one after the other, alternating between the two
-// ways in an order drawn anew for each pair.
+// pairing measures pairs of requests one after the other, each pair in a random
+// order.
 type pairing struct {
-	plan    *Pair
-	key     string
-	run     string
+	plan *Pair
+	key  string
+	run  string
+	// through and direct are the base URLs of the entry and the engine.
 	through string
 	direct  string
-	// The two ways have a client each, so that neither uses the other's
-	// connections.
+	// Entry and engine have a client each, so that neither uses connections of the
+	// other.
 	entry, engine *http.Client
 	number        int
 }
 
-// pair makes the experiment's pairs through the first entry.
+// pair runs the paired measurement of the experiment through the first entry.
 func (b *Bench) pair(ctx context.Context, bal *balancer) (*Paired, error) {
 	plan := &b.Plan.Pair
 	p := &pairing{
@@ -84,7 +88,7 @@
 			return nil, err
 		}
 	}
-	direct, err := holder(ctx, plan)
+	direct, err := findLoaded(ctx, plan)
 	if err != nil {
 		return nil, err
 	}
@@ -94,11 +98,11 @@
 			return nil, err
 		}
 	}
-	return p.measure(ctx, rand.New(rand.NewPCG(uint64(b.Plan.Seed), streamPicks)))
+	return p.measure(ctx, rand.New(rand.NewPCG(uint64(b.Plan.Seed), streamContents)))
 }
 
-// holder returns the first engine that has the model loaded.
-func holder(ctx context.Context, plan *Pair) (config.Origin, error) {
+// findLoaded returns the first engine that has the model loaded.
+func findLoaded(ctx context.Context, plan *Pair) (config.Origin, error) {
 	for _, at := range plan.Direct {
 		var s core.EngineState
 		if err := getJSON(ctx, at.String()+"/state", &s); err != nil {
@@ -115,7 +119,7 @@
 	through, at, added := newHistogram(), newHistogram(), newHistogram()
 	out := &Paired{Model: p.plan.Model, Direct: p.direct, Requests: p.plan.Requests}
 	for range p.plan.Requests {
-		long, short, err := p.both(ctx, r.IntN(2) == 0)
+		long, short, err := p.measureOne(ctx, r.IntN(2) == 0)
 		if err != nil {
 			return nil, err
 		}
@@ -131,8 +135,8 @@
 	return out, nil
 }
 
-// both measures one pair, the engine first or the entry first.
-func (p *pairing) both(ctx context.Context, engineFirst bool) (through, at time.Duration, err error) {
+// measureOne measures one pair, with the request to the engine first or second.
+func (p *pairing) measureOne(ctx context.Context, engineFirst bool) (through, at time.Duration, err error) {
 	if engineFirst {
 		at, err = p.firstByte(ctx, p.engine, p.direct)
 	}
@@ -145,11 +149,11 @@
 	return through, at, err
 }
 
-// firstByte sends one streamed request and returns the time to the first byte
-// of its body. The rest is read, so that the connection can be used again.
+// firstByte sends one streamed request and returns the time to the first byte of
+// its body. It reads the rest of the body, so that the connection can be reused.
 func (p *pairing) firstByte(ctx context.Context, client *http.Client, base string) (time.Duration, error) {
 	p.number++
-	body := mustJSON(askBody{
+	body := mustJSON(chatBody{
 		Model: p.plan.Model, Stream: true, MaxTokens: pairTokens,
 		Messages: []message{{Role: "user", Content: fmt.Sprintf("%s-%d warm first byte", p.run, p.number)}},
 	})
@@ -168,7 +172,7 @@
 		return 0, oops.Wrap(err)
 	}
 	defer resp.Body.Close()
-	first := &firstByte{from: resp.Body}
+	first := &timedReader{from: resp.Body}
 	if _, err := io.Copy(io.Discard, first); err != nil {
 		return 0, oops.Wrap(err)
 	}
--- a/io/bench/parse.go
+++ b/io/bench/parse.go
@@ -13,8 +13,8 @@
 	"radishwell/core/strict"
 )
 
-// Load reads and checks an experiment. Its error wraps the file's problems, as
-// strict.Problems, or the failure to read it.
+// Load reads and checks an experiment. Its error wraps either strict.Problems or
+// the error of reading the file.
 func Load(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return p, nil
 }
 
-// Parse decodes and checks the text of an experiment. The file's name is used
-// in problems only.
+// Parse decodes and checks the text of an experiment. The name of the file is used
+// only in problems.
 func Parse(file string, text []byte) (*Plan, strict.Problems) {
 	var p Plan
 	doc, problems := strict.DecodeObject(file, text, &p)
@@ -44,7 +44,7 @@
 	return &p, nil
 }
 
-// checker finds what the tags of the plan's fields cannot tell.
+// checker checks the rules that the tags of the fields of Plan can't express.
 type checker struct {
 	doc      *strict.Document
 	problems strict.Problems
@@ -127,7 +127,7 @@
 	}
 }
 
-// maxRate bounds the mean load in requests a second.
+// maxRate is the maximum mean rate, in requests per second.
 const maxRate = 2000
 
 func sum(list []float64) float64 {
@@ -138,8 +138,8 @@
 	return total
 }
 
-// shares returns running sums of the popularity of a call's models, the last of
-// which is 1.
+// shares returns the cumulative distribution of the popularity of the call's
+// models.
 func (c *Call) shares() []float64 {
 	weights := c.Weights
 	if len(weights) == 0 {
@@ -147,11 +147,11 @@
 			weights = append(weights, math.Pow(float64(i+1), -c.Zipf))
 		}
 	}
-	return running(weights)
+	return cumulative(weights)
 }
 
-// running returns the running sums of weights, scaled so that the last is 1.
-func running(weights []float64) []float64 {
+// cumulative returns the cumulative sums of weights, scaled so that the last is 1.
+func cumulative(weights []float64) []float64 {
 	total, at := sum(weights), 0.0
 	out := make([]float64, len(weights))
 	for i, w := range weights {
@@ -161,7 +161,8 @@
 	return out
 }
 
-// Stretch repeats the phases until their lengths add up to d, and cuts the last.
+// Stretch changes the total length of the phases to d. It repeats the phases as
+// often as necessary and cuts the last one.
 func (p *Plan) Stretch(d time.Duration) {
 	if len(p.Phases) == 0 {
 		return
--- a/io/bench/plan.go
+++ b/io/bench/plan.go
@@ -7,7 +7,7 @@
 	"radishwell/io/config"
 )
 
-// Plan is an experiment as written in YAML.
+// Plan is an experiment, as read from a YAML file.
 type Plan struct {
 	Name        string          `yaml:"name" required:"true" doc:"Name of the experiment."`
 	Seed        int64           `yaml:"seed" default:"1" min:"0" doc:"Seed of arrivals, targets, lengths and keys."`
@@ -22,7 +22,7 @@
 	Pair        Pair            `yaml:"pair"`
 }
 
-// Phase is a stretch of time with one pattern of arrivals.
+// Phase is an interval of time with one pattern of arrivals.
 type Phase struct {
 	Name   string        `yaml:"name" required:"true" doc:"Name of the phase."`
 	For    time.Duration `yaml:"for" required:"true" min:"100ms" max:"24h" doc:"Length of the phase."`
@@ -56,7 +56,8 @@
 	return &core.NameError{Kind: "shape", Text: string(text), Known: []string{string(Constant), string(Wave), string(Bursts)}}
 }
 
-// Call is one kind of request: to models by popularity, or to a plain service.
+// Call is one kind of request: either to models, chosen by popularity, or to a
+// plain service.
 type Call struct {
 	Name     string        `yaml:"name" required:"true" doc:"Name of the call in the report."`
 	Caller   string        `yaml:"caller" doc:"Name of the bearer key to use, as given on the command line; the unnamed key where empty."`
@@ -79,21 +80,22 @@
 	RepeatAfter time.Duration    `yaml:"repeat-after" default:"50ms" min:"0s" max:"1h" doc:"How long after the first the repetition is sent."`
 }
 
-// Span is a range of lengths, drawn evenly, both ends included.
+// Span is a range of lengths, both ends included. Lengths are drawn from it with
+// equal probability.
 type Span struct {
 	Min int `yaml:"min" default:"8" min:"1" max:"100000" doc:"Least length."`
 	Max int `yaml:"max" default:"32" min:"1" max:"100000" doc:"Greatest length."`
 }
 
-// Fault is a switch of a stand-in's faults at a time.
+// Fault sets the faults of a stand-in at a time.
 type Fault struct {
 	At  time.Duration `yaml:"at" min:"0s" max:"24h" doc:"When, from the start of the load."`
 	To  config.Origin `yaml:"to" required:"true" doc:"Base address of the stand-in that serves /faults."`
 	Set string        `yaml:"set" required:"true" doc:"The JSON document to put there."`
 }
 
-// Pair is a measurement of one model through the system and at its engine,
-// side by side. Without a model it is not made.
+// Pair describes a measurement of one model in pairs of requests: through the
+// system and directly at its engine. Without a model it is skipped.
 type Pair struct {
 	Model    core.ModelName  `yaml:"model" doc:"Model to ask; without one no pairs are measured."`
 	Caller   string          `yaml:"caller" doc:"Name of the bearer key to use."`
--- a/io/bench/plan_test.go
+++ b/io/bench/plan_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-func pullAll(p *Plan, run string) []*shot {
-	var all []*shot
+func pullAll(p *Plan, run string) []*request {
+	var all []*request
 	list := newArrivals(p, run, testStart)
 	for s := list.pull(); s != nil; s = list.pull() {
 		all = append(all, s)
@@ -56,8 +56,7 @@
 	return all
 }
 
-// The same seed yields the same requests at the same times, so that two runs
-// can be compared.
+// Equal seeds give equal requests at equal times, so that two runs can be compared.
 func TestArrivalsRepeat(t *testing.T) {
 	a, b := pullAll(mustParse(t, goodPlan), "r"), pullAll(mustParse(t, goodPlan), "r")
 	assert.Equal(t, len(a), len(b))
@@ -76,16 +75,16 @@
 		}
 	})
 	t.Run("steady rate", func(t *testing.T) {
-		assertNear(t, fresh(all, 0, 20*time.Second), 2000)
+		assertNear(t, countFirst(all, 0, 20*time.Second), 2000)
 	})
 	t.Run("trough and crest of a wave", func(t *testing.T) {
-		trough, crest := fresh(all, 20*time.Second, 22*time.Second), fresh(all, 29*time.Second, 31*time.Second)
+		trough, crest := countFirst(all, 20*time.Second, 22*time.Second), countFirst(all, 29*time.Second, 31*time.Second)
 		assert.Assert(t, trough < 30 && crest > 300, "trough %d, crest %d", trough, crest)
 	})
 	t.Run("bursts", func(t *testing.T) {
 		for burst := range 4 {
 			at := 40*time.Second + time.Duration(burst)*5*time.Second
-			assert.Equal(t, fresh(all, at, at+time.Millisecond), 50)
+			assert.Equal(t, countFirst(all, at, at+time.Millisecond), 50)
 		}
 	})
 	t.Run("popularity", func(t *testing.T) {
@@ -98,8 +97,8 @@
 	t.Run("repetitions", func(t *testing.T) { assertRepetitions(t, all) })
 }
 
-// fresh counts first sendings that are due in a stretch of the run.
-func fresh(all []*shot, from, to time.Duration) int {
+// countFirst counts the requests in an interval of the run that aren't repetitions.
+func countFirst(all []*request, from, to time.Duration) int {
 	n := 0
 	for _, s := range all {
 		if since := s.at.Sub(testStart); !s.repeat && since >= from && since < to {
@@ -114,11 +113,11 @@
 	assert.Assert(t, got > want*8/10 && got < want*12/10, "got %d, want about %d", got, want)
 }
 
-// assertRepetitions: a repetition has the key and body of its first sending, and
-// no two others share either.
-func assertRepetitions(t *testing.T, all []*shot) {
+// assertRepetitions checks that a repetition has the key and body of an earlier
+// request, and that no other requests share a key.
+func assertRepetitions(t *testing.T, all []*request) {
 	t.Helper()
-	first, repeats := map[string]*shot{}, 0
+	first, repeats := map[string]*request{}, 0
 	for _, s := range all {
 		if s.key == "" {
 			continue
--- a/io/bench/loads.go
+++ b/io/bench/poll.go
@@ -9,43 +9,46 @@
 	"radishwell/io/config"
 )
 
-// Constants of looking at engines.
+// Interval and timeout of polling the engines.
 const (
-	lookEvery = 200 * time.Millisecond
-	lookTime  = time.Second
+	pollInterval = 200 * time.Millisecond
+	pollTimeout  = time.Second
 )
 
-// Held is what the engines' accelerators held during a run.
+// Held reports for how long the accelerators of the engines held models during a
+// run.
 type Held struct {
-	// Looks is how often the engines were asked.
+	// Looks is the number of times that the engines were polled.
 	Looks int `json:"looks"`
 	// LoadedSeconds is the time for which models were loaded, summed over models
-	// and engines; IdleSeconds is the part in which no request to the model or
-	// one of its adapters ran there.
+	// and engines. IdleSeconds is the part of it during which the engine ran no
+	// request to the model or one of its adapters.
 	LoadedSeconds float64 `json:"loaded-model-seconds"`
 	IdleSeconds   float64 `json:"idle-model-seconds"`
-	// LoadedGiBSeconds and IdleGiBSeconds weigh the same by memory.
+	// LoadedGiBSeconds and IdleGiBSeconds are the same times multiplied by the
+	// memory of the models.
 	LoadedGiBSeconds float64 `json:"loaded-gib-seconds"`
 	IdleGiBSeconds   float64 `json:"idle-gib-seconds"`
 }
 
-// loads looks at the engines again and again: what is loaded, and what is idle.
-type loads struct {
+// enginePoller polls the state of the engines and records which models are loaded
+// and for how long they are loaded and idle.
+type enginePoller struct {
 	engines []config.Origin
 
 	mu     sync.Mutex
-	looked bool
+	polled bool
 	loaded map[core.ModelName]bool
 	held   Held
 	last   time.Time
 }
 
-// watch looks until the context ends.
-func (l *loads) watch(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+// watch polls until ctx ends.
+func (l *enginePoller) watch(ctx context.Context) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil && len(l.engines) > 0 {
-		l.look(ctx)
+		l.poll(ctx)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -53,14 +56,14 @@
 	}
 }
 
-func (l *loads) look(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, lookTime)
+func (l *enginePoller) poll(ctx context.Context) {
+	ctx, stop := context.WithTimeout(ctx, pollTimeout)
 	defer stop()
 	states := make([]core.EngineState, len(l.engines))
 	got := make(chan struct{})
 	for i, at := range l.engines {
 		go func() {
-			// An engine that is down holds nothing: its state stays empty.
+			// An engine that is down holds no models, so its state stays empty.
 			_ = getJSON(ctx, at.String()+"/state", &states[i])
 			got <- struct{}{}
 		}()
@@ -68,24 +71,24 @@
 	for range l.engines {
 		<-got
 	}
-	l.take(time.Now(), states)
+	l.update(time.Now(), states)
 }
 
-func (l *loads) take(now time.Time, states []core.EngineState) {
+func (l *enginePoller) update(now time.Time, states []core.EngineState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	since := now.Sub(l.last).Seconds()
-	if !l.looked {
+	if !l.polled {
 		since = 0
 	}
-	l.looked, l.last, l.loaded = true, now, map[core.ModelName]bool{}
+	l.polled, l.last, l.loaded = true, now, map[core.ModelName]bool{}
 	l.held.Looks++
 	for _, s := range states {
-		l.takeOne(s, since)
+		l.updateEngine(s, since)
 	}
 }
 
-func (l *loads) takeOne(s core.EngineState, since float64) {
+func (l *enginePoller) updateEngine(s core.EngineState, since float64) {
 	busy := map[core.ModelName]bool{}
 	for _, r := range s.Runs {
 		busy[r.Model] = true
@@ -112,15 +115,15 @@
 	}
 }
 
-// cold tells whether no engine had a model loaded at the last look, and whether
-// there was one.
-func (l *loads) cold(m core.ModelName) (cold, known bool) {
+// cold reports whether no engine had a model loaded at the last poll. known is
+// false if the engines haven't been polled or the request has no model.
+func (l *enginePoller) cold(m core.ModelName) (cold, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.loaded[m], l.looked && m != ""
+	return !l.loaded[m], l.polled && m != ""
 }
 
-func (l *loads) sum() Held {
+func (l *enginePoller) total() Held {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.held
--- a/io/bench/print.go
+++ b/io/bench/print.go
@@ -10,6 +10,7 @@
 	"time"
 )
 
+// plural returns a number of requests, followed by a space.
 func plural(n int) string {
 	if n == 1 {
 		return "1 request "
@@ -66,7 +67,8 @@
 	}
 }
 
-// balance lists all outcomes, the system's own three even where zero.
+// balance lists the fates with their counts. It leaves out zero counts, except for
+// the three outcomes that the system reports.
 func balance(fates map[string]int) string {
 	var parts []string
 	for f := range fateCount {
@@ -77,7 +79,7 @@
 	return strings.Join(parts, " + ")
 }
 
-// listing lists counts, the largest first.
+// listing lists counts, largest first.
 func listing(counts map[string]int) string {
 	keys := sortedKeys(counts)
 	sort.SliceStable(keys, func(i, j int) bool { return counts[keys[i]] > counts[keys[j]] })
--- a/io/bench/report.go
+++ b/io/bench/report.go
@@ -12,7 +12,7 @@
 	"radishwell/core"
 )
 
-// Report is what one run showed.
+// Report holds the results of a run.
 type Report struct {
 	Name       string    `json:"name"`
 	Seed       int64     `json:"seed"`
@@ -21,23 +21,26 @@
 	Processors int       `json:"processors"`
 	Entries    []string  `json:"entries"`
 
-	// Sent is the number of requests sent; Fates are what became of them, and
-	// add up to it. Unsent were left out for the tool's own bound.
+	// Sent is the number of requests that were due and not left out. Fates counts
+	// them by fate and adds up to Sent. Unsent is the number of requests that were
+	// left out because too many were in flight.
 	Sent   int            `json:"sent"`
 	Fates  map[string]int `json:"outcomes"`
 	Codes  map[string]int `json:"codes"`
 	Unsent int            `json:"left-out"`
-	// Silent is how many callers were left without an outcome.
+	// Silent is the number of requests whose callers received no outcome.
 	Silent int `json:"silent"`
-	// Late counts answers later than half a second after the deadline.
+	// Late counts answers that ended more than half a second after the deadline.
 	Late int `json:"late"`
-	// Redials counts connections that an entry refused and that went elsewhere.
+	// Redials counts failed attempts to connect to an entry, after which another
+	// entry was tried.
 	Redials int `json:"redials"`
-	// NoID and NoRetryAfter count answers without a request id, and refusals
-	// that a later try can pass without a time for it.
-	NoID         int `json:"without-request-id"`
+	// NoID counts answers without a request id.
+	NoID int `json:"without-request-id"`
+	// NoRetryAfter counts refusals that may be retried but have no Retry-After.
 	NoRetryAfter int `json:"without-retry-after"`
-	// Lag is how late the tool itself sent.
+	// Lag is the delay between the time a request was due and the time this tool
+	// sent it.
 	Lag Quantiles `json:"tool-lag"`
 
 	Lines     []Line     `json:"lines"`
@@ -60,7 +63,7 @@
 	Max   float64 `json:"max"`
 }
 
-// Line is what was seen of a call, or of a call to one model.
+// Line summarises the requests of a call, or those of a call to one model.
 type Line struct {
 	Call  string         `json:"call"`
 	Model core.ModelName `json:"model,omitempty"`
@@ -68,17 +71,17 @@
 	Sent  int            `json:"sent"`
 	Late  int            `json:"late"`
 	Fates map[string]int `json:"outcomes"`
-	// Cold counts requests whose model no engine had loaded when they were due;
-	// it is known only where the engines were looked at.
+	// Cold counts requests whose model no engine had loaded when they were due. It
+	// is zero unless the engines were polled.
 	Cold int `json:"cold"`
-	// FirstByte and Whole count from the time at which a request should have
-	// been sent, of requests that were done. ColdFirst and WarmFirst split the
-	// first.
+	// FirstByte and Whole are the latencies of requests that were done, from the
+	// time they were due until the first and last byte of the answer. ColdFirst and
+	// WarmFirst split FirstByte by whether the model was loaded.
 	FirstByte Quantiles `json:"first-byte"`
 	Whole     Quantiles `json:"whole"`
 	ColdFirst Quantiles `json:"cold-first-byte"`
 	WarmFirst Quantiles `json:"warm-first-byte"`
-	// Curve is the distribution of FirstByte, for the plot.
+	// Curve is the distribution of FirstByte for the chart.
 	Curve []CurvePoint `json:"curve,omitempty"`
 }
 
@@ -89,9 +92,10 @@
 	Millis     float64 `json:"ms"`
 }
 
-// Point is a stretch of the run: requests by the time they were due.
+// Point summarises the requests that were due in an interval of the run.
 type Point struct {
-	// Second is the beginning, from the start of the load.
+	// Second is the beginning of the interval in seconds from the start of the
+	// load, and Width its length in seconds.
 	Second float64        `json:"second"`
 	Width  float64        `json:"width"`
 	Sent   int            `json:"sent"`
@@ -101,14 +105,14 @@
 	Max    float64        `json:"first-byte-max"`
 }
 
-// lagWarning is the lag of the tool, at the 99th percentile, above which its
-// figures say more of the tool's machine than of the system.
+// lagWarning is the 99th percentile of Lag above which the measured latencies
+// depend more on the machine that runs this tool than on the system.
 const lagWarning = 10 * time.Millisecond
 
-// LagHigh tells that the tool could not keep its own times.
+// LagHigh reports whether the tool sent requests too late for meaningful latencies.
 func (r *Report) LagHigh() bool { return r.Lag.P99 > millis(lagWarning.Microseconds()) }
 
-// Faults lists what must never happen and did, a line each.
+// Faults describes what happened in the run and must never happen, one line each.
 func (r *Report) Faults() []string {
 	var out []string
 	note := func(n int, text string) {
@@ -140,7 +144,7 @@
 	for _, e := range b.Entries {
 		r.Entries = append(r.Entries, e.At.String())
 	}
-	r.Sent, r.Unsent, r.Late, r.Redials, r.NoID, r.NoRetryAfter = t.sent, t.unsent, t.late, t.redials, t.noID, t.noRetry
+	r.Sent, r.Unsent, r.Late, r.Redials, r.NoID, r.NoRetryAfter = t.sent, t.unsent, t.late, t.redials, t.noID, t.noRetryAfter
 	r.Fates, r.Codes = fateMap(&t.fates), map[string]int{}
 	for code, n := range t.codes {
 		r.Codes[string(code)] = n
@@ -165,7 +169,7 @@
 func newReportLine(key lineKey, l *line) Line {
 	out := Line{
 		Call: key.call, Model: key.model, Class: l.class, Sent: l.sent, Late: l.late, Fates: fateMap(&l.fates), Cold: l.cold,
-		FirstByte: quantiles(l.first), Whole: quantiles(l.whole), ColdFirst: quantiles(l.frozen), WarmFirst: quantiles(l.warm),
+		FirstByte: quantiles(l.first), Whole: quantiles(l.whole), ColdFirst: quantiles(l.coldFirst), WarmFirst: quantiles(l.warmFirst),
 	}
 	if key.model == "" {
 		out.Curve = curve(l.first)
@@ -182,8 +186,8 @@
 
 func newIncident(r result, entries []string) incident {
 	out := incident{
-		At: r.shot.at, Fate: r.fate.String(), Call: r.shot.call.Name, Model: r.shot.model,
-		ID: r.id, Note: r.note, Entry: entries[r.entry], After: r.end.Sub(r.shot.at).Round(time.Millisecond).String(),
+		At: r.request.at, Fate: r.fate.String(), Call: r.request.call.Name, Model: r.request.model,
+		ID: r.id, Note: r.note, Entry: entries[r.entry], After: r.end.Sub(r.request.at).Round(time.Millisecond).String(),
 	}
 	if r.code != "" {
 		out.Note = string(r.code)
@@ -208,7 +212,8 @@
 	}
 }
 
-// curve samples a distribution ever more finely towards its tail.
+// curve samples a distribution, with eight percentiles for each power of ten that
+// they are closer to 100.
 func curve(h *hdrhistogram.Histogram) []CurvePoint {
 	if h.TotalCount() == 0 {
 		return nil
@@ -227,7 +232,7 @@
 
 func round(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// Write writes the report as JSON.
+// Write writes the report to a file as JSON.
 func (r *Report) Write(path string) error {
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -236,7 +241,7 @@
 	return oops.In("bench").Wrapf(os.WriteFile(path, append(raw, '\n'), 0o644), "write report")
 }
 
-// Read reads a report that Write wrote.
+// Read reads a report from a file that Write wrote.
 func Read(path string) (*Report, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -249,5 +254,5 @@
 	return &r, nil
 }
 
-// AllDone tells that every request was sent and done.
+// AllDone reports whether all requests were sent and done.
 func (r *Report) AllDone() bool { return r.Fates[done.String()] == r.Sent && r.Unsent == 0 }
--- a/io/bench/run_test.go
+++ b/io/bench/run_test.go
@@ -20,13 +20,15 @@
 	"radishwell/io/front"
 )
 
-// testEntry plays an entry before a plain service, with a fault of its own.
+// testEntry stands in for an entry in front of a plain service and can inject
+// faults.
 type testEntry struct {
 	service *plain.Server
-	// spoil may answer in place of the entry; it tells whether it did.
+	// spoil may answer in place of the entry; it reports whether it did.
 	spoil func(w http.ResponseWriter, body string, forward func()) bool
 	mu    sync.Mutex
-	kept  map[string][]byte
+	// kept holds the answers by idempotency key.
+	kept map[string][]byte
 }
 
 func (e *testEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -57,7 +59,8 @@
 	return o
 }
 
-// runAgainst runs a short load of postings at two entries that share a service.
+// runAgainst runs a short load of postings against two entries in front of the same
+// service.
 func runAgainst(t *testing.T, spoil func(http.ResponseWriter, string, func()) bool) *Report {
 	t.Helper()
 	e := &testEntry{service: &plain.Server{}, spoil: spoil, kept: map[string][]byte{}}
@@ -124,8 +127,8 @@
 	})
 }
 
-// assertPages: a report reads back as written, its page needs no network, and
-// two reports can be compared.
+// assertPages checks that a report is read back as written, that its page refers to
+// nothing on the network, and that two reports can be compared.
 func assertPages(t *testing.T, r *Report) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "report.json")
@@ -143,41 +146,41 @@
 	assert.NilError(t, Compare(&text, r, again))
 }
 
-// An entry is killed while it holds requests: their callers see connections
-// break. That is put down to the kill; a break of another entry's connection,
-// or long after, is not.
+// If an entry is killed while it has requests in flight, their connections break.
+// Such a break is attributed to the kill, but one of a connection to another entry,
+// or one before or long after the kill, isn't.
 func TestKills(t *testing.T) {
 	call := &Call{Name: "c"}
 	at := func(s int) time.Time { return testStart.Add(time.Duration(s) * time.Second) }
 	tally := newTally(testStart, time.Second)
 	for _, one := range []struct{ entry, sent, end int }{{0, 1, 5}, {1, 1, 5}, {0, 1, 9}, {0, 1, 4}} {
-		s := &shot{call: call, at: at(one.sent), due: at(60)}
-		tally.add(result{shot: s, fate: cut, entry: one.entry, sent: at(one.sent), end: at(one.end)})
+		s := &request{call: call, at: at(one.sent), due: at(60)}
+		tally.add(result{request: s, fate: cut, entry: one.entry, sent: at(one.sent), end: at(one.end)})
 	}
-	tally.excuse([]Kill{{At: at(5), Entry: "a"}}, func(i int) string { return []string{"a", "b"}[i] })
+	tally.attributeKills([]Kill{{At: at(5), Entry: "a"}}, func(i int) string { return []string{"a", "b"}[i] })
 	assert.Equal(t, tally.fates[killed], 1)
 	assert.Equal(t, tally.fates[cut], 3)
 	assert.Equal(t, tally.lines[lineKey{call: "c"}].fates[killed], 1)
 }
 
-// While no entry takes connections nothing is sent, and the caller is told so at
-// the deadline.
+// As long as no entry accepts connections, nothing is sent. The request is reported
+// as unreached at its deadline.
 func TestUnreached(t *testing.T) {
 	gone := httptest.NewServer(http.NotFoundHandler())
 	gone.Close()
 	s := &sender{bal: newBalancer([]Entry{{At: originOf(t, gone.URL)}}, nil), grace: time.Second}
 	now := time.Now()
-	r := s.send(t.Context(), &shot{at: now, due: now.Add(20 * time.Millisecond), call: &Call{Service: "x", Method: "POST", Path: "/"}, body: []byte("b")})
+	r := s.send(t.Context(), &request{at: now, due: now.Add(20 * time.Millisecond), call: &Call{Service: "x", Method: "POST", Path: "/"}, body: []byte("b")})
 	assert.Equal(t, r.fate, unreached, r.note)
 }
 
 func TestLoads(t *testing.T) {
-	l := &loads{}
+	l := &enginePoller{}
 	item := core.EngineItem{Name: "m", State: core.Loaded, Accelerators: []int{0}, Bytes: 2 * core.GiB}
-	l.take(testStart, []core.EngineState{{Items: []core.EngineItem{item}}})
-	l.take(testStart.Add(time.Second), []core.EngineState{{Items: []core.EngineItem{item}}})
-	l.take(testStart.Add(3*time.Second), []core.EngineState{{Items: []core.EngineItem{item}, Runs: []core.EngineRun{{Model: "m"}}}})
-	got := l.sum()
+	l.update(testStart, []core.EngineState{{Items: []core.EngineItem{item}}})
+	l.update(testStart.Add(time.Second), []core.EngineState{{Items: []core.EngineItem{item}}})
+	l.update(testStart.Add(3*time.Second), []core.EngineState{{Items: []core.EngineItem{item}, Runs: []core.EngineRun{{Model: "m"}}}})
+	got := l.total()
 	assert.Equal(t, got.LoadedSeconds, 3.0)
 	assert.Equal(t, got.IdleSeconds, 1.0)
 	assert.Equal(t, got.IdleGiBSeconds, 2.0)
--- a/io/bench/send.go
+++ b/io/bench/send.go
@@ -13,29 +13,30 @@
 	"radishwell/io/front"
 )
 
-// sender sends single requests and judges their answers.
+// sender sends requests and classifies their answers.
 type sender struct {
-	bal   *balancer
-	keys  map[string]string
+	bal  *balancer
+	keys map[string]string
+	// grace is how long after its deadline an answer is awaited.
 	grace time.Duration
 }
 
-// onceBody is a body that cannot be rewound, so that the transport never sends
-// it twice.
+// onceBody is a body that can't be rewound, so that the transport of net/http never
+// sends it twice.
 type onceBody struct{ io.Reader }
 
 // Close implements io.Closer.
 func (onceBody) Close() error { return nil }
 
-// send sends a request and returns what became of it. While no connection can
-// be made, nothing was sent, and the other entries are tried until the
-// deadline, as a balancer does.
-func (s *sender) send(ctx context.Context, sh *shot) result {
-	r := result{shot: sh, sent: time.Now()}
-	ctx, stop := context.WithDeadline(ctx, sh.due.Add(s.grace))
+// send sends a request and returns its result. As long as no connection is
+// established, nothing has been sent, and it tries the other entries until the
+// deadline, as a load balancer does.
+func (s *sender) send(ctx context.Context, q *request) result {
+	r := result{request: q, sent: time.Now()}
+	ctx, stop := context.WithDeadline(ctx, q.due.Add(s.grace))
 	defer stop()
-	for time.Now().Before(sh.due) && ctx.Err() == nil {
-		for _, i := range s.bal.order(sh) {
+	for time.Now().Before(q.due) && ctx.Err() == nil {
+		for _, i := range s.bal.order(q) {
 			r.entry = i
 			if s.try(ctx, &r) {
 				return r
@@ -60,12 +61,12 @@
 	}
 }
 
-// try sends a request to one entry; it returns false where no connection was
-// made.
+// try sends a request to one entry. It returns false if no connection could be
+// established.
 func (s *sender) try(ctx context.Context, r *result) bool {
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }})
-	req, err := s.request(ctx, r)
+	req, err := s.newRequest(ctx, r)
 	if err != nil {
 		r.fate, r.note, r.end = unreached, err.Error(), time.Now()
 		return true
@@ -84,33 +85,33 @@
 	return true
 }
 
-func (s *sender) request(ctx context.Context, r *result) (*http.Request, error) {
-	sh := r.shot
+func (s *sender) newRequest(ctx context.Context, r *result) (*http.Request, error) {
+	q := r.request
 	method, path := http.MethodPost, "/v1/chat/completions"
-	if sh.call.Service != "" {
-		method, path = sh.call.Method, "/services/"+string(sh.call.Service)+sh.call.Path
+	if q.call.Service != "" {
+		method, path = q.call.Method, "/services/"+string(q.call.Service)+q.call.Path
 	}
 	var body io.Reader
-	if len(sh.body) > 0 {
-		body = onceBody{bytes.NewReader(sh.body)}
+	if len(q.body) > 0 {
+		body = onceBody{bytes.NewReader(q.body)}
 	}
 	req, err := http.NewRequestWithContext(ctx, method, s.bal.entries[r.entry].At.String()+path, body)
 	if err != nil {
 		return nil, err
 	}
-	req.ContentLength = int64(len(sh.body))
-	req.Header.Set("Authorization", "Bearer "+s.keys[sh.call.Caller])
-	req.Header.Set(front.HeaderDeadline, sh.due.Format(time.RFC3339Nano))
-	if len(sh.body) > 0 {
+	req.ContentLength = int64(len(q.body))
+	req.Header.Set("Authorization", "Bearer "+s.keys[q.call.Caller])
+	req.Header.Set(front.HeaderDeadline, q.due.Format(time.RFC3339Nano))
+	if len(q.body) > 0 {
 		req.Header.Set("Content-Type", "application/json")
 	}
-	if sh.key != "" {
-		req.Header.Set(front.HeaderKey, sh.key)
+	if q.key != "" {
+		req.Header.Set(front.HeaderKey, q.key)
 	}
 	return req, nil
 }
 
-// fail records that contact ended without an answer's end.
+// fail records that the connection failed before the end of the answer.
 func (s *sender) fail(ctx context.Context, r *result, err error) {
 	r.end, r.fate, r.note = time.Now(), cut, err.Error()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -118,13 +119,13 @@
 	}
 }
 
-// maxAnswer bounds how much of an answer is kept for judging.
+// maxAnswer is the number of bytes up to which an answer is read and checked.
 const maxAnswer = 4 << 20
 
 func (s *sender) read(ctx context.Context, r *result, resp *http.Response) {
 	r.id = core.RequestID(resp.Header.Get(front.HeaderRequestID))
 	r.retryAfter = resp.Header.Get("Retry-After") != ""
-	first := &firstByte{from: resp.Body}
+	first := &timedReader{from: resp.Body}
 	raw, err := io.ReadAll(io.LimitReader(first, maxAnswer))
 	r.first = first.at
 	if err != nil {
@@ -136,17 +137,17 @@
 	if outcome == "" {
 		outcome = resp.Header.Get(front.HeaderOutcome)
 	}
-	judge(r, resp.StatusCode, outcome, raw)
+	classify(r, resp.StatusCode, outcome, raw)
 }
 
-// firstByte notes when the first byte of an answer came.
-type firstByte struct {
+// timedReader records the time at which the first byte of an answer arrived.
+type timedReader struct {
 	from io.Reader
 	at   time.Time
 }
 
 // Read implements io.Reader.
-func (f *firstByte) Read(p []byte) (int, error) {
+func (f *timedReader) Read(p []byte) (int, error) {
 	n, err := f.from.Read(p)
 	if n > 0 && f.at.IsZero() {
 		f.at = time.Now()
--- a/io/bench/tally.go
+++ b/io/bench/tally.go
@@ -11,72 +11,76 @@
 	"radishwell/core"
 )
 
-// Range and precision of latencies: microseconds to half an hour, three digits.
+// Range of latencies, in microseconds, and significant digits of histograms.
 const (
-	leastMicros = 1
-	mostMicros  = int64(30 * time.Minute / time.Microsecond)
-	digits      = 3
-	roughDigits = 2
+	minMicros       = 1
+	maxMicros       = int64(30 * time.Minute / time.Microsecond)
+	histogramDigits = 3
+	bucketDigits    = 2
 )
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(leastMicros, mostMicros, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minMicros, maxMicros, histogramDigits)
+}
 
-// record adds a latency; one out of range counts as the end of the range.
+// record adds a latency to a histogram. Values out of range are clamped to it.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The value is within the range, so that recording cannot fail.
-	_ = h.RecordValue(min(max(d.Microseconds(), leastMicros), mostMicros))
+	// The value is in the range, so recording can't fail.
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
-// lineKey is what latencies are kept by. The model is empty for the line of
-// all models of a call.
+// lineKey identifies a line of the report. The model is empty for the line of all
+// models of a call.
 type lineKey struct {
 	call  string
 	model core.ModelName
 }
 
-// line is what was seen of a call, or of a call to one model.
+// line collects the results of a call, or those of a call to one model.
 type line struct {
-	class  core.Class
-	sent   int
-	fates  [fateCount]int
-	cold   int
-	late   int
-	first  *hdrhistogram.Histogram
-	whole  *hdrhistogram.Histogram
-	frozen *hdrhistogram.Histogram // first bytes of cold requests
-	warm   *hdrhistogram.Histogram
+	class core.Class
+	sent  int
+	fates [fateCount]int
+	cold  int
+	late  int
+	first *hdrhistogram.Histogram
+	whole *hdrhistogram.Histogram
+	// coldFirst and warmFirst split first by whether the model was loaded.
+	coldFirst *hdrhistogram.Histogram
+	warmFirst *hdrhistogram.Histogram
 }
 
 func newLine(class core.Class) *line {
-	return &line{class: class, first: newHistogram(), whole: newHistogram(), frozen: newHistogram(), warm: newHistogram()}
+	return &line{class: class, first: newHistogram(), whole: newHistogram(), coldFirst: newHistogram(), warmFirst: newHistogram()}
 }
 
-// bucket is a stretch of the run, by the time requests were due to be sent.
+// bucket collects the results of requests that were due to be sent in an interval
+// of the run.
 type bucket struct {
 	sent  int
 	fates [fateCount]int
 	first *hdrhistogram.Histogram
 }
 
-// tally takes the results of a run in.
+// tally collects the results of a run.
 type tally struct {
 	start time.Time
 	width time.Duration
 
-	mu        sync.Mutex
-	sent      int
-	fates     [fateCount]int
-	codes     map[core.Code]int
-	lines     map[lineKey]*line
-	buckets   []*bucket
-	lag       *hdrhistogram.Histogram
-	late      int
-	noID      int
-	noRetry   int
-	redials   int
-	unsent    int
-	incidents []result
-	audit     *audit
+	mu           sync.Mutex
+	sent         int
+	fates        [fateCount]int
+	codes        map[core.Code]int
+	lines        map[lineKey]*line
+	buckets      []*bucket
+	lag          *hdrhistogram.Histogram
+	late         int
+	noID         int
+	noRetryAfter int
+	redials      int
+	unsent       int
+	incidents    []result
+	audit        *audit
 }
 
 // lateSlack is how long after its deadline an answer counts as late: it covers
@@ -90,20 +94,20 @@
 	}
 }
 
-func (t *tally) leaveOut() {
+func (t *tally) countUnsent() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unsent++
 }
 
-// add takes one result in.
+// add adds one result.
 func (t *tally) add(r result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent++
 	t.fates[r.fate]++
 	t.redials += r.redials
-	record(t.lag, r.sent.Sub(r.shot.at))
+	record(t.lag, r.sent.Sub(r.request.at))
 	if r.code != "" {
 		t.codes[r.code]++
 	}
@@ -111,25 +115,26 @@
 		t.noID++
 	}
 	if r.fate == refused && r.code.Info().Retryable && !r.retryAfter {
-		t.noRetry++
+		t.noRetryAfter++
 	}
-	late := !r.end.IsZero() && r.end.After(r.shot.due.Add(lateSlack))
+	late := !r.end.IsZero() && r.end.After(r.request.due.Add(lateSlack))
 	if late {
 		t.late++
 	}
 	t.audit.add(r)
-	t.remember(r, late)
-	t.addLine(lineKey{call: r.shot.call.Name}, r, late)
-	if r.shot.model != "" {
-		t.addLine(lineKey{call: r.shot.call.Name, model: r.shot.model}, r, late)
+	t.keepIncident(r, late)
+	t.addLine(lineKey{call: r.request.call.Name}, r, late)
+	if r.request.model != "" {
+		t.addLine(lineKey{call: r.request.call.Name, model: r.request.model}, r, late)
 	}
 	t.addBucket(r)
 }
 
-// remember keeps requests that a reader will want to trace: the first few of
-// each code, and what is worse. Those that are cut are all kept until the kills
-// of entries are known.
-func (t *tally) remember(r result, late bool) {
+// keepIncident keeps requests that a reader of the report may want to trace: the
+// first ones with each error code, late ones, and those with any other fate than
+// done. It keeps at most maxIncidents, but all that were cut, because attributeKills
+// needs them.
+func (t *tally) keepIncident(r result, late bool) {
 	coded := r.fate == refused || r.fate == mayHaveRun
 	switch {
 	case coded && !late && t.codes[r.code] > maxOfCode, r.fate == done && !late:
@@ -142,7 +147,7 @@
 func (t *tally) addLine(key lineKey, r result, late bool) {
 	l := t.lines[key]
 	if l == nil {
-		l = newLine(r.shot.call.Class)
+		l = newLine(r.request.call.Class)
 		t.lines[key] = l
 	}
 	l.sent++
@@ -156,42 +161,43 @@
 	if r.fate != done || r.first.IsZero() {
 		return
 	}
-	wait := r.first.Sub(r.shot.at)
+	wait := r.first.Sub(r.request.at)
 	record(l.first, wait)
-	record(l.whole, r.end.Sub(r.shot.at))
+	record(l.whole, r.end.Sub(r.request.at))
 	switch {
 	case r.known && r.cold:
-		record(l.frozen, wait)
+		record(l.coldFirst, wait)
 	case r.known:
-		record(l.warm, wait)
+		record(l.warmFirst, wait)
 	}
 }
 
 func (t *tally) addBucket(r result) {
-	i := int(r.shot.at.Sub(t.start) / t.width)
+	i := int(r.request.at.Sub(t.start) / t.width)
 	for len(t.buckets) <= i {
-		t.buckets = append(t.buckets, &bucket{first: hdrhistogram.New(leastMicros, mostMicros, roughDigits)})
+		t.buckets = append(t.buckets, &bucket{first: hdrhistogram.New(minMicros, maxMicros, bucketDigits)})
 	}
 	b := t.buckets[i]
 	b.sent++
 	b.fates[r.fate]++
 	if r.fate == done && !r.first.IsZero() {
-		record(b.first, r.first.Sub(r.shot.at))
+		record(b.first, r.first.Sub(r.request.at))
 	}
 }
 
-// Kill is a moment at which an entry process was killed from outside.
+// Kill is the killing of an entry process by somebody else than this tool.
 type Kill struct {
 	At    time.Time
 	Entry string
 }
 
-// killSlack is how long after a kill a broken connection is put down to it.
+// killSlack is how long after a kill a broken connection is attributed to it.
 const killSlack = 2 * time.Second
 
-// excuse turns cuts that a kill of their own entry explains into killed: a
-// process that is gone can tell its callers nothing, and they see it at once.
-func (t *tally) excuse(kills []Kill, entry func(int) string) {
+// attributeKills changes the fate of requests from cut to killed if a kill of their
+// entry explains the broken connection: a killed process can't report an outcome,
+// and its callers notice the end of the connection at once.
+func (t *tally) attributeKills(kills []Kill, entry func(int) string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range t.incidents {
@@ -201,23 +207,23 @@
 		}) {
 			continue
 		}
-		t.move(r, killed)
+		t.reclassify(r, killed)
 	}
 }
 
-func (t *tally) move(r *result, to fate) {
+func (t *tally) reclassify(r *result, to fate) {
 	from := r.fate
 	r.fate = to
 	shift := func(f *[fateCount]int) { f[from]--; f[to]++ }
 	shift(&t.fates)
-	shift(&t.lines[lineKey{call: r.shot.call.Name}].fates)
-	if l := t.lines[lineKey{call: r.shot.call.Name, model: r.shot.model}]; r.shot.model != "" {
+	shift(&t.lines[lineKey{call: r.request.call.Name}].fates)
+	if l := t.lines[lineKey{call: r.request.call.Name, model: r.request.model}]; r.request.model != "" {
 		shift(&l.fates)
 	}
-	shift(&t.buckets[int(r.shot.at.Sub(t.start)/t.width)].fates)
+	shift(&t.buckets[int(r.request.at.Sub(t.start)/t.width)].fates)
 }
 
-// lineKeys returns the lines' keys: each call, then its models by name.
+// lineKeys returns the keys of the lines, sorted by call and then by model.
 func (t *tally) lineKeys() []lineKey {
 	var keys []lineKey
 	for k := range t.lines {
