--- a/io/cmds/soak.go
+++ b/io/cmds/soak.go
@@ -52,7 +52,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return false, &soak.StartError{What: dir, Cause: err}
 	}
-	report, err := (&soak.Run{Seed: seed, Length: c.Length, Program: []string{program}, Dir: dir}).Play()
+	report, err := (&soak.Run{Seed: seed, Length: c.Length, Program: []string{program}, Dir: dir}).Execute()
 	if err != nil {
 		return false, err
 	}
--- a/io/soak/caller.go
+++ b/io/soak/caller.go
@@ -33,47 +33,51 @@
 
 var routePaths = [routeCount]string{"/once/x", "/again/x", "/stream/x", "/resumed/x"}
 
-// Result is what a caller saw of one request.
+// Result is one request and its result from the point of view of the caller.
 type Result struct {
 	ID    string
 	Route Route
-	// Path is what is asked for, the route's own where it is empty.
+	// Path is the requested path; if it is empty, the path of Route is used.
 	Path string
-	// Key is the caller's, and Customer who holds it; none for a key in no table.
+	// Key is the caller's key and Customer its owner, which is empty for a key that
+	// no routing table has.
 	Key, Customer string
-	// Entry is the index of the entry that was asked.
+	// Entry is the index of the entry to which the request was sent.
 	Entry int
 	// Began and Ended are times from the start of the run.
 	Began, Ended time.Duration
-	// Status is zero where no head of an answer came.
+	// Status is the HTTP status, or zero if no header of an answer arrived.
 	Status int
-	// Signer is the upstream that the answer bears the signature of.
+	// Signer is the server signature of the answer, which names the upstream.
 	Signer string
-	// Body is what came of the answer, Whole whether it ended in good order.
-	Body  []byte
-	Whole bool
-	// Unsent tells that no connection was made, so that nothing was sent.
+	// Body is the part of the body that arrived. Complete reports whether the answer
+	// ended without an error of the connection.
+	Body     []byte
+	Complete bool
+	// Unsent is set if the connection was refused, so that nothing was sent.
 	Unsent bool
 }
 
-// customers are who calls: mostly one without a limit, so that enough is served.
+// customers lists the keys from which callers choose at random. Most belong to a
+// customer without a limit, so that enough requests are served.
 var customers = []struct{ key, name string }{
 	{"key-free", "free"}, {"key-free", "free"}, {"key-free", "free"}, {"key-free", "free"}, {"key-limited", "limited"}, {"key-nobody", ""},
 }
 
-// deadline is how long callers wait.
-const deadline = 4 * time.Second
+// callerTimeout is how long a caller waits for an answer.
+const callerTimeout = 4 * time.Second
 
-// callers send requests until their context ends.
+// callers sends requests from several callers at the same time.
 type callers struct {
-	fronts []netip.AddrPort
-	start  time.Time
+	entryAddrs []netip.AddrPort
+	start      time.Time
 
 	mu      sync.Mutex
 	results []Result
 	wait    sync.WaitGroup
 }
 
+// run starts n callers, which send requests until ctx ends.
 func (c *callers) run(ctx context.Context, n int, seed uint64) {
 	for i := range n {
 		c.wait.Add(1)
@@ -84,14 +88,14 @@
 	}
 }
 
-// call is one caller: it keeps its connection to an entry while that serves it.
+// call runs one caller. It keeps its connection to an entry open for further requests.
 func (c *callers) call(ctx context.Context, i int, rng *rand.Rand) {
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
-		entry := (i + rng.IntN(2)*rng.IntN(len(c.fronts))) % len(c.fronts)
+		entry := (i + rng.IntN(2)*rng.IntN(len(c.entryAddrs))) % len(c.entryAddrs)
 		who := customers[rng.IntN(len(customers))]
-		r := c.ask(transport, Result{
+		r := c.send(transport, Result{
 			ID: fmt.Sprintf("%d-%d-%d", i, n, rng.Uint32()), Route: Route(rng.IntN(int(routeCount))), Entry: entry,
 			Key: who.key, Customer: who.name,
 		}, "m-"+strconv.Itoa(1+rng.IntN(2)))
@@ -102,19 +106,19 @@
 	}
 }
 
-// onceBody is a body whose reader net/http cannot read again, so that its transport
-// never sends a request a second time by itself.
+// onceBody is a body that can't be rewound, so that the transport of net/http never
+// sends a request twice.
 type onceBody struct{ io.Reader }
 
-// ask sends one request and fills in what came of it.
-func (c *callers) ask(transport *http.Transport, q Result, model string) (r Result) {
+// send sends the request in q and returns it with its result.
+func (c *callers) send(transport *http.Transport, q Result, model string) (r Result) {
 	r = q
-	ctx, stop := context.WithTimeout(context.Background(), deadline)
+	ctx, stop := context.WithTimeout(context.Background(), callerTimeout)
 	defer stop()
 	r.Began = time.Since(c.start)
 	defer func() { r.Ended = time.Since(c.start) }()
 	text := "body of " + r.ID
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.fronts[r.Entry].String()+cmp.Or(r.Path, routePaths[r.Route]), onceBody{bytes.NewReader([]byte(text))})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.entryAddrs[r.Entry].String()+cmp.Or(r.Path, routePaths[r.Route]), onceBody{bytes.NewReader([]byte(text))})
 	if err != nil {
 		r.Unsent = true
 		return r
@@ -122,7 +126,7 @@
 	req.ContentLength = int64(len(text))
 	req.Host = "a.example"
 	now := time.Now()
-	req.Header = plat.AskHeader(askOf(r, model, now.Add(deadline)), now)
+	req.Header = plat.AskHeader(requestHead(r, model, now.Add(callerTimeout)), now)
 	req.Header.Set("Authorization", "Bearer "+r.Key)
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
@@ -132,33 +136,33 @@
 	defer resp.Body.Close()
 	r.Status, r.Signer = resp.StatusCode, plat.Signature(resp.Header)
 	r.Body, err = io.ReadAll(resp.Body)
-	r.Whole = err == nil
+	r.Complete = err == nil
 	return r
 }
 
-// askOf returns what a caller asks for.
-func askOf(r Result, model string, by time.Time) core.RequestHead {
-	ask := core.RequestHead{ID: core.RequestID(r.ID), Deadline: by}
+// requestHead returns the head of a request, which describes its prompt and answer.
+func requestHead(r Result, model string, by time.Time) core.RequestHead {
+	head := core.RequestHead{ID: core.RequestID(r.ID), Deadline: by}
 	if r.Route == Stream || r.Route == Resumed {
-		ask.Model, ask.Prompt, ask.Answer = core.ModelName(model), 100, 50
-		ask.Parts = []core.PromptPart{{ID: "aa", Tokens: 60}, {ID: "bb", Tokens: 40}}
+		head.Model, head.Prompt, head.Answer = core.ModelName(model), 100, 50
+		head.Parts = []core.PromptPart{{ID: "aa", Tokens: 60}, {ID: "bb", Tokens: 40}}
 	}
-	return ask
+	return head
 }
 
-// served tells whether an entry serves a request of each route, and one of a route that only the
-// newest table has, before a time.
+// served reports whether an entry serves a request of each route, and one of a route
+// that only the newest table has, before a time. It retries until then.
 func (c *callers) served(entry int, seed uint64, newest string, until time.Time) bool {
-	asked := []Result{{Route: Again, Path: newest}}
+	probes := []Result{{Route: Again, Path: newest}}
 	for route := range routeCount {
-		asked = append(asked, Result{Route: route})
+		probes = append(probes, Result{Route: route})
 	}
 	transport := &http.Transport{DisableCompression: true, DisableKeepAlives: true}
-	for i, q := range asked {
+	for i, q := range probes {
 		q.Entry, q.Key, q.Customer = entry, "key-free", "free"
 		for n := 0; ; n++ {
 			q.ID = fmt.Sprintf("probe-%d-%d-%d-%d", seed, entry, i, n)
-			if r := c.ask(transport, q, "m-1"); r.Status == http.StatusOK && r.Whole {
+			if r := c.send(transport, q, "m-1"); r.Status == http.StatusOK && r.Complete {
 				break
 			}
 			if time.Now().After(until) {
--- a/io/soak/check.go
+++ b/io/soak/check.go
@@ -15,29 +15,30 @@
 	"radishwell/platform/stand"
 )
 
-// Breach is a promise that was broken.
+// Breach is the violation of a promise by one request.
 type Breach struct {
 	Promise string
 	Result  Result
-	Ran     int
+	// Ran is the number of runs or requests that were counted.
+	Ran int
 }
 
-// String tells the breach in a line.
+// String describes the breach in one line.
 func (b Breach) String() string {
 	return fmt.Sprintf("%s: request %s route %s entry %d from %v to %v status %d whole %v ran %d body %.60q",
 		b.Promise, b.Result.ID, routePaths[b.Result.Route], b.Result.Entry, b.Result.Began.Round(time.Millisecond),
-		b.Result.Ended.Round(time.Millisecond), b.Result.Status, b.Result.Whole, b.Ran, b.Result.Body)
+		b.Result.Ended.Round(time.Millisecond), b.Result.Status, b.Result.Complete, b.Ran, b.Result.Body)
 }
 
-// promise is one thing that callers may rely on.
+// promise is a guarantee on which callers may rely.
 type promise struct {
 	name string
-	// kept tells whether a result keeps the promise; ran counts the upstreams' runs
-	// of the request.
+	// kept reports whether a result complies with the promise. ran is the number of times
+	// that upstreams ran the request.
 	kept func(r *Result, ran int) bool
 }
 
-// promises is the table of what is checked of each request.
+// promises lists the promises that are checked for each request.
 var promises = []promise{
 	{"a request that may run once runs once", func(r *Result, ran int) bool {
 		return r.Route == Again || r.Route == Resumed || ran <= 1
@@ -45,14 +46,14 @@
 	{"a repeatable request reaches two upstreams at most", func(r *Result, ran int) bool {
 		return r.Route != Again || ran <= 2
 	}},
-	{"a refusal is true", func(r *Result, ran int) bool { return !refusal(r.Status) || ran == 0 }},
+	{"a refusal is true", func(r *Result, ran int) bool { return !isRefusal(r.Status) || ran == 0 }},
 	{"a success was run", func(r *Result, ran int) bool { return r.Status != http.StatusOK || ran > 0 }},
 	{"a success is signed", func(r *Result, _ int) bool {
 		return r.Status != http.StatusOK || strings.HasPrefix(r.Signer, "signed-by-")
 	}},
 	{"an answer is one upstream's and whole", func(r *Result, _ int) bool {
-		if r.Status != http.StatusOK || r.Signer == "" || !r.Whole || isStream(r.Route) {
-			return true // or it breaks another promise
+		if r.Status != http.StatusOK || r.Signer == "" || !r.Complete || isStream(r.Route) {
+			return true // other promises cover these results
 		}
 		return string(r.Body) == "answer of "+strings.TrimPrefix(r.Signer, "signed-by-")
 	}},
@@ -61,7 +62,7 @@
 			return true
 		}
 		n, rest := countEvents(r.Body)
-		if !r.Whole {
+		if !r.Complete {
 			return n >= 0
 		}
 		return n == streamEvents && rest == 0
@@ -77,7 +78,7 @@
 
 func isStream(r Route) bool { return r == Stream || r == Resumed }
 
-func refusal(status int) bool {
+func isRefusal(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -85,15 +86,15 @@
 	return false
 }
 
-var event = regexp.MustCompile(`^id: (\d+)\ndata: event (\d+)\n\n`)
+var eventPattern = regexp.MustCompile(`^id: (\d+)\ndata: event (\d+)\n\n`)
 
-// countEvents returns the number of events from the first in order, -1 where one is
-// out of order, and the bytes behind them.
+// countEvents returns the number of events of a stream and the number of bytes after
+// the last complete one. n is -1 if the events aren't numbered in order from 1.
 func countEvents(body []byte) (n, rest int) {
 	for {
-		m := event.FindSubmatch(body)
+		m := eventPattern.FindSubmatch(body)
 		if m == nil {
-			// What is left may be the beginning of one event, not more.
+			// The rest may be the beginning of one event, but not more.
 			if bytes.Contains(body, []byte("\n\n")) {
 				return -1, len(body)
 			}
@@ -107,7 +108,7 @@
 	}
 }
 
-// check holds results against the promises.
+// check returns the breaches of promises by results.
 func check(results []Result, ran func(id string) int) []Breach {
 	var out []Breach
 	for i := range results {
@@ -122,9 +123,9 @@
 	return out
 }
 
-// misnamed finds requests that upstreams got with a key, or in another customer's name
-// than their key's.
-func misnamed(results []Result, seen []stand.Seen) []Breach {
+// misattributed finds requests that upstreams received with a key, or with the name of
+// another customer than the owner of the key.
+func misattributed(results []Result, seen []stand.Seen) []Breach {
 	holders := map[core.RequestID]string{}
 	for _, r := range results {
 		holders[core.RequestID(r.ID)] = r.Customer
@@ -141,15 +142,15 @@
 }
 
 const (
-	// limitedWindow is the time over which the limited customer's runs are counted.
+	// limitedWindow is the time over which the runs of the limited customer are counted.
 	limitedWindow = 8 * time.Second
-	// limitedSlack is the requests that it may run beyond its allowance, as the entries'
-	// settings say.
+	// limitedSlack is the number of requests that the customer may run beyond its
+	// allowance, according to the settings of the entries.
 	limitedSlack = 16
 )
 
-// overAllowance finds a window in which the limited customer's requests ran more often
-// than its allowance lets them.
+// overAllowance finds a window in which more requests of the limited customer ran than
+// its allowance permits.
 func overAllowance(results []Result, ran func(id string) int) []Breach {
 	var sent []Result
 	for _, r := range results {
@@ -161,8 +162,8 @@
 	most := limitedRate*int(limitedWindow.Seconds()) + limitedRate + limitedSlack
 	for i := range sent {
 		last := i + most
-		// A request runs between its beginning and its end; the window is the shortest that
-		// surely holds all of them.
+		// A request runs at an unknown time between Began and Ended, so the window has to
+		// extend from the first Began to the last Ended.
 		if last < len(sent) && latest(sent[i:last+1])-sent[i].Began < limitedWindow {
 			return []Breach{{Promise: "a customer runs no more than its allowance", Result: sent[i], Ran: last - i + 1}}
 		}
@@ -178,22 +179,22 @@
 	return end
 }
 
-// cutByStop finds requests that a planned stop cut off: run by an upstream and ended
-// without an answer, while nothing else went wrong from before they were sent. The
-// end of a stopped process comes within its grace.
+// cutByStop finds requests that a planned stop cut off: an upstream ran them, but they
+// ended without an answer, and no other fault was active since shortly before they were
+// sent. A stopped process ends within its grace period.
 func cutByStop(results []Result, steps []Step, ran func(id string) int) []Breach {
 	var out []Breach
 	for _, r := range results {
-		if r.Unsent || r.Status != 0 || r.Ended-r.Began >= deadline || ran(r.ID) == 0 {
+		if r.Unsent || r.Status != 0 || r.Ended-r.Began >= callerTimeout || ran(r.ID) == 0 {
 			continue
 		}
-		if !disturbed(steps, StopEntry, r.Began-calm, r.Ended) {
+		if !disturbed(steps, StopEntry, r.Began-settleTime, r.Ended) {
 			out = append(out, Breach{Promise: "a planned stop cuts nothing", Result: r, Ran: ran(r.ID)})
 		}
 	}
 	return out
 }
 
-// calm is how long before a request nothing else may have gone wrong for a cut to
-// be the planned stop's: a process that was killed is back by then.
-const calm = 3 * time.Second
+// settleTime is the time after the end of a fault during which it may still affect
+// requests. A process that was killed is running again by then.
+const settleTime = 3 * time.Second
--- a/io/soak/check_test.go
+++ b/io/soak/check_test.go
@@ -20,9 +20,9 @@
 	return []byte(b.String())
 }
 
-// Each promise is shown to be broken by what breaks it, and by nothing else.
+// Each promise is violated by results that break it and by no others.
 func TestCheck(t *testing.T) {
-	good := Result{ID: "q", Customer: "free", Route: Once, Status: 200, Signer: "signed-by-i-1", Body: []byte("answer of i-1"), Whole: true}
+	good := Result{ID: "q", Customer: "free", Route: Once, Status: 200, Signer: "signed-by-i-1", Body: []byte("answer of i-1"), Complete: true}
 	with := func(change func(r *Result)) Result {
 		r := good
 		change(&r)
@@ -45,17 +45,17 @@
 		{"a success from nowhere", good, 0, "was run"},
 		{"no signature", with(func(r *Result) { r.Signer = "" }), 1, "signed"},
 		{"half an answer that looks whole", with(func(r *Result) { r.Body = []byte("answer") }), 1, "whole"},
-		{"half an answer that broke off", with(func(r *Result) { r.Body, r.Whole = []byte("answer"), false }), 1, ""},
+		{"half an answer that broke off", with(func(r *Result) { r.Body, r.Complete = []byte("answer"), false }), 1, ""},
 		{"a whole stream", streamed, 1, ""},
 		{"a stream that ends early", with(func(r *Result) { r.Route, r.Body = Stream, stream(streamEvents-1) }), 1, "events"},
-		{"a stream that broke off", with(func(r *Result) { r.Route, r.Body, r.Whole = Stream, stream(3), false }), 1, ""},
+		{"a stream that broke off", with(func(r *Result) { r.Route, r.Body, r.Complete = Stream, stream(3), false }), 1, ""},
 		{"an event twice", with(func(r *Result) { r.Route, r.Body = Resumed, append(stream(3), stream(streamEvents)...) }), 2, "events"},
 		{"an event left out", with(func(r *Result) {
-			r.Route, r.Whole = Resumed, false
+			r.Route, r.Complete = Resumed, false
 			r.Body = append(stream(3), []byte("id: 5\ndata: event 5\n\n")...)
 		}), 2, "events"},
 		{"half an event in the middle", with(func(r *Result) {
-			r.Route, r.Whole = Resumed, false
+			r.Route, r.Complete = Resumed, false
 			r.Body = append(stream(3), []byte("id: 4\ndata: haid: 4\ndata: event 4\n\n")...)
 		}), 2, "events"},
 		{"unknown", Result{Customer: "free", Route: Once, Status: 404}, 0, "called unknown"},
@@ -99,14 +99,14 @@
 		assert.DeepEqual(t, steps, Draw(seed, length))
 		for _, s := range steps {
 			seen[s.Kind] = true
-			assert.Assert(t, s.Begin >= quiet && s.Begin <= s.End && s.End <= length, "%v", s)
+			assert.Assert(t, s.Begin >= startupTime && s.Begin <= s.End && s.End <= length, "%v", s)
 			assert.Assert(t, s.String() != "" && s.Kind.String() != "unknown")
 		}
 	}
 	assert.Equal(t, len(seen), int(kindCount))
 }
 
-func TestMisnamed(t *testing.T) {
+func TestMisattributed(t *testing.T) {
 	results := []Result{{ID: "q", Customer: "free"}, {ID: "n"}}
 	seen := func(id, customer, key string) stand.Seen {
 		h := http.Header{"X-Radishwell-Request-Id": {id}}
@@ -130,7 +130,7 @@
 		"one without key or name": {seen("n", "", ""), 0},
 		"one that took on a name": {seen("n", "free", ""), 1},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, len(misnamed(results, []stand.Seen{c.seen})), c.broken) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, len(misattributed(results, []stand.Seen{c.seen})), c.broken) })
 	}
 }
 
--- a/io/soak/doc.go
+++ b/io/soak/doc.go
@@ -1,14 +1,15 @@
-// Package soak runs the real programs of a managed platform as separate processes on
-// one machine, has faults strike them from outside, and checks what callers and
-// upstreams see: that nothing that may run once runs twice, that a refusal is true,
-// that an answer is whole and one run's, and that the system recovers.
+// Package soak runs the programs of a managed platform as separate processes on one
+// machine, injects faults from outside, and checks what callers and upstreams
+// observe: requests that may run only once don't run twice, refused requests didn't
+// run, an answer is complete and comes from a single run, and the system recovers.
 //
-// The faults are drawn from a seed (Draw): processes that are killed, stopped, paused
-// and told to read their settings again; connections that are delayed, reset, cut in
-// one way or both, or silent for good; a store that is down, silent, loses answers or
-// forgets its history; upstreams that fail, spoil or lose answers and start again.
-// They come in series and overlap. Which requests meet which fault depends on the
-// machine's timing, so a seed repeats the schedule and not the run.
+// The faults are drawn from a seed (Draw). Processes are killed, stopped, paused or
+// made to reload their settings. Connections are delayed, reset, cut in one or both
+// directions, or stay silent for good. The store is down, silent, loses answers or
+// drops its history. Upstreams fail, corrupt or lose answers, and restart. Faults may
+// follow one another closely and overlap. Which requests are affected by which fault
+// depends on the timing of the machine, so a seed determines the schedule but not the
+// whole run.
 //
-// Only processes that the soak started are ever signalled.
+// The package signals only processes that it has started.
 package soak
--- a/io/soak/strike.go
+++ b/io/soak/inject.go
@@ -8,8 +8,9 @@
 	"radishwell/platform/stand"
 )
 
-// strike has a step happen, and returns what ends it, nil where nothing lasts.
-func (w *world) strike(s Step) (end func()) {
+// inject starts a step. It returns a function that ends it, or nil if the step has no
+// duration.
+func (w *testbed) inject(s Step) (end func()) {
 	entry, agent := w.entries[s.Target%len(w.entries)], w.agents[s.Target%len(w.agents)]
 	link := w.storeLinks[s.Target%len(w.storeLinks)]
 	engine, host := w.upstreams[s.Target%engines], w.upstreams[s.Target%len(w.upstreams)]
@@ -68,7 +69,7 @@
 	case RestartUpstream:
 		w.restart(host)
 	case NewTable:
-		w.newTable()
+		w.writeTable()
 	case LimitUpstream:
 		rate := []float64{0.5, 1, 2, 4}[s.Variant%4]
 		host.NameLimit(&rate)
@@ -88,9 +89,9 @@
 	return nil
 }
 
-func (w *world) procs() []*Proc { return append(append([]*Proc{}, w.entries...), w.agents...) }
+func (w *testbed) procs() []*Proc { return append(append([]*Proc{}, w.entries...), w.agents...) }
 
-func (w *world) eachLink(do func(*midbox.Box)) {
+func (w *testbed) eachLink(do func(*midbox.Box)) {
 	for _, l := range w.storeLinks {
 		do(l)
 	}
@@ -102,13 +103,13 @@
 	}
 }
 
-func (w *world) failStore(f stand.Fault) func() {
+func (w *testbed) failStore(f stand.Fault) func() {
 	w.store.Set(f)
 	return func() { w.store.Set(stand.Fine) }
 }
 
-// restart has an upstream start again under its id, with nothing.
-func (w *world) restart(u *upstream) {
+// restart starts a new incarnation of an upstream under the same id, without any state.
+func (w *testbed) restart(u *upstream) {
 	u.link.Reset()
 	u.born++
 	u.Restart(u.born)
@@ -120,7 +121,7 @@
 	return func() { p.Signal(syscall.SIGCONT) }
 }
 
-// cut cuts one way, the other, or both.
+// cut cuts one direction, the other, or both.
 func cut(l *midbox.Box, variant int) func() {
 	if variant%3 != 1 {
 		l.Cut(midbox.Forth)
--- a/io/soak/plan.go
+++ b/io/soak/plan.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Kind is a fault.
+// Kind is a kind of fault.
 type Kind uint8
 
-// Faults.
+// Kinds of faults.
 const (
 	KillEntry Kind = iota
 	KillAgent
@@ -46,17 +46,18 @@
 	kindCount
 )
 
-// fault describes a kind: how it is named, how often it comes against the others,
-// and the longest that it lasts.
+// fault describes a kind of fault: its name, how often it occurs relative to the
+// others, and its maximum duration, which is zero for a fault that happens at one
+// moment.
 type fault struct {
-	name    string
-	weight  int
-	longest time.Duration
+	name        string
+	weight      int
+	maxDuration time.Duration
 }
 
-// faults is the table of kinds. The weights favour what hits requests in progress;
-// the times are shorter than a request's deadline at one end and longer than the
-// time after which a process is taken for gone at the other.
+// faults describes all kinds. The weights favour faults that affect requests in
+// progress. The durations range from less than the deadline of a request to more than
+// the time after which a process is considered lost.
 var faults = [kindCount]fault{
 	KillEntry:       {"kill-entry", 4, 0},
 	KillAgent:       {"kill-agent", 3, 0},
@@ -90,7 +91,7 @@
 	NarrowStore:     {"narrow-store", 2, 5 * time.Second},
 }
 
-// String returns the fault's name.
+// String returns the name of the kind as in schedules.
 func (k Kind) String() string {
 	if k >= kindCount {
 		return "unknown"
@@ -101,41 +102,43 @@
 // Step is one fault of a schedule.
 type Step struct {
 	Kind Kind
-	// Begin and End are times from the start; equal where the fault does not last.
+	// Begin and End are times from the start of the run. They are equal if the fault has
+	// no duration.
 	Begin, End time.Duration
-	// Target picks the process, link or upstream, Variant how it is hit.
+	// Target selects the process, relay or upstream, modulo their number. Variant selects
+	// among the variants of the fault.
 	Target, Variant int
 }
 
-// String tells the step in a line.
+// String describes the step in one line.
 func (s Step) String() string {
 	return fmt.Sprintf("%v to %v %v target %d variant %d", s.Begin.Round(time.Millisecond), s.End.Round(time.Millisecond), s.Kind, s.Target, s.Variant)
 }
 
 const (
-	// quiet is the time at the start without faults, in which everything comes up.
-	quiet = 1500 * time.Millisecond
-	// meanGap is the mean time between the beginnings of two faults: shorter than
-	// most last, so that they overlap.
+	// startupTime is the time without faults at the start, in which all processes start.
+	startupTime = 1500 * time.Millisecond
+	// meanGap is the mean time between the beginnings of two faults. It is shorter than
+	// the duration of most faults, so that they overlap.
 	meanGap = 600 * time.Millisecond
-	// together is the part of faults that begin at the moment of the one before.
-	together = 0.2
+	// simultaneousShare is the share of faults that begin together with the previous one.
+	simultaneousShare = 0.2
 )
 
-// Draw returns the schedule of a seed. All faults have ended by the given time.
+// Draw returns the schedule of a seed. All faults end within length.
 func Draw(seed uint64, length time.Duration) []Step {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	var steps []Step
-	for at := quiet; ; {
-		if len(steps) == 0 || rng.Float64() >= together {
+	for at := startupTime; ; {
+		if len(steps) == 0 || rng.Float64() >= simultaneousShare {
 			at += time.Duration(rng.ExpFloat64() * float64(meanGap))
 		}
 		if at >= length {
 			break
 		}
 		s := Step{Kind: drawKind(rng), Begin: at, End: at, Target: rng.IntN(1 << 16), Variant: rng.IntN(1 << 16)}
-		if longest := faults[s.Kind].longest; longest > 0 {
-			s.End = min(at+time.Duration(rng.Float64()*float64(longest)), length)
+		if maxDuration := faults[s.Kind].maxDuration; maxDuration > 0 {
+			s.End = min(at+time.Duration(rng.Float64()*float64(maxDuration)), length)
 		}
 		steps = append(steps, s)
 	}
@@ -157,7 +160,8 @@
 	return KillEntry // not reached: the weights sum to all
 }
 
-// disturbed tells whether any step but those of one kind strikes in a span of time.
-func disturbed(steps []Step, besides Kind, from, to time.Duration) bool {
-	return slices.ContainsFunc(steps, func(s Step) bool { return s.Kind != besides && s.Begin < to && s.End > from })
+// disturbed reports whether any step, except those of one kind, overlaps with a span of
+// time.
+func disturbed(steps []Step, except Kind, from, to time.Duration) bool {
+	return slices.ContainsFunc(steps, func(s Step) bool { return s.Kind != except && s.Begin < to && s.End > from })
 }
--- a/io/soak/proc.go
+++ b/io/soak/proc.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// restartPause is how long after its end a process is started again, as platforms
-// do.
+// restartPause is the time after which a process that has ended is restarted, as
+// platforms do.
 const restartPause = 200 * time.Millisecond
 
-// StartError reports a part of the soak that could not be started.
+// StartError reports a part of the soak test that couldn't be started.
 type StartError struct {
 	What  string
 	Cause error
@@ -25,12 +25,13 @@
 // Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// Proc is a program that is started again whenever it ends.
+// Proc is a process that is restarted whenever it ends.
 type Proc struct {
 	Name string
-	// Args are the program and its arguments, Dir where its log goes.
+	// Args holds the program and its arguments.
 	Args []string
-	Dir  string
+	// Dir is the directory of the log.
+	Dir string
 
 	mu       sync.Mutex
 	process  *os.Process
@@ -39,7 +40,7 @@
 	ended    chan struct{}
 }
 
-// Run starts the program and keeps it running until Close.
+// Run starts the program and restarts it whenever it ends, until Close.
 func (p *Proc) Run() error {
 	log, err := os.OpenFile(filepath.Join(p.Dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -51,12 +52,12 @@
 		return err
 	}
 	p.ended = make(chan struct{})
-	go p.keep(cmd, log)
+	go p.supervise(cmd, log)
 	return nil
 }
 
-// start starts the program, unless the soak has ended. Close and a start exclude
-// each other: a process that began after Close had looked for one would never end.
+// start starts the program. It returns nil after Close. The lock excludes a start
+// during Close: a process that started after Close had sent its signal would never end.
 func (p *Proc) start(log *os.File) (*exec.Cmd, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,11 +74,11 @@
 	return cmd, nil
 }
 
-func (p *Proc) keep(cmd *exec.Cmd, log *os.File) {
+func (p *Proc) supervise(cmd *exec.Cmd, log *os.File) {
 	defer close(p.ended)
 	defer log.Close()
 	for {
-		_ = cmd.Wait() // how it ended is in its log
+		_ = cmd.Wait() // the log shows how it ended
 		p.mu.Lock()
 		p.process = nil
 		p.mu.Unlock()
@@ -95,26 +96,26 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.process != nil {
-		// It may have ended in this moment, which is what signals are for.
+		// The process may just have ended; the error can be ignored.
 		_ = p.process.Signal(s)
 	}
 }
 
-// running tells whether the process runs now.
+// running reports whether the process is running.
 func (p *Proc) running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.process != nil
 }
 
-// Starts counts the times it was started.
+// Starts returns the number of times that the process was started.
 func (p *Proc) Starts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.starts
 }
 
-// Close ends the process for good.
+// Close kills the process and waits until it has ended. It isn't restarted.
 func (p *Proc) Close() {
 	p.mu.Lock()
 	p.stopping = true
--- a/io/soak/proc_test.go
+++ b/io/soak/proc_test.go
@@ -8,13 +8,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// A soak ended in the moment between a process's end and its next start. The keeper
-// started it once more after it had been told to stop, and the soak waited for that
-// one for ever.
+// If Close was called between the end of a process and its restart, the process was
+// started once more after Close had looked for one to kill, and Close waited for it
+// forever.
 func TestCloseBetweenStarts(t *testing.T) {
 	self, err := os.Executable()
 	assert.NilError(t, err)
-	// It runs no test and ends at once.
+	// The process runs no test and ends at once.
 	p := &Proc{Name: "entry", Args: []string{self, "-test.run", "^$"}, Dir: t.TempDir()}
 	assert.NilError(t, p.Run())
 	for p.running() {
--- a/io/soak/run.go
+++ b/io/soak/run.go
@@ -10,63 +10,67 @@
 )
 
 const (
-	// recovery is how long after the last fault every entry has to serve again.
+	// recovery is the time after the last fault within which every entry has to serve
+	// requests again.
 	recovery = 12 * time.Second
-	// callerCount is how many callers send requests one after the other.
+	// callerCount is the number of callers. Each sends one request after the other.
 	callerCount = 8
 )
 
-// Run is one run of the soak. Set the exported fields before use.
+// Run is one run of the soak test. The exported fields have to be set before Execute.
 type Run struct {
 	Seed uint64
-	// Length is how long after the start the faults end.
+	// Length is the time from the start until all faults have ended.
 	Length time.Duration
-	// Program is the program of entries and agents with its first arguments; role
-	// and settings file are added.
+	// Program is the command of entries and agents. The role and the settings file are
+	// appended as arguments.
 	Program []string
-	// Dir is where settings, logs and the schedule go.
+	// Dir is the directory for settings, logs and the schedule.
 	Dir string
 }
 
-// Report is what a run found.
+// Report holds the results of a run.
 type Report struct {
 	Seed     uint64
 	Steps    []Step
 	Requests int
-	// Served counts the requests that were answered whole with success.
+	// Served counts the requests with a complete and successful answer.
 	Served   int
 	Breaches []Breach
-	// Unserved are entries that did not serve every route of the newest table in time.
+	// Unserved lists the indexes of the entries that didn't serve all routes of the
+	// newest table within the recovery time.
 	Unserved []int
-	// Panics are the logs that tell of a panic.
+	// Panics lists the log files that contain a panic or a data race.
 	Panics []string
 }
 
-// Failed tells whether anything was found.
+// Failed reports whether the run found a fault of the system.
 func (r *Report) Failed() bool { return len(r.Breaches)+len(r.Unserved)+len(r.Panics) > 0 }
 
-// smallFleet is more agents than there are, so that each entry follows all. Runs with odd
-// seeds have one entry follow them and tell the other, as in a large fleet.
-const smallFleet = 64
+// allDirect exceeds the number of agents, so that each entry follows all agents itself.
+// In runs with odd seeds the limit is 0 instead: one entry follows the agents and
+// informs the other, as in a large fleet.
+const allDirect = 64
 
-// Play runs the schedule of the seed and returns what it found.
-func (r *Run) Play() (*Report, error) {
+// Execute runs the schedule of the seed and returns the results. Its error means that
+// the run itself failed, as a StartError, not that it found something.
+func (r *Run) Execute() (*Report, error) {
 	steps := Draw(r.Seed, r.Length)
 	if err := os.WriteFile(filepath.Join(r.Dir, "schedule.txt"), []byte(lines(steps)), 0o644); err != nil {
 		return nil, &StartError{What: "the run", Cause: err}
 	}
-	w := &world{dir: r.Dir, program: r.Program, mostDirect: smallFleet}
+	w := &testbed{dir: r.Dir, program: r.Program, maxDirect: allDirect}
 	if r.Seed%2 == 1 {
-		w.mostDirect = 0
+		w.maxDirect = 0
 	}
 	defer w.close()
 	if err := w.build(); err != nil {
 		return nil, err
 	}
-	c := &callers{fronts: w.fronts, start: time.Now()}
+	c := &callers{entryAddrs: w.entryAddrs, start: time.Now()}
 	ctx, stop := context.WithCancel(context.Background())
 	c.run(ctx, callerCount, r.Seed)
-	w.play(c.start, steps)
+	w.runSteps(c.start, steps)
 	report := &Report{Seed: r.Seed, Steps: steps, Unserved: unserved(c, r.Seed, w.newestPath())}
 	stop()
 	c.wait.Wait()
@@ -79,19 +83,19 @@
 	}
 	report.Requests = len(c.results)
 	for _, result := range c.results {
-		if result.Status == 200 && result.Whole {
+		if result.Status == 200 && result.Complete {
 			report.Served++
 		}
 	}
 	report.Breaches = append(check(c.results, ran), cutByStop(c.results, steps, ran)...)
 	report.Breaches = append(report.Breaches, overAllowance(c.results, ran)...)
-	given := &signals{start: c.start, steps: steps, results: map[string]*Result{}}
+	checker := &signalChecker{start: c.start, steps: steps, results: map[string]*Result{}}
 	for i := range c.results {
-		given.results[c.results[i].ID] = &c.results[i]
+		checker.results[c.results[i].ID] = &c.results[i]
 	}
 	for _, u := range w.upstreams {
-		report.Breaches = append(report.Breaches, misnamed(c.results, u.Requests())...)
-		report.Breaches = append(report.Breaches, given.check(u.ID, u.Requests())...)
+		report.Breaches = append(report.Breaches, misattributed(c.results, u.Requests())...)
+		report.Breaches = append(report.Breaches, checker.check(u.ID, u.Requests())...)
 	}
 	var err error
 	report.Panics, err = panics(r.Dir)
@@ -106,12 +110,12 @@
 	return b.String()
 }
 
-// play has the steps happen in their time and returns when all have ended.
-func (w *world) play(start time.Time, steps []Step) {
+// runSteps starts and ends the steps at their times. It returns when all have ended.
+func (w *testbed) runSteps(start time.Time, steps []Step) {
 	var lasting sync.WaitGroup
 	for _, s := range steps {
 		time.Sleep(time.Until(start.Add(s.Begin)))
-		end := w.strike(s)
+		end := w.inject(s)
 		if end == nil {
 			continue
 		}
@@ -125,13 +129,13 @@
 	lasting.Wait()
 }
 
-// unserved returns the entries that do not serve each route of the newest table within the
-// recovery time.
+// unserved returns the indexes of the entries that don't serve all routes of the newest
+// table within the recovery time.
 func unserved(c *callers, seed uint64, newest string) []int {
 	var out []int
 	until := time.Now().Add(recovery)
-	probes := &callers{fronts: c.fronts, start: c.start}
-	for entry := range c.fronts {
+	probes := &callers{entryAddrs: c.entryAddrs, start: c.start}
+	for entry := range c.entryAddrs {
 		if !probes.served(entry, seed, newest, until) {
 			out = append(out, entry)
 		}
@@ -139,7 +143,7 @@
 	return out
 }
 
-// panics returns the logs that tell of a panic or a data race.
+// panics returns the log files that contain a panic or a data race.
 func panics(dir string) ([]string, error) {
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
--- a/io/soak/run_test.go
+++ b/io/soak/run_test.go
@@ -12,7 +12,7 @@
 	"radishwell/io/soak"
 )
 
-// TestMain runs the tests, or, where a soak starts this binary, the program itself.
+// TestMain runs the tests, or the program itself if a soak run started this binary.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && (os.Args[1] == "entry" || os.Args[1] == "agent") {
 		os.Exit(hosted.Radishwell(os.Args[1:], os.Stdout, os.Stderr))
@@ -20,14 +20,14 @@
 	os.Exit(m.Run())
 }
 
-// Short runs with fixed seeds, and those that ever failed.
+// TestSoak runs short soak tests with fixed seeds, among them all that ever failed.
 func TestSoak(t *testing.T) {
 	self, err := os.Executable()
 	assert.NilError(t, err)
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			run := &soak.Run{Seed: seed, Length: 6 * time.Second, Program: []string{self}, Dir: t.TempDir()}
-			report, err := run.Play()
+			report, err := run.Execute()
 			assert.NilError(t, err)
 			for _, b := range report.Breaches {
 				t.Error(b)
--- a/io/soak/signal.go
+++ b/io/soak/signal.go
@@ -10,63 +10,68 @@
 )
 
 const (
-	// leaveTime is how long after an entry was told that an upstream leaves its callers'
-	// new requests may still reach it.
-	leaveTime = 2 * time.Second
-	// hearTime is how long after an answer what it says may not yet count.
-	hearTime = 500 * time.Millisecond
-	// mostInBackoff is how many requests may reach an upstream that wants none.
-	mostInBackoff = 2
-	// paceWindow is the time over which the requests to an upstream that names a rate are
-	// counted; paceRatio of that rate and paceSlack besides may reach it.
+	// leaveGrace is how long new requests may still reach a leaving upstream after the
+	// entry has learnt that it leaves.
+	leaveGrace = 2 * time.Second
+	// signalDelay is the time after an answer within which its signals needn't be obeyed yet.
+	signalDelay = 500 * time.Millisecond
+	// maxInBackoff is the number of requests that may reach an upstream while it wants
+	// none.
+	maxInBackoff = 2
+	// paceWindow is the time over which the requests to an upstream with a rate limit are
+	// counted. Up to paceRatio times the limit plus paceSlack requests may reach it.
 	paceWindow = 4 * time.Second
 	paceRatio  = 1.5
 	paceSlack  = 5
 )
 
-// arrival is a request as an upstream and its caller saw it, by the time of the run.
+// arrival is a request that reached an upstream, with its result for the caller.
 type arrival struct {
 	*stand.Seen
 	result *Result
-	at     time.Duration
-	// told is when the entry surely knew what the answer says of the upstream; negative
-	// where that is not sure.
-	told time.Duration
+	// at is the time from the start of the run at which the upstream received the request.
+	at time.Duration
+	// knownAt is the time at which the entry certainly knew the signals of the answer. It
+	// is negative if the entry may not have received the answer.
+	knownAt time.Duration
 }
 
-// signals holds what upstreams said of themselves against what they got afterwards.
-type signals struct {
+// signalChecker compares the signals that upstreams sent in their answers with the
+// requests that reached them afterwards.
+type signalChecker struct {
 	start   time.Time
 	results map[string]*Result
 	steps   []Step
 }
 
-// check finds the requests that one upstream got against its signals.
-func (w *signals) check(upstream string, seen []stand.Seen) []Breach {
-	lives := map[int64][]*arrival{}
+// check returns the violations of the signals of one upstream by requests that it
+// received.
+func (w *signalChecker) check(upstream string, seen []stand.Seen) []Breach {
+	incarnations := map[int64][]*arrival{}
 	for i := range seen {
 		s := &seen[i]
 		id, _, _ := plat.Origin(s.Header)
 		if r := w.results[string(id)]; r != nil {
-			lives[s.Born] = append(lives[s.Born], w.arrival(upstream, s, r))
+			incarnations[s.Born] = append(incarnations[s.Born], w.arrival(upstream, s, r))
 		}
 	}
 	var out []Breach
-	for _, life := range lives {
-		slices.SortFunc(life, func(a, b *arrival) int { return cmp.Compare(a.at, b.at) })
-		out = append(out, w.leaving(life)...)
-		out = append(out, w.inBackoff(life)...)
-		for _, span := range limitedSpans(life) {
+	for _, incarnation := range incarnations {
+		slices.SortFunc(incarnation, func(a, b *arrival) int { return cmp.Compare(a.at, b.at) })
+		out = append(out, w.leaving(incarnation)...)
+		out = append(out, w.inBackoff(incarnation)...)
+		for _, span := range limitedSpans(incarnation) {
 			out = append(out, w.limited(span)...)
 		}
 	}
 	return out
 }
 
-// limitedSpans returns the arrivals of each time in which an upstream names a rate.
-func limitedSpans(life []*arrival) (out [][]*arrival) {
+// limitedSpans returns, for each period in which an upstream signals a rate limit, the
+// arrivals in it.
+func limitedSpans(incarnation []*arrival) (out [][]*arrival) {
 	open := false
-	for _, a := range life {
+	for _, a := range incarnation {
 		switch {
 		case a.Signals.Limit == nil:
 			open = false
@@ -79,69 +84,70 @@
 	return out
 }
 
-func (w *signals) arrival(upstream string, s *stand.Seen, r *Result) *arrival {
-	a := &arrival{Seen: s, result: r, at: s.At.Sub(w.start), told: -1}
-	if r.Status == 200 && r.Whole && r.Signer == "signed-by-"+upstream {
-		a.told = r.Ended
+func (w *signalChecker) arrival(upstream string, s *stand.Seen, r *Result) *arrival {
+	a := &arrival{Seen: s, result: r, at: s.At.Sub(w.start), knownAt: -1}
+	if r.Status == 200 && r.Complete && r.Signer == "signed-by-"+upstream {
+		a.knownAt = r.Ended
 	}
 	return a
 }
 
-// leaving finds requests to an upstream that had said it leaves.
-func (w *signals) leaving(life []*arrival) (out []Breach) {
-	told := w.tellings(life, func(s stand.Signals) bool { return s.Leaving })
-	for _, a := range life {
-		at, ok := told[a.result.Entry]
-		if ok && a.result.Began > at+leaveTime && !w.excused(a.result.Entry, at, a.at) {
+// leaving finds requests to an upstream that had signalled that it leaves.
+func (w *signalChecker) leaving(incarnation []*arrival) (out []Breach) {
+	knownAt := w.firstKnown(incarnation, func(s stand.Signals) bool { return s.Leaving })
+	for _, a := range incarnation {
+		at, ok := knownAt[a.result.Entry]
+		if ok && a.result.Began > at+leaveGrace && !w.excused(a.result.Entry, at, a.at) {
 			out = append(out, Breach{Promise: "an upstream that leaves gets no new requests", Result: *a.result})
 		}
 	}
 	return out
 }
 
-// tellings returns when each entry first surely knew a signal.
-func (w *signals) tellings(life []*arrival, says func(stand.Signals) bool) map[int]time.Duration {
-	told := map[int]time.Duration{}
-	for _, a := range life {
-		if a.told < 0 || !says(a.Signals) {
+// firstKnown returns the time at which each entry first certainly knew a signal for
+// which match returns true.
+func (w *signalChecker) firstKnown(incarnation []*arrival, match func(stand.Signals) bool) map[int]time.Duration {
+	knownAt := map[int]time.Duration{}
+	for _, a := range incarnation {
+		if a.knownAt < 0 || !match(a.Signals) {
 			continue
 		}
-		if at, ok := told[a.result.Entry]; !ok || a.told < at {
-			told[a.result.Entry] = a.told
+		if at, ok := knownAt[a.result.Entry]; !ok || a.knownAt < at {
+			knownAt[a.result.Entry] = a.knownAt
 		}
 	}
-	return told
+	return knownAt
 }
 
-// inBackoff finds requests to an upstream that had turned one of the entry's away and said
-// for how long it wants no other.
-func (w *signals) inBackoff(life []*arrival) (out []Breach) {
-	for _, first := range life {
-		if first.Signals.RetryAt.IsZero() || w.disturbed(first.at, first.at+hearTime) {
+// inBackoff finds requests from an entry to an upstream that had shed one of its
+// requests and signalled until when it wants no more.
+func (w *signalChecker) inBackoff(incarnation []*arrival) (out []Breach) {
+	for _, first := range incarnation {
+		if first.Signals.RetryAt.IsZero() || w.disturbed(first.at, first.at+signalDelay) {
 			continue
 		}
-		entry, from, till := first.result.Entry, first.at+hearTime, first.Signals.RetryAt.Sub(w.start)
+		entry, from, till := first.result.Entry, first.at+signalDelay, first.Signals.RetryAt.Sub(w.start)
 		n := 0
-		for _, a := range life {
+		for _, a := range incarnation {
 			if a.result.Entry == entry && a.at >= from && a.at < till && !w.excused(entry, first.at, a.at) {
 				n++
 			}
 		}
-		if n > mostInBackoff {
+		if n > maxInBackoff {
 			out = append(out, Breach{Promise: "an upstream that wants no requests for a time gets none", Result: *first.result, Ran: n})
 		}
 	}
 	return out
 }
 
-// limited finds a window in which an upstream got more than the rate that it names, from
-// entries that knew it.
-func (w *signals) limited(span []*arrival) []Breach {
-	told := w.tellings(span, func(s stand.Signals) bool { return s.Limit != nil })
+// limited finds a window in which an upstream received more than its rate limit from
+// entries that knew the limit.
+func (w *signalChecker) limited(span []*arrival) []Breach {
+	knownAt := w.firstKnown(span, func(s stand.Signals) bool { return s.Limit != nil })
 	var sent []*arrival
 	for _, a := range span {
-		at, ok := told[a.result.Entry]
-		if ok && a.at >= at+hearTime && !w.excused(a.result.Entry, at, a.at) {
+		at, ok := knownAt[a.result.Entry]
+		if ok && a.at >= at+signalDelay && !w.excused(a.result.Entry, at, a.at) {
 			sent = append(sent, a)
 		}
 	}
@@ -161,26 +167,26 @@
 	return nil
 }
 
-// excused tells whether an entry may have forgotten what it was told, or could not act on
-// it: it was restarted or stood still.
-func (w *signals) excused(entry int, from, to time.Duration) bool {
+// excused reports whether an entry may have lost a signal or been unable to act on it
+// in a span of time, because it was restarted or paused.
+func (w *signalChecker) excused(entry int, from, to time.Duration) bool {
 	return slices.ContainsFunc(w.steps, func(s Step) bool {
 		switch s.Kind {
 		case KillEntry, StopEntry, PauseEntry:
-			return s.Target%entries == entry && s.Begin < to && s.End+calm > from
+			return s.Target%entries == entry && s.Begin < to && s.End+settleTime > from
 		case KillAll:
-			return s.Begin < to && s.End+calm > from
+			return s.Begin < to && s.End+settleTime > from
 		}
 		return false
 	})
 }
 
-// disturbed tells whether answers of upstreams may have been lost in a span of time.
-func (w *signals) disturbed(from, to time.Duration) bool {
+// disturbed reports whether answers of upstreams may have been lost in a span of time.
+func (w *signalChecker) disturbed(from, to time.Duration) bool {
 	return slices.ContainsFunc(w.steps, func(s Step) bool {
 		switch s.Kind {
 		case CutUpstream, DelayUpstream, ResetAll, HushAll, RestartUpstream, LeaveUpstream:
-			return s.Begin < to && s.End+hearTime > from
+			return s.Begin < to && s.End+signalDelay > from
 		}
 		return false
 	})
--- a/io/soak/signal_test.go
+++ b/io/soak/signal_test.go
@@ -11,60 +11,61 @@
 	"radishwell/platform/stand"
 )
 
-// heard is a run in which one upstream was sent requests.
-type heard struct {
-	signals
+// scenario is a run in which requests were sent to one upstream.
+type scenario struct {
+	signalChecker
 	seen []stand.Seen
 }
 
-func newHeard(steps ...Step) *heard {
-	return &heard{signals: signals{start: time.Unix(1000, 0), results: map[string]*Result{}, steps: steps}}
+func newScenario(steps ...Step) *scenario {
+	return &scenario{signalChecker: signalChecker{start: time.Unix(1000, 0), results: map[string]*Result{}, steps: steps}}
 }
 
-// add has a request that its caller sent at a time come from an entry, and be answered.
-func (h *heard) add(entry int, at time.Duration, given stand.Signals) {
+// add adds a request that a caller sent through an entry at a time, and its answer with
+// the given signals.
+func (h *scenario) add(entry int, at time.Duration, given stand.Signals) {
 	id := fmt.Sprint(len(h.seen))
 	h.results[id] = &Result{
-		ID: id, Entry: entry, Began: at, Ended: at + 10*time.Millisecond, Status: 200, Whole: true, Signer: "signed-by-i-1",
+		ID: id, Entry: entry, Began: at, Ended: at + 10*time.Millisecond, Status: 200, Complete: true, Signer: "signed-by-i-1",
 	}
 	h.seen = append(h.seen, stand.Seen{Header: http.Header{"X-Radishwell-Request-Id": {id}}, At: h.start.Add(at), Signals: given})
 }
 
-func (h *heard) breaches() int { return len(h.check("i-1", h.seen)) }
+func (h *scenario) breaches() int { return len(h.check("i-1", h.seen)) }
 
-// Each promise is shown to be broken by what breaks it, and by nothing else.
+// Each promise is violated by requests that break it and by no others.
 func TestSignals(t *testing.T) {
 	leaves := stand.Signals{Leaving: true}
 	one := 1.0
 	limited := stand.Signals{Limit: &one}
 	for name, c := range map[string]struct {
-		play   func(h *heard)
+		build  func(h *scenario)
 		broken int
 	}{
-		"a new request after it was told": {func(h *heard) {
+		"a new request after it was told": {func(h *scenario) {
 			h.add(0, time.Second, leaves)
 			h.add(0, 3500*time.Millisecond, leaves)
 		}, 1},
-		"one soon after": {func(h *heard) {
+		"one soon after": {func(h *scenario) {
 			h.add(0, time.Second, leaves)
 			h.add(0, 2500*time.Millisecond, leaves)
 		}, 0},
-		"one of an entry that was not told": {func(h *heard) {
+		"one of an entry that was not told": {func(h *scenario) {
 			h.add(0, time.Second, leaves)
 			h.add(1, 3500*time.Millisecond, leaves)
 		}, 0},
-		"one of an entry that has started again": {func(h *heard) {
+		"one of an entry that has started again": {func(h *scenario) {
 			h.steps = []Step{{Kind: KillEntry, Target: 0, Begin: 2 * time.Second, End: 2 * time.Second}}
 			h.add(0, time.Second, leaves)
 			h.add(0, 3500*time.Millisecond, leaves)
 		}, 0},
-		"three that were not wanted": {func(h *heard) {
+		"three that were not wanted": {func(h *scenario) {
 			h.add(0, time.Second, stand.Signals{RetryAt: h.start.Add(4 * time.Second)})
 			for i := range 3 {
 				h.add(0, time.Duration(1600+i)*time.Millisecond, stand.Signals{})
 			}
 		}, 1},
-		"two that were not, and others after the time or of another entry": {func(h *heard) {
+		"two that were not, and others after the time or of another entry": {func(h *scenario) {
 			h.add(0, time.Second, stand.Signals{RetryAt: h.start.Add(4 * time.Second)})
 			for i := range 2 {
 				h.add(0, time.Duration(1600+i)*time.Millisecond, stand.Signals{})
@@ -72,21 +73,21 @@
 				h.add(1, time.Duration(1600+i)*time.Millisecond, stand.Signals{})
 			}
 		}, 0},
-		"more than the rate over two entries": {func(h *heard) {
+		"more than the rate over two entries": {func(h *scenario) {
 			h.add(0, time.Second, limited)
 			h.add(1, time.Second, limited)
 			for i := range 12 {
 				h.add(i%2, time.Duration(2000+300*i)*time.Millisecond, limited)
 			}
 		}, 1},
-		"as much over a longer time": {func(h *heard) {
+		"as much over a longer time": {func(h *scenario) {
 			h.add(0, time.Second, limited)
 			h.add(1, time.Second, limited)
 			for i := range 12 {
 				h.add(i%2, time.Duration(2000+400*i)*time.Millisecond, limited)
 			}
 		}, 0},
-		"as much of which half came before it was named again": {func(h *heard) {
+		"as much of which half came before it was named again": {func(h *scenario) {
 			h.add(0, time.Second, limited)
 			for i := range 12 {
 				given := limited
@@ -98,8 +99,8 @@
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHeard()
-			c.play(h)
+			h := newScenario()
+			c.build(h)
 			assert.Equal(t, h.breaches(), c.broken)
 		})
 	}
--- a/io/soak/world.go
+++ b/io/soak/testbed.go
@@ -19,68 +19,77 @@
 )
 
 const (
-	// entries, engines and services are the hosts of a world. Two entries and three
-	// upstreams of each kind are the fewest where any one may be lost.
+	// entries, engines and services are the numbers of hosts of a run. They are small,
+	// but leave other hosts of each kind if any one is lost.
 	entries  = 2
 	engines  = 3
 	services = 2
-	// entryHost numbers the address at which entries listen; upstreams have the first ones.
+	// entryHost is the number of the loopback address at which entries listen. Upstreams
+	// use the addresses from 1.
 	entryHost = 200
-	// streamEvents and eventGap make a stream last about as long as most faults.
+	// streamEvents and eventGap determine the length of a stream, which is about that of
+	// most faults.
 	streamEvents = 12
 	eventGap     = 40 * time.Millisecond
-	// limitedRate is the requests a second that one of the customers may send: fewer than
-	// it does.
+	// limitedRate is the rate limit of one of the customers, in requests per second. It
+	// is below the rate at which its callers send.
 	limitedRate = 4
-	// moreRoutes is how many routes a large table has beside those that callers use.
-	moreRoutes = 1400
-	// loadTime is how long an engine takes to load a model.
+	// extraRoutes is the number of routes that a large table has in addition to those that
+	// callers use.
+	extraRoutes = 1400
+	// loadTime is the time that an engine takes to load a model.
 	loadTime = 200 * time.Millisecond
 )
 
-// upstream is a stand-in of an upstream host with the links to it.
+// upstream is a stand-in of an upstream host, with the relays in front of it.
 type upstream struct {
 	*stand.Worker
 
 	ip string
-	// at is where the host itself listens; the registry names the link's address.
+	// at is the address at which the host itself listens. The registry has the address
+	// of link instead.
 	at   netip.AddrPort
 	link *midbox.Box
+	// born is the start of the current incarnation, as in the registry.
 	born int64
-	// agentLink is where entries find the agent, nil for a plain service.
+	// agentLink is the relay through which entries reach the agent. It is nil for a plain
+	// service.
 	agentLink *midbox.Box
 }
 
-// world is all parts of a run: the store, upstreams, entries and agents.
-type world struct {
+// testbed holds all parts of a run: the store, upstreams, entries and agents.
+type testbed struct {
 	dir     string
 	program []string
-	// mostDirect is how many agents each entry follows itself.
-	mostDirect int
-	store      *stand.Store
-	storeAt    netip.AddrPort
+	// maxDirect is the number of agents that each entry follows itself.
+	maxDirect int
+	store     *stand.Store
+	storeAt   netip.AddrPort
 
 	upstreams []*upstream
 	entries   []*Proc
 	agents    []*Proc
-	// storeLinks are the links of the processes to the store, entries first.
+	// storeLinks holds the relays of the processes to the store, in the order in which
+	// the processes were started.
 	storeLinks []*midbox.Box
-	fronts     []netip.AddrPort
+	// entryAddrs holds the addresses of the entries for callers.
+	entryAddrs []netip.AddrPort
 
 	mu      sync.Mutex
 	version int
-	// more is how many routes the table has beside those that callers use.
-	more    int
+	// extra is the number of routes of the table in addition to those that callers use.
+	extra   int
 	closers []func()
 }
 
-func (w *world) close() {
+// close stops all parts, in the reverse order of their start.
+func (w *testbed) close() {
 	for i := len(w.closers) - 1; i >= 0; i-- {
 		w.closers[i]()
 	}
 }
 
-func (w *world) serve(on string, h http.Handler) (netip.AddrPort, error) {
+func (w *testbed) serve(on string, h http.Handler) (netip.AddrPort, error) {
 	lis, err := net.Listen("tcp", on)
 	if err != nil {
 		return netip.AddrPort{}, &StartError{What: "a stand-in on " + on, Cause: err}
@@ -91,8 +100,8 @@
 	return lis.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// newLink starts the relay between two processes.
-func (w *world) newLink(on, to netip.AddrPort) (*midbox.Box, error) {
+// newLink starts a relay between two processes.
+func (w *testbed) newLink(on, to netip.AddrPort) (*midbox.Box, error) {
 	l, err := midbox.NewOn(on, to)
 	if err != nil {
 		return nil, &StartError{What: "a link on " + on.String(), Cause: err}
@@ -101,8 +110,8 @@
 	return l, nil
 }
 
-// build starts everything.
-func (w *world) build() error {
+// build starts all parts.
+func (w *testbed) build() error {
 	var err error
 	w.store = &stand.Store{}
 	if w.storeAt, err = w.serve("127.0.0.1:0", w.store); err != nil {
@@ -113,7 +122,7 @@
 		return &StartError{What: "the world", Cause: err}
 	}
 	agent := agentPorts{link: free[0].Port(), own: free[1].Port(), operators: free[2].Port()}
-	w.newTable()
+	w.writeTable()
 	for i := range engines + services {
 		if err := w.addUpstream(i, agent); err != nil {
 			return err
@@ -131,37 +140,37 @@
 	return nil
 }
 
-// newestPath is a path of a route that only the newest table has.
-func (w *world) newestPath() string {
+// newestPath returns a path of a route that only the newest table has.
+func (w *testbed) newestPath() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return fmt.Sprintf("/version-%d/x", w.version)
 }
 
-// resizeTable writes the next version of the routing table, a large one after a small one
-// and the other way round.
-func (w *world) resizeTable() {
+// resizeTable writes the next version of the routing table. It alternates between a
+// large and a small table.
+func (w *testbed) resizeTable() {
 	w.mu.Lock()
-	w.more = moreRoutes - w.more
+	w.extra = extraRoutes - w.extra
 	w.mu.Unlock()
-	w.newTable()
+	w.writeTable()
 }
 
-// newTable writes the next version of the routing table.
-func (w *world) newTable() {
+// writeTable writes the next version of the routing table.
+func (w *testbed) writeTable() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
-	route := func(name, kind, service string, attempts int, more string) string {
+	route := func(name, kind, service string, attempts int, extra string) string {
 		return fmt.Sprintf(`{"name":%q,"host":"a.example","path_prefix":"/%s/","route_kind":%q,"timeout_ms":4000,"target_latency_ms":800,"gap_aim_ms":600,"service":%q,"max_attempts":%d%s}`,
-			name, name, kind, service, attempts, more)
+			name, name, kind, service, attempts, extra)
 	}
 	routes := []string{
 		route("once", "non_idempotent", "plain", 1, ""), route("again", "idempotent", "plain", 2, ""),
 		route("stream", "streaming", "llm", 1, ""), route("resumed", "streaming", "llm", 2, `,"resumable":true`),
 		route(fmt.Sprintf("version-%d", w.version), "idempotent", "plain", 2, ""),
 	}
-	for i := range w.more {
+	for i := range w.extra {
 		routes = append(routes, route(fmt.Sprintf("more-%d-%x", i, rand.Uint64()), "idempotent", "plain", 2, ""))
 	}
 	w.store.Put("config", "main", fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"plain"},{"name":"llm","engine":{"slots":64,"weights_mb":200,"adapter_slots":2,"loads_per_s":20,
@@ -170,11 +179,12 @@
 		w.version, strings.Join(routes, ","), limitedRate, limitedRate))
 }
 
-// agentPorts are the same on all hosts: where entries find the agent, where it
-// listens itself, and where operators find it.
+// agentPorts holds the ports of an agent, which are the same on all hosts: that of the
+// relay through which entries reach it, that at which it listens itself, and that for
+// operators.
 type agentPorts struct{ link, own, operators uint16 }
 
-func (w *world) addUpstream(i int, agent agentPorts) error {
+func (w *testbed) addUpstream(i int, agent agentPorts) error {
 	u := &upstream{Worker: &stand.Worker{ID: fmt.Sprintf("i-%d", i), LoadTime: loadTime, Plain: i >= engines}, ip: ports.Host(i + 1).String(), born: 1}
 	u.Restart(u.born)
 	if !u.Plain {
@@ -197,7 +207,7 @@
 	if u.agentLink, err = w.newLink(netip.AddrPortFrom(u.at.Addr(), agent.link), own); err != nil {
 		return err
 	}
-	store, err := w.storeLink()
+	store, err := w.newStoreLink()
 	if err != nil {
 		return err
 	}
@@ -210,8 +220,8 @@
 	return err
 }
 
-// register writes an upstream's entry of the registry.
-func (w *world) register(u *upstream) {
+// register writes the registry entry of an upstream.
+func (w *testbed) register(u *upstream) {
 	service := "llm"
 	if u.Plain {
 		service = "plain"
@@ -219,8 +229,8 @@
 	w.store.Put("servers", u.ID, fmt.Sprintf(`{"service":%q,"address":%q,"zone":"dc-1","slots":64,"state":"ready","sequence":0,"born":%d}`, service, u.link.At(), u.born))
 }
 
-func (w *world) addEntry(i int, at []netip.AddrPort, agentPort uint16, seeds []string) error {
-	store, err := w.storeLink()
+func (w *testbed) addEntry(i int, at []netip.AddrPort, agentPort uint16, seeds []string) error {
+	store, err := w.newStoreLink()
 	if err != nil {
 		return err
 	}
@@ -228,14 +238,14 @@
 		"listen":   map[string]string{"control": at[0].String(), "callers": at[1].String(), "operators": at[2].String()},
 		"platform": map[string]any{"urls": []string{"http://" + store.String()}},
 		"peers":    seeds,
-		"managed":  map[string]any{"enabled": true, "plain-peers": true, "readiness": at[3].String(), "agent-port": agentPort, "stop-grace": "3s", "direct-agents": w.mostDirect, "quota-ratio": 0, "quota-slack": limitedSlack},
+		"managed":  map[string]any{"enabled": true, "plain-peers": true, "readiness": at[3].String(), "agent-port": agentPort, "stop-grace": "3s", "direct-agents": w.maxDirect, "quota-ratio": 0, "quota-slack": limitedSlack},
 	})
 	w.entries = append(w.entries, p)
-	w.fronts = append(w.fronts, at[1])
+	w.entryAddrs = append(w.entryAddrs, at[1])
 	return err
 }
 
-func (w *world) storeLink() (netip.AddrPort, error) {
+func (w *testbed) newStoreLink() (netip.AddrPort, error) {
 	l, err := w.newLink(netip.AddrPortFrom(w.storeAt.Addr(), 0), w.storeAt)
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -244,10 +254,11 @@
 	return l.At(), nil
 }
 
-// settings are a process's, as in its file; JSON is YAML too.
+// settings holds the settings of a process. They are written as JSON, which is valid
+// YAML.
 type settings map[string]any
 
-func (w *world) start(role, name string, s settings) (*Proc, error) {
+func (w *testbed) start(role, name string, s settings) (*Proc, error) {
 	s["role"], s["name"], s["data-centre"] = role, name, "dc-1"
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
