--- a/io/fakes/apisrv/doc.go
+++ b/io/fakes/apisrv/doc.go
@@ -1,8 +1,8 @@
-// Package apisrv is a stand-in of the platform's object API for tests and
-// local fleets. It follows the Kubernetes resource conventions as JSON over
-// HTTP: list, get, create, conditional update, status subresource, delete with
-// preconditions, and watch with bookmarks and "gone".
+// Package apisrv is a stand-in for the object API of the platform, for tests and local
+// fleets. It follows the resource conventions of Kubernetes as JSON over HTTP: list, get,
+// create, conditional update, status subresource, delete with preconditions, and watch
+// with bookmarks and the status "gone".
 //
-// Its faults are switched over HTTP while it runs (GET and PUT /faults), and it
-// counts the calls it gets by verb (GET /calls).
+// Its faults can be read and set over HTTP while it runs (GET and PUT /faults). It counts
+// calls by verb (GET /calls).
 package apisrv
--- a/io/fakes/apisrv/faults.go
+++ b/io/fakes/apisrv/faults.go
@@ -11,23 +11,23 @@
 	"radishwell/io/fakes/httpd"
 )
 
-// Outage is a way of being down.
+// Outage is a kind of outage.
 type Outage string
 
-// Outages.
+// Kinds of outages.
 const (
 	// Up: calls are served.
 	Up Outage = ""
-	// Refusing: connections are refused where the server has a control address
-	// of its own, and reset where it has not.
+	// Refusing: connections are refused if the server has a control address, otherwise
+	// reset.
 	Refusing Outage = "refuse"
-	// Failing: every call is answered 503.
+	// Failing: each call is answered with status 503.
 	Failing Outage = "unavailable"
-	// Hanging: calls are accepted and never answered.
+	// Hanging: calls are accepted but never answered.
 	Hanging Outage = "hang"
 )
 
-// Span is a length of time, written as in "250ms".
+// Span is a duration, written as text in the form "250ms".
 type Span time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -41,40 +41,41 @@
 	return err
 }
 
-// Faults is the state of the switches, as read and written at /faults. A PUT
-// changes only the keys it names.
+// Faults holds the faults of the stand-in, as read and written at /faults. A PUT changes
+// only the keys in its body.
 type Faults struct {
 	Down Outage `json:"down"`
-	// Delay is added before each call takes effect.
+	// Delay is the time that passes before each call takes effect.
 	Delay Span `json:"delay"`
-	// StallWatches stops all watches, bookmarks included, and keeps their
+	// StallWatches stops the events of all watches, including bookmarks, and keeps their
 	// connections open.
 	StallWatches bool `json:"stall-watches"`
-	// LoseAnswers is how many writes to come take effect without an answer;
-	// a negative number means all.
+	// LoseAnswers is the number of further writes that take effect without an answer. A
+	// negative number means all.
 	LoseAnswers int `json:"lose-answers"`
-	// Compact drops the whole history at once; it reads as false.
+	// Compact drops the whole history once. It always reads as false.
 	Compact bool `json:"compact"`
-	// HostLag is how far reads of the kind "hosts" lag behind.
+	// HostLag is the time by which reads of the kind "hosts" lag behind writes.
 	HostLag Span `json:"host-lag"`
 }
 
-// switches guards the faults and the counts of calls.
+// switches holds the current faults and the counts of calls.
 type switches struct {
 	mu     sync.Mutex
 	faults Faults
 	calls  map[string]int
-	// changed is closed and replaced when faults are set.
+	// changed is closed and replaced when the faults change.
 	changed chan struct{}
 }
 
-func (w *switches) now() (Faults, <-chan struct{}) {
+func (w *switches) current() (Faults, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults, w.changed
 }
 
-// edit changes the faults in place; a failed edit changes nothing.
+// edit applies change to the faults and returns the result. If change fails, the faults
+// stay as they are.
 func (w *switches) edit(change func(*Faults) error) (Faults, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,7 +89,7 @@
 	return next, nil
 }
 
-// loseAnswer tells whether the answer to a write is to be lost.
+// loseAnswer reports whether the answer to a write has to be lost, and counts it.
 func (w *switches) loseAnswer() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,17 +112,17 @@
 	return maps.Clone(w.calls)
 }
 
-// SetFaults replaces the state of all switches.
+// SetFaults replaces all faults.
 func (s *Server) SetFaults(f Faults) {
 	s.init()
-	_, _ = s.edit(func(held *Faults) error {
-		*held = f
+	_, _ = s.edit(func(current *Faults) error {
+		*current = f
 		return nil
 	})
 }
 
 // Calls returns the number of calls so far by verb: list, get, create, update,
-// update-status, delete and watch. Calls during an outage count too.
+// update-status, delete and watch. Calls during an outage are included.
 func (s *Server) Calls() map[string]int {
 	s.init()
 	return s.switches.counts()
@@ -146,12 +147,12 @@
 	if compact {
 		s.store.compact(len(s.store.log))
 	}
-	s.store.wake()
+	s.store.notify()
 	return next, nil
 }
 
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
-	f, _ := s.switches.now()
+	f, _ := s.switches.current()
 	if r.Method == http.MethodPut {
 		next, err := s.edit(func(f *Faults) error {
 			dec := json.NewDecoder(r.Body)
@@ -171,7 +172,7 @@
 	httpd.WriteJSON(w, http.StatusOK, s.Calls())
 }
 
-// Objects returns the objects of a kind as committed, whatever reads see.
+// Objects returns the objects of a kind as committed, also if reads lag behind.
 func (s *Server) Objects(kind core.Kind) []core.Object {
 	s.init()
 	s.store.mu.Lock()
--- a/io/fakes/apisrv/handle.go
+++ b/io/fakes/apisrv/handle.go
@@ -12,7 +12,7 @@
 	"radishwell/io/fakes/httpd"
 )
 
-// maxBody is the largest value the platform holds.
+// maxBody is the maximum size of an object in bytes.
 const maxBody = 1 << 20
 
 type realClock struct{}
@@ -20,7 +20,8 @@
 // Now implements core.Clock.
 func (realClock) Now() time.Time { return time.Now() }
 
-// handle registers a verb behind the count of calls and the faults.
+// handle registers the handler of a verb. Calls are counted, and faults and authentication
+// are applied, before it runs.
 func (s *Server) handle(pattern, verb string, serve http.HandlerFunc) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		watch := verb == "list" && r.URL.Query().Get("watch") == "true"
@@ -44,12 +45,12 @@
 	})
 }
 
-// fail plays the faults that come before a call takes effect and tells whether
-// the call is over.
+// fail injects the faults that act before a call takes effect. It reports whether the
+// call has ended.
 func (s *Server) fail(w http.ResponseWriter, r *http.Request) bool {
-	f, _ := s.switches.now()
+	f, _ := s.switches.current()
 	if f.Delay > 0 || f.Down == Hanging {
-		holdBody(r)
+		bufferBody(r)
 	}
 	if f.Delay > 0 {
 		timer := time.NewTimer(time.Duration(f.Delay))
@@ -60,7 +61,7 @@
 		case <-timer.C:
 		}
 	}
-	f, _ = s.switches.now()
+	f, _ = s.switches.current()
 	switch f.Down {
 	case Refusing:
 		panic(http.ErrAbortHandler)
@@ -73,19 +74,18 @@
 	return false
 }
 
-// holdBody reads the whole body into memory. The server notices that a caller
-// has gone only after it has read the body; without this a call that waits on
-// a fault would keep its connection for ever.
-func holdBody(r *http.Request) {
+// bufferBody reads the whole body into memory. The HTTP server notices that a client has
+// disconnected only after the body has been read. Otherwise a call that waits because of a
+// fault would keep its connection forever.
+func bufferBody(r *http.Request) {
 	data, _ := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
 	r.Body = io.NopCloser(bytes.NewReader(data))
 }
 
-// hang blocks until the caller gives up or the fault is over, then drops the
-// connection.
+// hang waits until the client disconnects or the fault ends, then drops the connection.
 func (s *Server) hang(r *http.Request) {
 	for {
-		f, changed := s.switches.now()
+		f, changed := s.switches.current()
 		if f.Down != Hanging {
 			panic(http.ErrAbortHandler)
 		}
@@ -160,8 +160,8 @@
 	s.answerWrite(w, http.StatusOK, o, err)
 }
 
-// readObject reads and checks an object in a request's body. It answers the
-// call itself where the object is no good.
+// readObject decodes and checks the object in the body of a request. If it is invalid,
+// readObject answers the call and returns false.
 func readObject(w http.ResponseWriter, r *http.Request) (core.Object, bool) {
 	kind, name := pathOf(r)
 	var body objectJSON
@@ -194,8 +194,8 @@
 	}, true
 }
 
-// answerWrite is answer for verbs that change something; the answer is lost
-// where the fault says so.
+// answerWrite answers a call that changes an object, unless a fault requires that the
+// answer is lost.
 func (s *Server) answerWrite(w http.ResponseWriter, code int, o core.Object, err error) {
 	if err == nil && s.switches.loseAnswer() {
 		panic(http.ErrAbortHandler)
--- a/io/fakes/apisrv/run.go
+++ b/io/fakes/apisrv/run.go
@@ -6,9 +6,9 @@
 	"radishwell/io/fakes/httpd"
 )
 
-// Run serves until ctx ends; then it closes all connections and returns nil.
-// While connections are to be refused it keeps Listen closed, which takes a
-// valid Control to be switched back.
+// Run serves until ctx ends, then closes all connections and returns nil. While the fault
+// Refusing is set it doesn't listen on Listen. That needs a valid Control, over which the
+// fault can be removed.
 func (s *Server) Run(ctx context.Context) error {
 	s.init()
 	ctx, cancel := context.WithCancel(ctx)
@@ -30,10 +30,10 @@
 	return first
 }
 
-// runAPI serves the API whenever connections are not to be refused.
+// runAPI serves the API, except while connections have to be refused.
 func (s *Server) runAPI(ctx context.Context) error {
 	for ctx.Err() == nil {
-		f, changed := s.switches.now()
+		f, changed := s.switches.current()
 		if !s.refused(f) {
 			if err := httpd.Serve(ctx, s.Listen, s, s.untilRefused); err != nil {
 				return err
@@ -48,12 +48,13 @@
 	return nil
 }
 
+// refused reports whether connections have to be refused.
 func (s *Server) refused(f Faults) bool { return f.Down == Refusing && s.Control.IsValid() }
 
-// untilRefused returns when connections are to be refused or ctx ends.
+// untilRefused returns when connections have to be refused or ctx ends.
 func (s *Server) untilRefused(ctx context.Context) {
 	for ctx.Err() == nil {
-		f, changed := s.switches.now()
+		f, changed := s.switches.current()
 		if s.refused(f) {
 			return
 		}
--- a/io/fakes/apisrv/run_test.go
+++ b/io/fakes/apisrv/run_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// freePort returns an address that was free a moment ago.
+// freePort returns an address on which no process listens at present.
 func freePort(t *testing.T) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -22,9 +22,8 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// TestRunRefuses: with the platform down, connections to it are refused; the
-// operator of the stand-in switches it back over the control address, and
-// calls work again without a restart.
+// While the fault "refuse" is set, connections to the API are refused. Once the fault is
+// removed over the control address, calls work again without a restart.
 func TestRunRefuses(t *testing.T) {
 	srv := &Server{Listen: freePort(t), Control: freePort(t)}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -44,8 +43,8 @@
 	assert.NilError(t, <-ended)
 }
 
-// untilCall repeats a call until its result is as wanted; the test's own
-// deadline ends a wait in vain.
+// untilCall repeats a call until wanted accepts its error. Otherwise it runs into the
+// deadline of the test.
 func untilCall(t *testing.T, url string, wanted func(error) bool) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
--- a/io/fakes/apisrv/server.go
+++ b/io/fakes/apisrv/server.go
@@ -8,20 +8,21 @@
 	"radishwell/core"
 )
 
-// Server is the stand-in. Its exported fields are set before first use.
+// Server is the stand-in. The exported fields have to be set before first use.
 type Server struct {
-	// Listen is where Run serves the object API.
+	// Listen is the address at which Run serves the object API.
 	Listen netip.AddrPort
-	// Control is where Run serves /faults and /calls; where it is not valid
-	// they are served on Listen only.
+	// Control is a second address at which Run serves /faults and /calls. If it isn't
+	// valid, they are served on Listen only.
 	Control netip.AddrPort
-	// Seed holds the objects at start, which need kind, name and spec only.
+	// Seed holds the initial objects, of which only kind, name and spec are used.
 	Seed []core.Object
-	// History is how many events are kept for watches that resume.
+	// History is the number of events that are kept for watches that resume; zero or less
+	// means the default.
 	History int
-	// Token is the bearer token that callers of the API must show, if not empty.
+	// Token is the bearer token that clients of the API must send, unless it is empty.
 	Token string
-	// Clock is the time by which host lag is counted; the real one where nil.
+	// Clock measures the lag of hosts. If it is nil, the system clock is used.
 	Clock core.Clock
 
 	once     sync.Once
@@ -37,10 +38,10 @@
 	if s.Clock == nil {
 		s.Clock = realClock{}
 	}
-	s.store = makeStore(s.History)
+	s.store = newStore(s.History)
 	s.switches = &switches{calls: map[string]int{}, changed: make(chan struct{})}
 	for _, o := range s.Seed {
-		// A name that stands twice keeps its first object.
+		// The first object of a name wins.
 		_, _ = s.store.create(o, s.Clock.Now())
 	}
 	s.control = http.NewServeMux()
--- a/io/fakes/apisrv/server_test.go
+++ b/io/fakes/apisrv/server_test.go
@@ -20,7 +20,7 @@
 
 func (c *fakeClock) Now() time.Time { return c.at }
 
-// api drives a Server over HTTP.
+// api is an HTTP client of a Server.
 type api struct {
 	t   *testing.T
 	srv *Server
@@ -35,7 +35,7 @@
 	return &api{t: t, srv: srv, web: web}
 }
 
-// do sends a request, checks the status and decodes the answer.
+// do sends a request, checks the status and, if into isn't nil, decodes the answer.
 func (a *api) do(method, path, body string, status int, into any) {
 	a.t.Helper()
 	req, err := http.NewRequest(method, a.web.URL+path, strings.NewReader(body))
--- a/io/fakes/apisrv/store.go
+++ b/io/fakes/apisrv/store.go
@@ -8,10 +8,10 @@
 	"radishwell/core"
 )
 
-// defaultHistory is how many events are kept for watches that resume.
+// defaultHistory is the number of events that are kept for watches that resume.
 const defaultHistory = 10_000
 
-// event is one committed change; at is when it was committed.
+// event is a change that was committed at a time.
 type event struct {
 	object  core.Object
 	created bool
@@ -30,26 +30,27 @@
 	compacted core.Version
 	// changed is closed and replaced at every change.
 	changed chan struct{}
-	// hostLag delays reads of the kind "hosts"; shown is what they see.
-	hostLag time.Duration
-	shown   map[string]core.Object
-	// shownThrough is the version through which shown is complete.
-	shownThrough core.Version
+	// hostLag is the delay after which reads of the kind "hosts" see changes; visibleHosts
+	// holds the hosts that they see.
+	hostLag      time.Duration
+	visibleHosts map[string]core.Object
+	// visibleThrough is the version up to which visibleHosts is complete.
+	visibleThrough core.Version
 }
 
-func makeStore(history int) *store {
+func newStore(history int) *store {
 	if history <= 0 {
 		history = defaultHistory
 	}
 	return &store{
-		history: history,
-		objects: map[core.Kind]map[string]core.Object{},
-		changed: make(chan struct{}),
-		shown:   map[string]core.Object{},
+		history:      history,
+		objects:      map[core.Kind]map[string]core.Object{},
+		changed:      make(chan struct{}),
+		visibleHosts: map[string]core.Object{},
 	}
 }
 
-// commit gives o the next version and records the change. The caller holds mu.
+// commit assigns the next version to o and records the change. The caller must hold mu.
 func (s *store) commit(o core.Object, created bool, now time.Time) core.Object {
 	s.version++
 	o.Version = s.version
@@ -66,17 +67,17 @@
 	if len(s.log) > s.history {
 		s.compact(len(s.log) - s.history)
 	}
-	s.wake()
+	s.notify()
 	return o
 }
 
-// wake tells all waiting watches to look again. The caller holds mu.
-func (s *store) wake() {
+// notify wakes all waiting watches. The caller must hold mu.
+func (s *store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// compact drops the n oldest events. The caller holds mu.
+// compact drops the n oldest events. The caller must hold mu.
 func (s *store) compact(n int) {
 	for _, e := range s.log[:n] {
 		s.show(e)
@@ -85,56 +86,57 @@
 	s.log = append([]event(nil), s.log[n:]...)
 }
 
-// show makes a change of a host visible to reads. The caller holds mu.
+// show makes a change of a host visible to reads. The caller must hold mu.
 func (s *store) show(e event) {
-	if e.object.Version <= s.shownThrough {
+	if e.object.Version <= s.visibleThrough {
 		return
 	}
-	s.shownThrough = e.object.Version
+	s.visibleThrough = e.object.Version
 	if e.object.Kind != core.KindHost {
 		return
 	}
-	s.shown[e.object.Name] = e.object
+	s.visibleHosts[e.object.Name] = e.object
 	if e.object.Deleted {
-		delete(s.shown, e.object.Name)
+		delete(s.visibleHosts, e.object.Name)
 	}
 }
 
-// advance shows all changes that are older than the lag. The caller holds mu.
+// advance makes all changes visible that are older than hostLag. The caller must hold mu.
 func (s *store) advance(now time.Time) {
-	for _, e := range s.since(s.shownThrough) {
+	for _, e := range s.since(s.visibleThrough) {
 		if e.object.Kind == core.KindHost && e.at.Add(s.hostLag).After(now) {
 			return
 		}
 		s.show(e)
 	}
-	s.shownThrough = s.version
+	s.visibleThrough = s.version
 }
 
-// since returns the events after a version. The caller holds mu.
+// since returns the events after a version. The caller must hold mu.
 func (s *store) since(v core.Version) []event {
 	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].object.Version > v })
 	return s.log[i:]
 }
 
-// view returns the objects of a kind as reads see them, and their version. The
-// caller holds mu.
+// view returns the objects of a kind as reads see them, and their version. The caller
+// must hold mu.
 func (s *store) view(kind core.Kind, now time.Time) (map[string]core.Object, core.Version) {
 	if kind != core.KindHost {
 		return s.objects[kind], s.version
 	}
 	s.advance(now)
-	return s.shown, s.shownThrough
+	return s.visibleHosts, s.visibleThrough
 }
 
-// batch is what a watch has to send next.
+// batch holds the events that a watch has to send next.
 type batch struct {
-	events  []event
+	events []event
+	// through is the version up to which the watch is complete after this batch.
 	through core.Version
-	// gone tells that events after the watch's version have been dropped.
+	// gone is set if events after the version of the watch have been dropped.
 	gone bool
-	// changed is closed at the next change; due is when a lagging change can
-	// be seen, zero where there is none.
+	// changed is closed at the next change. due is the time at which the next change that
+	// lags behind becomes visible, or zero if there is none.
 	changed <-chan struct{}
 	due     time.Time
 }
--- a/io/fakes/apisrv/verbs.go
+++ b/io/fakes/apisrv/verbs.go
@@ -41,23 +41,23 @@
 	return s.commit(o, true, now), nil
 }
 
-// update replaces spec or, with status set, status. A zero version makes the
-// update unconditional, as operators' tools do.
+// update replaces the spec or, if status is set, the status of an object. A zero version
+// makes the update unconditional, as the tools of operators do.
 func (s *store) update(o core.Object, status bool, now time.Time) (core.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, err := s.held(o.Kind, o.Name, o.UID, o.Version)
+	stored, err := s.current(o.Kind, o.Name, o.UID, o.Version)
 	if err != nil {
 		return o, err
 	}
-	next := held
+	next := stored
 	if status {
 		next.Status = o.Status
 	} else {
 		next.Spec = o.Spec
 	}
-	if bytes.Equal(next.Spec, held.Spec) && bytes.Equal(next.Status, held.Status) {
-		return held, nil
+	if bytes.Equal(next.Spec, stored.Spec) && bytes.Equal(next.Status, stored.Status) {
+		return stored, nil
 	}
 	if !status {
 		next.Generation++
@@ -68,22 +68,23 @@
 func (s *store) remove(kind core.Kind, name, uid string, version core.Version, now time.Time) (core.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, err := s.held(kind, name, uid, version)
+	stored, err := s.current(kind, name, uid, version)
 	if err != nil {
-		return held, err
+		return stored, err
 	}
-	held.Deleted = true
-	return s.commit(held, false, now), nil
+	stored.Deleted = true
+	return s.commit(stored, false, now), nil
 }
 
-// held returns the object if it meets the preconditions. The caller holds mu.
-func (s *store) held(kind core.Kind, name, uid string, version core.Version) (core.Object, error) {
-	held, ok := s.objects[kind][name]
+// current returns the stored object if it meets the preconditions. The caller must hold
+// mu.
+func (s *store) current(kind core.Kind, name, uid string, version core.Version) (core.Object, error) {
+	stored, ok := s.objects[kind][name]
 	if !ok {
-		return held, &core.PlatformError{Fault: core.NotFound, Kind: kind, Name: name}
+		return stored, &core.PlatformError{Fault: core.NotFound, Kind: kind, Name: name}
 	}
-	if version != 0 && version != held.Version || uid != "" && uid != held.UID {
-		return held, &core.PlatformError{Fault: core.Conflict, Kind: kind, Name: name}
+	if version != 0 && version != stored.Version || uid != "" && uid != stored.UID {
+		return stored, &core.PlatformError{Fault: core.Conflict, Kind: kind, Name: name}
 	}
-	return held, nil
+	return stored, nil
 }
--- a/io/fakes/apisrv/watch.go
+++ b/io/fakes/apisrv/watch.go
@@ -8,8 +8,8 @@
 	"radishwell/core"
 )
 
-// bookmarkPeriod is how often a watch that asked for bookmarks gets one. It is
-// well below the silence after which clients redial.
+// bookmarkPeriod is the time between the bookmarks of a watch that requested them. It is
+// well below the silence timeout after which clients reconnect.
 const bookmarkPeriod = time.Second
 
 // watcher is one running watch.
@@ -44,23 +44,23 @@
 	s.runWatch(r, &run)
 }
 
-// runWatch sends changes and bookmarks until the caller is gone, the version
-// is too old or the server is down.
+// runWatch sends changes and bookmarks until the client disconnects, the version is too
+// old or the server is down.
 func (s *Server) runWatch(r *http.Request, run *watcher) {
 	tick := time.NewTicker(bookmarkPeriod)
 	defer tick.Stop()
-	marked := false
+	bookmarkDue := false
 	for {
-		f, switched := s.switches.now()
+		f, switched := s.switches.current()
 		if f.Down != Up && f.Down != Hanging {
 			panic(http.ErrAbortHandler)
 		}
 		stalled := f.StallWatches || f.Down == Hanging
 		b := s.store.after(run.kind, run.from, s.Clock.Now())
-		if !stalled && run.send(b, marked) != nil || b.gone && !stalled {
+		if !stalled && run.send(b, bookmarkDue) != nil || b.gone && !stalled {
 			return
 		}
-		marked = false
+		bookmarkDue = false
 		select {
 		case <-r.Context().Done():
 			return
@@ -68,12 +68,12 @@
 		case <-b.changed:
 		case <-wait(b.due, s.Clock.Now()):
 		case <-tick.C:
-			marked = true
+			bookmarkDue = true
 		}
 	}
 }
 
-// wait returns a channel that is ready at due, or never where due is zero.
+// wait returns a channel that is ready at due, or never if due is zero.
 func wait(due, now time.Time) <-chan time.Time {
 	if due.IsZero() {
 		return nil
@@ -81,10 +81,10 @@
 	return time.After(max(due.Sub(now), time.Millisecond))
 }
 
-// send writes a batch, and a bookmark where one is due.
+// send writes a batch, and a bookmark if mark is set and the client requested bookmarks.
 func (run *watcher) send(b batch, mark bool) error {
 	if b.gone {
-		gone := makeStatus(http.StatusGone, "Expired", "too old resource version")
+		gone := newStatus(http.StatusGone, "Expired", "too old resource version")
 		return run.write(eventJSON{Type: "ERROR", Object: gone})
 	}
 	for _, e := range b.events {
--- a/io/fakes/apisrv/wire.go
+++ b/io/fakes/apisrv/wire.go
@@ -13,8 +13,8 @@
 
 const apiVersion = "radishwell.example/v1"
 
-// The field names below are those of the Kubernetes conventions, which this
-// stand-in has to speak; they are not our own format.
+// The names of the fields below follow the conventions of Kubernetes, not those of this
+// project, because the platform uses them.
 
 type metaJSON struct {
 	Name            string `json:"name,omitempty"`
@@ -76,7 +76,7 @@
 
 func versionText(v core.Version) string { return strconv.FormatUint(uint64(v), 10) }
 
-// parseVersion reads a resource version; the empty text is zero.
+// parseVersion parses a resource version. The empty text stands for zero.
 func parseVersion(text string) (core.Version, error) {
 	if text == "" {
 		return 0, nil
@@ -85,7 +85,7 @@
 	return core.Version(n), err
 }
 
-func makeStatus(code int, reason, message string) statusJSON {
+func newStatus(code int, reason, message string) statusJSON {
 	return statusJSON{
 		APIVersion: "v1",
 		Kind:       "Status",
@@ -97,9 +97,10 @@
 }
 
 func writeStatus(w http.ResponseWriter, code int, reason, message string) {
-	httpd.WriteJSON(w, code, makeStatus(code, reason, message))
+	httpd.WriteJSON(w, code, newStatus(code, reason, message))
 }
 
+// sorted returns the objects in the order of their names.
 func sorted(byName map[string]core.Object) []core.Object {
 	objects := make([]core.Object, 0, len(byName))
 	for _, o := range byName {
--- a/io/fakes/httpd/httpd.go
+++ b/io/fakes/httpd/httpd.go
@@ -1,6 +1,6 @@
-// Package httpd runs the stand-ins' HTTP servers. At its end a server's
-// connections are closed under their requests, as those of a process that is
-// killed, so that no answer is cut off and looks whole.
+// Package httpd runs the HTTP servers of the stand-ins. When a server stops, it closes
+// its connections in the middle of their requests, as if the process were killed, so
+// that no truncated answer looks complete.
 package httpd
 
 import (
@@ -14,12 +14,12 @@
 	"github.com/samber/oops"
 )
 
-// readHeaderTimeout frees connections whose caller sends nothing.
+// readHeaderTimeout closes connections whose client sends nothing.
 const readHeaderTimeout = 10 * time.Second
 
-// Serve runs an HTTP server until ctx ends or until, if given, returns. Requests
-// don't get ctx: their handlers would return at its end, and half an answer would
-// look like a whole one.
+// Serve runs an HTTP server until ctx ends or, if until isn't nil, until returns.
+// Requests don't inherit ctx: their handlers would return when it ends, and a truncated
+// answer would look complete.
 func Serve(ctx context.Context, at netip.AddrPort, h http.Handler, until func(context.Context)) error {
 	l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
 	if err != nil {
--- a/io/fakes/httpd/serve.go
+++ b/io/fakes/httpd/serve.go
@@ -10,12 +10,12 @@
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error here is the client's going away; there is nobody left to tell.
+	// A write fails only if the client has disconnected, so the error is ignored.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// ServeFaults shows a stand-in's faults, which lie under mu, and replaces them
-// on a PUT.
+// ServeFaults answers with the faults of a stand-in. A PUT first replaces them by those
+// in its body. mu guards faults.
 func ServeFaults[F any](w http.ResponseWriter, r *http.Request, mu sync.Locker, faults *F) {
 	if r.Method == http.MethodPut {
 		var f F
--- a/io/fakes/llmsrv/doc.go
+++ b/io/fakes/llmsrv/doc.go
@@ -1,8 +1,8 @@
 // Package llmsrv is a stand-in for a model engine, for demos and tests.
 //
-// It speaks the OpenAI-style HTTP interface for work and takes orders beside
-// it: load, unload, cancel, resume at an offset, and a state report. Loads take
-// as long as its settings say for each tier of checkpoint; answers are made
-// from the prompt, so that a test can tell whose answer it got. Its faults are
-// switched over HTTP while it runs.
+// It serves completion requests in the format of the OpenAI API, and orders of the agent:
+// load, unload, cancel, resume at an offset, and a report of its state. The time of a load
+// depends on the tier that holds the checkpoint and is configurable. Answers repeat the
+// prompt, so that a test can check that an answer belongs to its request. Faults are set
+// over HTTP while the stand-in runs.
 package llmsrv
--- a/io/fakes/llmsrv/faults.go
+++ b/io/fakes/llmsrv/faults.go
@@ -8,30 +8,32 @@
 	"radishwell/io/fakes/httpd"
 )
 
-// Faults are what can be made to go wrong while the stand-in runs. The zero
-// value is a healthy engine.
+// Faults are the faults that can be set while the stand-in runs. The zero value describes
+// a healthy engine.
 type Faults struct {
-	// LoadFactor multiplies the time of loads; zero and one change nothing.
+	// LoadFactor multiplies the time of loads; zero means one.
 	LoadFactor float64 `json:"load-factor"`
-	// LoadFails makes loads end without the item.
+	// LoadFails makes loads fail after their time.
 	LoadFails bool `json:"load-fails"`
 	// UnloadHangs keeps items in the unloading state.
 	UnloadHangs bool `json:"unload-hangs"`
-	// TokenFactor multiplies the time between tokens.
+	// TokenFactor multiplies the time between tokens; zero means one.
 	TokenFactor float64 `json:"token-factor"`
-	// Silent makes connections that are streaming go silent: nothing more is
-	// written, and they stay open. New connections work.
+	// Silent makes connections with an answer in progress silent: they stay open, but
+	// nothing more is written. Connections that resume an answer work.
 	Silent bool `json:"silent"`
-	// EndsEarly makes connections that are answering end in good order midway, as
-	// a server does that is told to stop. New connections work.
+	// EndsEarly makes connections with an answer in progress end midway without an error,
+	// as those of a server that is stopped. Connections that resume an answer work.
 	EndsEarly bool `json:"ends-early"`
-	// OrderAnswersLost carries orders out and drops the connection.
+	// OrderAnswersLost makes the engine carry out orders and drop their connections
+	// without an answer.
 	OrderAnswersLost bool `json:"order-answers-lost"`
-	// CrashMark is a text; a prompt that holds it crashes the engine.
+	// CrashMark is a text. A request body that contains it crashes the engine.
 	CrashMark string `json:"crash-mark"`
-	// DownFor is how many milliseconds the engine is away after a crash.
+	// DownFor is the time for which the engine is down after a crash, in milliseconds;
+	// zero means the default.
 	DownFor int `json:"down-for"`
-	// IgnoreFence makes the engine obey orders with an old fencing number.
+	// IgnoreFence makes the engine carry out orders with an outdated fencing number.
 	IgnoreFence bool `json:"ignore-fence"`
 	// Down makes the engine drop every connection.
 	Down bool `json:"down"`
@@ -61,7 +63,7 @@
 	httpd.ServeFaults(w, r, &s.mu, &s.faults)
 }
 
-// drop ends the connection without an answer, as a dead process would.
+// drop closes the connection without an answer, as if the process had died.
 func drop(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/io/fakes/llmsrv/orders.go
+++ b/io/fakes/llmsrv/orders.go
@@ -13,7 +13,7 @@
 func (s *Server) serveLoad(w http.ResponseWriter, r *http.Request) {
 	var o core.LoadOrder
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
-		httpd.WriteJSON(w, http.StatusBadRequest, failure("order"))
+		httpd.WriteJSON(w, http.StatusBadRequest, errorDocument("order"))
 		return
 	}
 	s.answerOrder(w, s.load(o))
@@ -22,13 +22,14 @@
 func (s *Server) serveUnload(w http.ResponseWriter, r *http.Request) {
 	var o core.UnloadOrder
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
-		httpd.WriteJSON(w, http.StatusBadRequest, failure("order"))
+		httpd.WriteJSON(w, http.StatusBadRequest, errorDocument("order"))
 		return
 	}
 	s.answerOrder(w, s.unload(o))
 }
 
-// answerOrder sends an order's status unless the fault that loses it is on.
+// answerOrder writes the status of an order, or drops the connection if the fault
+// OrderAnswersLost is set.
 func (s *Server) answerOrder(w http.ResponseWriter, status int) {
 	s.mu.Lock()
 	lost := s.faults.OrderAnswersLost
@@ -40,8 +41,8 @@
 	w.WriteHeader(status)
 }
 
-// stale tells whether an order's fencing number is old, and remembers it if
-// not. The caller holds the lock.
+// stale reports whether the fencing number of an order is outdated. Otherwise it records
+// the number. The caller must hold mu.
 func (s *Server) stale(f core.Fence) bool {
 	if f < s.fence && !s.faults.IgnoreFence {
 		return true
@@ -63,7 +64,7 @@
 		return http.StatusAccepted
 	}
 	for _, a := range o.Accelerators {
-		if a < 0 || a >= len(s.Capacity) || s.held(a)+o.Bytes > s.Capacity[a] {
+		if a < 0 || a >= len(s.Capacity) || s.usedMemory(a)+o.Bytes > s.Capacity[a] {
 			return http.StatusInsufficientStorage
 		}
 	}
@@ -83,8 +84,9 @@
 	return s.LoadTimes[min(int(o.Source), len(s.LoadTimes)-1)]
 }
 
-// held returns what lies on an accelerator. The caller holds the lock.
-func (s *Server) held(accelerator int) core.Bytes {
+// usedMemory returns the memory of an accelerator that items occupy. The caller must hold
+// mu.
+func (s *Server) usedMemory(accelerator int) core.Bytes {
 	var sum core.Bytes
 	for _, i := range s.items {
 		if slices.Contains(i.Accelerators, accelerator) {
@@ -113,7 +115,7 @@
 	s.copies[name] = core.TierMemory
 }
 
-// unloadTime is how long the stand-in takes to free an item's memory.
+// unloadTime is the time that an unload takes.
 const unloadTime = 5 * time.Millisecond
 
 func (s *Server) unload(o core.UnloadOrder) int {
--- a/io/fakes/llmsrv/run.go
+++ b/io/fakes/llmsrv/run.go
@@ -11,8 +11,8 @@
 	"radishwell/core"
 )
 
-// run is one request in the engine. Its answer grows in a buffer, from which
-// any number of connections read at their own offsets.
+// run is one request in the engine. Its answer is appended to a buffer, which any number
+// of connections may read, each at its own offset.
 type run struct {
 	id     core.RequestID
 	model  core.ModelName
@@ -22,14 +22,14 @@
 	mu     sync.Mutex
 	buffer []byte
 	ended  bool
-	// failed is set when the engine crashed under the run.
+	// failed is set if the run was cancelled or the engine crashed before its end.
 	failed bool
-	// grown is closed and replaced whenever the buffer grows or the run ends.
-	grown chan struct{}
+	// changed is closed and replaced whenever the buffer grows or the run ends.
+	changed chan struct{}
 }
 
 func newRun(id core.RequestID, model core.ModelName, class core.Class, cancel context.CancelFunc) *run {
-	return &run{id: id, model: model, class: class, cancel: cancel, grown: make(chan struct{})}
+	return &run{id: id, model: model, class: class, cancel: cancel, changed: make(chan struct{})}
 }
 
 func (r *run) write(p []byte) {
@@ -51,36 +51,38 @@
 }
 
 func (r *run) wake() {
-	close(r.grown)
-	r.grown = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-// after returns what the buffer holds past offset, whether the run has ended
-// and failed, and a channel that is closed at the next change.
-func (r *run) after(offset int64) (data []byte, ended, failed bool, grown <-chan struct{}) {
+// after returns the data in the buffer from offset, whether the run has ended, whether it
+// has failed, and a channel that is closed at the next change.
+func (r *run) after(offset int64) (data []byte, ended, failed bool, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if offset < int64(len(r.buffer)) {
 		data = r.buffer[offset:]
 	}
-	return data, r.ended, r.failed, r.grown
+	return data, r.ended, r.failed, r.changed
 }
 
-// over tells whether the run has ended; its answer is kept for a while.
-func (r *run) over() bool {
+// hasEnded reports whether the run has ended. Its answer is kept for resumeTime after that.
+func (r *run) hasEnded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ended
 }
 
+// emitted returns the length of the answer so far, in bytes.
 func (r *run) emitted() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return int64(len(r.buffer))
 }
 
-// ask is the part of an OpenAI request that the stand-in reads.
-type ask struct {
+// completionRequest holds the members of a request in the format of the OpenAI API that
+// the stand-in uses.
+type completionRequest struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
 	Prompt   string `json:"prompt"`
@@ -95,9 +97,10 @@
 	} `json:"stream_options"`
 }
 
+// defaultTokens is the length of an answer if the request has no limit.
 const defaultTokens = 16
 
-func (a ask) tokens() int {
+func (a completionRequest) tokens() int {
 	switch {
 	case a.MaxTokens > 0:
 		return a.MaxTokens
@@ -108,7 +111,7 @@
 	}
 }
 
-func (a ask) text() string {
+func (a completionRequest) text() string {
 	if len(a.Messages) == 0 {
 		return a.Prompt
 	}
@@ -120,8 +123,8 @@
 	return s
 }
 
-// token is the answer's i-th token: the prompt's words over and over.
-func (a ask) token(i int) string {
+// token returns the ith token of the answer, which repeats the words of the prompt.
+func (a completionRequest) token(i int) string {
 	words := strings.Fields(a.text())
 	if len(words) == 0 {
 		return fmt.Sprintf("token-%d ", i)
@@ -129,12 +132,12 @@
 	return words[i%len(words)] + " "
 }
 
-// script writes a request's whole answer, a token each tick.
-type script struct {
-	ask  ask
-	chat bool
-	id   core.RequestID
-	made time.Time
+// answerFormat formats the answer to a request.
+type answerFormat struct {
+	request completionRequest
+	chat    bool
+	id      core.RequestID
+	created time.Time
 }
 
 type choice struct {
@@ -160,7 +163,7 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (s script) object(streamed bool) string {
+func (s answerFormat) object(streamed bool) string {
 	switch {
 	case s.chat && streamed:
 		return "chat.completion.chunk"
@@ -171,28 +174,28 @@
 	}
 }
 
-func (s script) body(streamed bool) completion {
+func (s answerFormat) body(streamed bool) completion {
 	return completion{
 		ID: "cmpl-" + string(s.id), Object: s.object(streamed),
-		Created: s.made.Unix(), Model: s.ask.Model, Choices: []choice{},
+		Created: s.created.Unix(), Model: s.request.Model, Choices: []choice{},
 	}
 }
 
-func (s script) usage() *usage {
-	prompt, answer := len(strings.Fields(s.ask.text())), s.ask.tokens()
+func (s answerFormat) usage() *usage {
+	prompt, answer := len(strings.Fields(s.request.text())), s.request.tokens()
 	return &usage{PromptTokens: prompt, CompletionTokens: answer, TotalTokens: prompt + answer}
 }
 
-// event is the i-th token as a server-sent event.
-func (s script) event(i int) []byte {
+// event returns the ith token as a server-sent event.
+func (s answerFormat) event(i int) []byte {
 	c := choice{}
-	token := s.ask.token(i)
+	token := s.request.token(i)
 	if s.chat {
 		c.Delta = map[string]string{"content": token}
 	} else {
 		c.Text = &token
 	}
-	if i == s.ask.tokens()-1 {
+	if i == s.request.tokens()-1 {
 		stop := "stop"
 		c.FinishReason = &stop
 	}
@@ -201,10 +204,10 @@
 	return sse(b)
 }
 
-// tail is what follows the last token of a stream.
-func (s script) tail() []byte {
+// tail returns the events after the last token of a stream.
+func (s answerFormat) tail() []byte {
 	var out []byte
-	if s.ask.StreamOptions.IncludeUsage {
+	if s.request.StreamOptions.IncludeUsage {
 		b := s.body(true)
 		b.Usage = s.usage()
 		out = sse(b)
@@ -212,11 +215,11 @@
 	return append(out, "data: [DONE]\n\n"...)
 }
 
-// whole is the answer to a request that is not streamed.
-func (s script) whole() []byte {
+// whole returns the answer to a request that isn't streamed.
+func (s answerFormat) whole() []byte {
 	var text strings.Builder
-	for i := range s.ask.tokens() {
-		text.WriteString(s.ask.token(i))
+	for i := range s.request.tokens() {
+		text.WriteString(s.request.token(i))
 	}
 	stop, answer := "stop", text.String()
 	c := choice{FinishReason: &stop}
@@ -236,7 +239,7 @@
 	return append(out, "\n\n"...)
 }
 
-// mustJSON encodes one of the package's own types, which cannot fail.
+// mustJSON encodes a type of this package, which can't fail.
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/io/fakes/llmsrv/server.go
+++ b/io/fakes/llmsrv/server.go
@@ -16,75 +16,79 @@
 	"radishwell/io/fakes/httpd"
 )
 
-// Header names that the agent sets on work, beside the OpenAI interface.
+// Names of the header fields that the agent adds to requests of the OpenAI API.
 const (
 	HeaderRequest  = "X-Request-Id"
 	HeaderPriority = "X-Priority"
 )
 
-// orphanTime is how long a run without a reading connection goes on, so that
-// its reader can come back and resume.
-const orphanTime = 10 * time.Second
+// resumeTime is the time for which a run is kept after its end, so that a reader can
+// reconnect and resume its answer.
+const resumeTime = 10 * time.Second
 
-// Server is a stand-in engine. Set the exported fields before Run.
+// Server is a stand-in engine. The exported fields have to be set before Run or Handler.
 type Server struct {
-	// Listen is the address to serve on.
+	// Listen is the address to listen on.
 	Listen netip.AddrPort
-	// Capacity is the memory of each accelerator.
+	// Capacity holds the memory of each accelerator.
 	Capacity []core.Bytes
-	// LoadTimes is how long a load takes from each tier.
+	// LoadTimes holds the time of a load from each tier.
 	LoadTimes [3]time.Duration
-	// AdapterTime is how long the load of an adapter takes.
+	// AdapterTime is the time of the load of an adapter.
 	AdapterTime time.Duration
-	// TokenTime is the time between tokens, FirstTime that before the first.
+	// TokenTime is the time between tokens, FirstTime that before the first token.
 	TokenTime, FirstTime time.Duration
-	// Batch is the most requests that make progress at once; the others wait
-	// in the engine by priority.
+	// Batch is the maximum number of requests that are processed at the same time. The
+	// others wait in the engine by priority.
 	Batch int
-	// Faults are in force from the start.
+	// Faults are the initial faults.
 	Faults Faults
 
-	mu      sync.Mutex
-	faults  Faults
-	epoch   uint64
-	fence   core.Fence
-	items   []core.EngineItem
-	copies  map[core.ModelName]core.Tier
-	runs    map[core.RequestID]*run
+	mu     sync.Mutex
+	faults Faults
+	// epoch identifies the current start of the engine.
+	epoch uint64
+	// fence is the highest fencing number of an order in this epoch.
+	fence  core.Fence
+	items  []core.EngineItem
+	copies map[core.ModelName]core.Tier
+	runs   map[core.RequestID]*run
+	// started counts how often a request of an id was started, over all epochs.
 	started map[core.RequestID]int
-	lives   context.Context
-	kill    context.CancelFunc
-	downTil time.Time
-	slots   *slots
+	// runCtx is the context of the runs of this epoch; cancelRuns cancels it.
+	runCtx     context.Context
+	cancelRuns context.CancelFunc
+	// downUntil is the end of the outage after a crash.
+	downUntil time.Time
+	slots     *slots
 }
 
-// Handler returns the stand-in's HTTP interface. It must be called once.
+// Handler returns the HTTP handler of the stand-in. It must be called only once.
 func (s *Server) Handler() http.Handler {
 	s.faults = s.Faults
 	s.copies = map[core.ModelName]core.Tier{}
 	s.slots = newSlots(max(s.Batch, 1))
 	s.restart()
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", s.up(s.serveWork))
-	mux.HandleFunc("POST /v1/completions", s.up(s.serveWork))
-	mux.HandleFunc("GET /state", s.up(s.serveState))
-	mux.HandleFunc("GET /streams/{id}", s.up(s.serveResume))
-	mux.HandleFunc("POST /orders/load", s.up(s.serveLoad))
-	mux.HandleFunc("POST /orders/unload", s.up(s.serveUnload))
-	mux.HandleFunc("POST /orders/cancel", s.up(s.serveCancel))
+	mux.HandleFunc("POST /v1/chat/completions", s.unlessDown(s.serveWork))
+	mux.HandleFunc("POST /v1/completions", s.unlessDown(s.serveWork))
+	mux.HandleFunc("GET /state", s.unlessDown(s.serveState))
+	mux.HandleFunc("GET /streams/{id}", s.unlessDown(s.serveResume))
+	mux.HandleFunc("POST /orders/load", s.unlessDown(s.serveLoad))
+	mux.HandleFunc("POST /orders/unload", s.unlessDown(s.serveUnload))
+	mux.HandleFunc("POST /orders/cancel", s.unlessDown(s.serveCancel))
 	mux.HandleFunc("/faults", s.serveFaults)
 	mux.HandleFunc("POST /crash", func(w http.ResponseWriter, _ *http.Request) { s.crash(); w.WriteHeader(http.StatusNoContent) })
 	mux.HandleFunc("GET /started", s.serveStarted)
 	return mux
 }
 
-// Run serves until the context ends.
+// Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	return httpd.Serve(ctx, s.Listen, s.Handler(), nil)
 }
 
-// restart gives the engine a new epoch without items or runs. The caller holds
-// no lock.
+// restart starts a new epoch without items or runs. The caller must not hold mu.
 func (s *Server) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,24 +102,25 @@
 	if s.started == nil {
 		s.started = map[core.RequestID]int{}
 	}
-	s.lives, s.kill = context.WithCancel(context.Background())
+	s.runCtx, s.cancelRuns = context.WithCancel(context.Background())
 }
 
-// crash ends every run and connection and stays away for a while.
+// crash ends all runs, restarts the engine and keeps it down for the time that its faults
+// set.
 func (s *Server) crash() {
 	s.mu.Lock()
-	s.downTil = time.Now().Add(s.faults.downFor())
-	kill := s.kill
+	s.downUntil = time.Now().Add(s.faults.downFor())
+	cancelRuns := s.cancelRuns
 	s.mu.Unlock()
-	kill()
+	cancelRuns()
 	s.restart()
 }
 
-// up lets a handler run only while the engine is not down.
-func (s *Server) up(h http.HandlerFunc) http.HandlerFunc {
+// unlessDown wraps a handler. It drops connections while the engine is down.
+func (s *Server) unlessDown(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		down := s.faults.Down || time.Now().Before(s.downTil)
+		down := s.faults.Down || time.Now().Before(s.downUntil)
 		s.mu.Unlock()
 		if down {
 			drop(w)
@@ -129,7 +134,7 @@
 	httpd.WriteJSON(w, http.StatusOK, s.State())
 }
 
-// State returns the engine's report.
+// State returns the state of the engine, as reported at /state.
 func (s *Server) State() core.EngineState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +143,7 @@
 		Items: slices.Clone(s.items), Queued: s.slots.waiting(),
 	}
 	for _, r := range s.runs {
-		if r.over() {
+		if r.hasEnded() {
 			continue
 		}
 		st.Runs = append(st.Runs, core.EngineRun{ID: r.id, Model: r.model, Emitted: r.emitted()})
@@ -171,14 +176,14 @@
 	if err != nil {
 		return
 	}
-	var a ask
+	var a completionRequest
 	if err := json.Unmarshal(body, &a); err != nil {
-		httpd.WriteJSON(w, http.StatusBadRequest, failure("malformed body"))
+		httpd.WriteJSON(w, http.StatusBadRequest, errorDocument("malformed body"))
 		return
 	}
 	name := core.ModelName(a.Model)
 	if !s.holds(name) {
-		httpd.WriteJSON(w, http.StatusNotFound, failure("model is not loaded"))
+		httpd.WriteJSON(w, http.StatusNotFound, errorDocument("model is not loaded"))
 		return
 	}
 	id := core.RequestID(r.Header.Get(HeaderRequest))
@@ -189,7 +194,7 @@
 	if class.UnmarshalText([]byte(r.Header.Get(HeaderPriority))) != nil {
 		class = core.Interactive
 	}
-	made, crashes := s.start(id, name, class, script{ask: a, chat: r.URL.Path == "/v1/chat/completions", id: id, made: time.Now()}, body)
+	started, crashes := s.start(id, name, class, answerFormat{request: a, chat: r.URL.Path == "/v1/chat/completions", id: id, created: time.Now()}, body)
 	if crashes {
 		s.crash()
 		drop(w)
@@ -199,44 +204,44 @@
 	if a.Stream {
 		kind = "text/event-stream"
 	}
-	s.relay(w, r, made, 0, kind)
+	s.relay(w, r, started, 0, kind)
 }
 
-func failure(text string) any {
+func errorDocument(text string) any {
 	return map[string]any{"error": map[string]string{"message": text, "type": "invalid_request_error"}}
 }
 
+// holds reports whether a model or adapter is loaded.
 func (s *Server) holds(name core.ModelName) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.ContainsFunc(s.items, func(i core.EngineItem) bool { return i.Name == name && i.State == core.Loaded })
 }
 
-// start begins a run, or tells that the body crashes the engine.
-func (s *Server) start(id core.RequestID, name core.ModelName, class core.Class, sc script, body []byte) (*run, bool) {
+// start starts a run. It returns true and no run if the body crashes the engine.
+func (s *Server) start(id core.RequestID, name core.ModelName, class core.Class, format answerFormat, body []byte) (*run, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.started[id]++
 	if s.faults.crashes(body) {
 		return nil, true
 	}
-	ctx, cancel := context.WithCancel(s.lives)
+	ctx, cancel := context.WithCancel(s.runCtx)
 	r := newRun(id, name, class, cancel)
 	s.runs[id] = r
-	go s.generate(ctx, r, sc)
+	go s.generate(ctx, r, format)
 	return r, false
 }
 
-// generate produces the run's tokens. It ends with the run, of which every
-// reader is told through the run itself.
-func (s *Server) generate(ctx context.Context, r *run, sc script) {
+// generate produces the answer of a run, as soon as a slot is free, and ends the run.
+func (s *Server) generate(ctx context.Context, r *run, format answerFormat) {
 	defer r.cancel()
-	if !s.slots.take(ctx, r.class) {
+	if !s.slots.acquire(ctx, r.class) {
 		r.end(true)
 		return
 	}
-	defer s.slots.give()
-	for i := range sc.ask.tokens() {
+	defer s.slots.release()
+	for i := range format.request.tokens() {
 		pause := s.TokenTime
 		if i == 0 {
 			pause = s.FirstTime
@@ -245,19 +250,20 @@
 			r.end(true)
 			return
 		}
-		if sc.ask.Stream {
-			r.write(sc.event(i))
+		if format.request.Stream {
+			r.write(format.event(i))
 		}
 	}
-	if sc.ask.Stream {
-		r.write(sc.tail())
+	if format.request.Stream {
+		r.write(format.tail())
 	} else {
-		r.write(sc.whole())
+		r.write(format.whole())
 	}
 	r.end(false)
-	s.forget(r)
+	s.forgetLater(r)
 }
 
+// pause waits for d, multiplied by TokenFactor. It returns false if ctx ends before.
 func (s *Server) pause(ctx context.Context, d time.Duration) bool {
 	s.mu.Lock()
 	d = scale(d, s.faults.TokenFactor)
@@ -275,9 +281,9 @@
 	}
 }
 
-// forget drops an ended run once nobody can want to resume it.
-func (s *Server) forget(r *run) {
-	time.AfterFunc(orphanTime, func() {
+// forgetLater removes an ended run after resumeTime.
+func (s *Server) forgetLater(r *run) {
+	time.AfterFunc(resumeTime, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.runs[r.id] == r {
@@ -289,27 +295,28 @@
 func (s *Server) serveResume(w http.ResponseWriter, r *http.Request) {
 	offset, err := strconv.ParseInt(r.URL.Query().Get("offset"), 10, 64)
 	if err != nil || offset < 0 {
-		httpd.WriteJSON(w, http.StatusBadRequest, failure("offset"))
+		httpd.WriteJSON(w, http.StatusBadRequest, errorDocument("offset"))
 		return
 	}
 	s.mu.Lock()
 	found := s.runs[core.RequestID(r.PathValue("id"))]
 	s.mu.Unlock()
 	if found == nil {
-		httpd.WriteJSON(w, http.StatusNotFound, failure("no such run"))
+		httpd.WriteJSON(w, http.StatusNotFound, errorDocument("no such run"))
 		return
 	}
 	s.relay(w, r, found, offset, "application/octet-stream")
 }
 
-// relay copies a run's answer to a connection until one of them ends.
+// relay copies the answer of a run to a connection, starting at an offset, until the run
+// or the connection ends.
 func (s *Server) relay(w http.ResponseWriter, r *http.Request, from *run, offset int64, kind string) {
 	w.Header().Set("Content-Type", kind)
 	flush := http.NewResponseController(w)
 	for {
-		data, ended, failed, grown := from.after(offset)
+		data, ended, failed, changed := from.after(offset)
 		if len(data) > 0 {
-			if s.hush(r) {
+			if s.interrupt(r) {
 				return
 			}
 			if _, err := w.Write(data); err != nil || flush.Flush() != nil {
@@ -326,16 +333,17 @@
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// hush holds a connection open without writing to it, or has it end, while one
-// of these faults is on.
-func (s *Server) hush(r *http.Request) bool {
+// interrupt applies the faults Silent and EndsEarly to a connection that doesn't resume an
+// answer. It returns true if the connection has to end. If the fault is Silent, it does so
+// only after the client has disconnected.
+func (s *Server) interrupt(r *http.Request) bool {
 	s.mu.Lock()
 	first := r.URL.Path != "/streams/"+r.PathValue("id")
 	silent, ends := first && s.faults.Silent, first && s.faults.EndsEarly
@@ -352,7 +360,7 @@
 		ID core.RequestID `json:"id"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
-		httpd.WriteJSON(w, http.StatusBadRequest, failure("order"))
+		httpd.WriteJSON(w, http.StatusBadRequest, errorDocument("order"))
 		return
 	}
 	s.mu.Lock()
--- a/io/fakes/llmsrv/slots.go
+++ b/io/fakes/llmsrv/slots.go
@@ -8,28 +8,29 @@
 	"radishwell/core"
 )
 
-// slots lets a bounded number of runs make progress, the most urgent class
-// first and in order of arrival within a class.
+// slots is a semaphore that limits the number of runs in progress. Runs of the most urgent
+// class get a slot first, in the order of their arrival within a class.
 type slots struct {
-	mu   sync.Mutex
-	free int
-	line [core.ClassCount][]chan struct{}
+	mu     sync.Mutex
+	free   int
+	queues [core.ClassCount][]chan struct{}
 }
 
 func newSlots(n int) *slots { return &slots{free: n} }
 
+// waiting returns the number of runs that wait for a slot.
 func (s *slots) waiting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, l := range s.line {
+	for _, l := range s.queues {
 		n += len(l)
 	}
 	return n
 }
 
-// take waits for a slot; it returns false when the context ends first.
-func (s *slots) take(ctx context.Context, class core.Class) bool {
+// acquire waits for a slot. It returns false if ctx ends before.
+func (s *slots) acquire(ctx context.Context, class core.Class) bool {
 	s.mu.Lock()
 	if s.free > 0 {
 		s.free--
@@ -37,38 +38,39 @@
 		return true
 	}
 	turn := make(chan struct{})
-	s.line[class] = append(s.line[class], turn)
+	s.queues[class] = append(s.queues[class], turn)
 	s.mu.Unlock()
 	select {
 	case <-turn:
 		return true
 	case <-ctx.Done():
-		s.leave(class, turn)
+		s.abandon(class, turn)
 		return false
 	}
 }
 
-// leave takes a waiter out of the line; one that was given its slot meanwhile
-// passes it on.
-func (s *slots) leave(class core.Class, turn chan struct{}) {
+// abandon removes a waiter from its queue. If it has received a slot meanwhile, abandon
+// releases the slot.
+func (s *slots) abandon(class core.Class, turn chan struct{}) {
 	s.mu.Lock()
-	i := slices.Index(s.line[class], turn)
+	i := slices.Index(s.queues[class], turn)
 	if i >= 0 {
-		s.line[class] = slices.Delete(s.line[class], i, i+1)
+		s.queues[class] = slices.Delete(s.queues[class], i, i+1)
 	}
 	s.mu.Unlock()
 	if i < 0 {
-		s.give()
+		s.release()
 	}
 }
 
-func (s *slots) give() {
+// release passes a slot to the next waiter, or frees it.
+func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for class := range s.line {
-		if len(s.line[class]) > 0 {
-			close(s.line[class][0])
-			s.line[class] = s.line[class][1:]
+	for class := range s.queues {
+		if len(s.queues[class]) > 0 {
+			close(s.queues[class][0])
+			s.queues[class] = s.queues[class][1:]
 			return
 		}
 	}
--- a/io/fakes/midbox/box.go
+++ b/io/fakes/midbox/box.go
@@ -1,7 +1,7 @@
-// Package midbox is a stand-in for what lies between two processes: it relays TCP
-// connections, and can delay them, limit their rate, cut them in one way or both, break
-// them off, or make those that are open go silent, as when something on the way has lost
-// track of them, while new ones work.
+// Package midbox is a stand-in for the network between two processes. It relays TCP
+// connections and can delay them, limit their rate, cut them in one or both directions,
+// or reset them. It can also make open connections silent while new ones work, as a
+// middlebox does that has lost the state of its connections.
 package midbox
 
 import (
@@ -25,9 +25,9 @@
 	wayCount
 )
 
-// Box relays connections made to At on to an address, and has faults that can be
-// switched on. What is held back by a cut arrives after it, as with packets
-// that are sent again; nothing is lost unless the connection is.
+// Box relays connections from the address At to another address and injects faults. Data
+// that a cut holds back arrives after the cut, like retransmitted packets. No data is lost
+// unless the connection is.
 type Box struct {
 	listener net.Listener
 	to       netip.AddrPort
@@ -37,20 +37,21 @@
 	delay time.Duration
 	// links limit the rate in each direction; nil is no limit.
 	links [wayCount]*Link
-	// pass is closed, for each direction, while bytes may pass in it.
+	// pass holds a channel for each direction, which is closed unless the direction is cut.
 	pass [wayCount]chan struct{}
-	// hushed counts the calls of Hush; connections from before carry nothing.
-	hushed int
-	closed bool
-	ends   sync.WaitGroup
+	// silenced counts the calls of Hush. Connections that were opened before the last one
+	// carry no data.
+	silenced int
+	closed   bool
+	wg       sync.WaitGroup
 }
 
-// New starts a box on the loopback.
+// New starts a box on a free port of the loopback interface.
 func New(to netip.AddrPort) (*Box, error) {
 	return NewOn(netip.MustParseAddrPort("127.0.0.1:0"), to)
 }
 
-// NewOn starts a box that takes connections on an address.
+// NewOn starts a box that accepts connections on an address.
 func NewOn(on, to netip.AddrPort) (*Box, error) {
 	lis, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(on))
 	if err != nil {
@@ -61,42 +62,42 @@
 		b.pass[way] = make(chan struct{})
 		close(b.pass[way])
 	}
-	b.ends.Add(1)
+	b.wg.Add(1)
 	go b.accept()
 	return b, nil
 }
 
-// At is where the box takes connections.
+// At returns the address on which the box accepts connections.
 func (b *Box) At() netip.AddrPort { return b.listener.Addr().(*net.TCPAddr).AddrPort() }
 
-// Cut holds back what is sent in a direction until Heal.
+// Cut holds back the data in a direction until Heal.
 func (b *Box) Cut(way Way) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
 	case <-b.pass[way]:
 		b.pass[way] = make(chan struct{})
-	default: // it is cut already
+	default: // already cut
 	}
 }
 
-// Delay has each piece wait before it is passed on.
+// Delay delays each piece of data until Heal.
 func (b *Box) Delay(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.delay = d
 }
 
-// Link is a link of a limited rate, which the connections of several boxes may share.
+// Link limits the rate of data. The connections of several boxes may share it.
 type Link struct {
-	// Rate is in bytes a second.
+	// Rate is in bytes per second.
 	Rate float64
 
 	mu   sync.Mutex
 	free time.Time
 }
 
-// carry waits until the link has carried so many bytes more.
+// carry waits until the link has carried the given number of further bytes.
 func (l *Link) carry(bytes int) {
 	l.mu.Lock()
 	if now := time.Now(); l.free.Before(now) {
@@ -108,7 +109,7 @@
 	time.Sleep(wait)
 }
 
-// Limit has a direction pass through a link.
+// Limit makes the data in a direction pass through a link. A nil link removes the limit.
 func (b *Box) Limit(way Way, l *Link) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -129,27 +130,26 @@
 	}
 }
 
-// Hush has the connections that are open now carry nothing more, without closing
-// them.
+// Hush makes all open connections silent for good, without closing them.
 func (b *Box) Hush() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.hushed++
+	b.silenced++
 }
 
-// Reset breaks off the connections that are open now.
+// Reset resets all open connections.
 func (b *Box) Reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for c := range b.open {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // else it would end in good order
+			_ = tcp.SetLinger(0) // sends a reset instead of an orderly end
 		}
 		_ = c.Close()
 	}
 }
 
-// Close ends the box and its connections.
+// Close stops the box, resets its connections and waits until they have ended.
 func (b *Box) Close() {
 	b.Heal()
 	b.mu.Lock()
@@ -157,11 +157,11 @@
 	b.mu.Unlock()
 	_ = b.listener.Close()
 	b.Reset()
-	b.ends.Wait()
+	b.wg.Wait()
 }
 
 func (b *Box) accept() {
-	defer b.ends.Done()
+	defer b.wg.Done()
 	for {
 		in, err := b.listener.Accept()
 		if err != nil {
@@ -169,24 +169,26 @@
 		}
 		out, err := net.DialTimeout("tcp", b.to.String(), time.Second)
 		if err != nil {
-			// The process behind is down; the caller is to see that.
+			// The target is down. A reset shows that to the client.
 			if tcp, ok := in.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0)
 			}
 			_ = in.Close()
 			continue
 		}
-		born, ok := b.keep(in, out)
+		silencedAtOpen, ok := b.register(in, out)
 		if !ok {
 			continue
 		}
-		b.ends.Add(2)
-		go b.pump(in, out, Forth, born)
-		go b.pump(out, in, Back, born)
+		b.wg.Add(2)
+		go b.relay(in, out, Forth, silencedAtOpen)
+		go b.relay(out, in, Back, silencedAtOpen)
 	}
 }
 
-func (b *Box) keep(conns ...net.Conn) (born int, ok bool) {
+// register adds connections to those that are open, or closes them if the box is closed.
+// It returns the number of calls of Hush so far.
+func (b *Box) register(conns ...net.Conn) (silencedAtOpen int, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range conns {
@@ -196,11 +198,12 @@
 		}
 		b.open[c] = true
 	}
-	return b.hushed, !b.closed
+	return b.silenced, !b.closed
 }
 
-func (b *Box) pump(from, to net.Conn, way Way, born int) {
-	defer b.ends.Done()
+// relay copies data from one connection to the other until either ends.
+func (b *Box) relay(from, to net.Conn, way Way, silencedAtOpen int) {
+	defer b.wg.Done()
 	defer func() {
 		b.mu.Lock()
 		delete(b.open, from)
@@ -211,8 +214,8 @@
 	for {
 		n, err := from.Read(buffer)
 		b.carry(way, n)
-		if !b.mayPass(way, born) {
-			_, _ = io.Copy(io.Discard, from) // swallowed until somebody closes
+		if !b.awaitPass(way, silencedAtOpen) {
+			_, _ = io.Copy(io.Discard, from) // until an end closes the connection
 			return
 		}
 		if n > 0 {
@@ -236,9 +239,8 @@
 	}
 }
 
-// mayPass waits out a cut and a delay, and tells whether the connection carries
-// anything.
-// carry waits for the direction's link to carry some bytes.
+// carry waits until the link of a direction, if there is one, has carried a number of
+// bytes.
 func (b *Box) carry(way Way, bytes int) {
 	b.mu.Lock()
 	link := b.links[way]
@@ -248,7 +250,9 @@
 	}
 }
 
-func (b *Box) mayPass(way Way, born int) bool {
+// awaitPass waits while a direction is cut and then for the delay. It returns false if the
+// connection has become silent.
+func (b *Box) awaitPass(way Way, silencedAtOpen int) bool {
 	b.mu.Lock()
 	pass, delay := b.pass[way], b.delay
 	b.mu.Unlock()
@@ -258,5 +262,5 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return born == b.hushed
+	return silencedAtOpen == b.silenced
 }
--- a/io/fakes/midbox/box_test.go
+++ b/io/fakes/midbox/box_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// echo starts a server that sends back each line, and returns a box to it with a
-// connection through it.
+// echo starts a server that returns each line, and a box in front of it. It returns the
+// box and a connection through it.
 func echo(t *testing.T) (*Box, net.Conn) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,13 +48,13 @@
 	return c
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func writeLine(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	_, err := c.Write([]byte(text + "\n"))
 	assert.NilError(t, err)
 }
 
-func hear(t *testing.T, c net.Conn, want string) {
+func readLine(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
 	got, err := bufio.NewReader(c).ReadString('\n')
@@ -62,8 +62,8 @@
 	assert.Equal(t, got, want+"\n")
 }
 
-// silent checks that nothing comes for a moment.
-func silent(t *testing.T, c net.Conn) {
+// assertSilent checks that no data arrives for 50 milliseconds.
+func assertSilent(t *testing.T, c net.Conn) {
 	t.Helper()
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 	_, err := c.Read(make([]byte, 1))
@@ -73,34 +73,34 @@
 func TestBox(t *testing.T) {
 	t.Run("relays", func(t *testing.T) {
 		_, c := echo(t)
-		say(t, c, "a")
-		hear(t, c, "a")
+		writeLine(t, c, "a")
+		readLine(t, c, "a")
 	})
 	for way, name := range []string{"forth", "back"} {
 		t.Run("a cut "+name+" holds back what comes after it", func(t *testing.T) {
 			l, c := echo(t)
 			l.Cut(Way(way))
-			say(t, c, "a")
-			silent(t, c)
+			writeLine(t, c, "a")
+			assertSilent(t, c)
 			l.Heal()
-			hear(t, c, "a")
+			readLine(t, c, "a")
 		})
 	}
 	t.Run("a hushed connection carries nothing, a new one does", func(t *testing.T) {
 		l, c := echo(t)
-		say(t, c, "a")
-		hear(t, c, "a")
+		writeLine(t, c, "a")
+		readLine(t, c, "a")
 		l.Hush()
-		say(t, c, "b")
-		silent(t, c)
+		writeLine(t, c, "b")
+		assertSilent(t, c)
 		c = dial(t, l)
-		say(t, c, "c")
-		hear(t, c, "c")
+		writeLine(t, c, "c")
+		readLine(t, c, "c")
 	})
 	t.Run("a reset breaks off", func(t *testing.T) {
 		l, c := echo(t)
-		say(t, c, "a")
-		hear(t, c, "a")
+		writeLine(t, c, "a")
+		readLine(t, c, "a")
 		l.Reset()
 		assert.NilError(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
 		_, err := c.Read(make([]byte, 1))
@@ -109,10 +109,10 @@
 	t.Run("a delay ends with the next heal", func(t *testing.T) {
 		l, c := echo(t)
 		l.Delay(time.Millisecond)
-		say(t, c, "a")
-		hear(t, c, "a")
+		writeLine(t, c, "a")
+		readLine(t, c, "a")
 		l.Heal()
-		say(t, c, "b")
-		hear(t, c, "b")
+		writeLine(t, c, "b")
+		readLine(t, c, "b")
 	})
 }
--- a/io/fakes/plain/server.go
+++ b/io/fakes/plain/server.go
@@ -12,41 +12,42 @@
 	"radishwell/io/fakes/httpd"
 )
 
-// Faults are what can be made to go wrong while the stand-in runs.
+// Faults are the faults that can be set while the stand-in runs.
 type Faults struct {
-	// Delay is how many milliseconds each answer takes.
+	// Delay is the time before each answer, in milliseconds.
 	Delay int `json:"delay"`
-	// Down drops every connection before anything runs.
+	// Down makes the service drop each connection before it runs the call.
 	Down bool `json:"down"`
-	// AnswersLost runs the call and drops the connection.
+	// AnswersLost makes the service drop each connection after it has run the call.
 	AnswersLost bool `json:"answers-lost"`
 }
 
-// Server is a stand-in service. Set the exported fields before Run.
+// Server is a stand-in service. The exported fields have to be set before Run or
+// Handler.
 type Server struct {
 	Listen netip.AddrPort
 	Faults Faults
 
-	mu   sync.Mutex
-	once sync.Once
-	now  Faults
-	runs map[string]int
+	mu      sync.Mutex
+	once    sync.Once
+	current Faults
+	runs    map[string]int
 }
 
-// echo is what the service answers with.
+// echo is the answer of the service.
 type echo struct {
 	Method string      `json:"method"`
 	Path   string      `json:"path"`
 	Query  string      `json:"query"`
 	Header http.Header `json:"header"`
 	Body   string      `json:"body"`
-	// Run counts the calls with this body, this one included.
+	// Run is the number of calls with this body so far, including this one.
 	Run int `json:"run"`
 }
 
-// Handler returns the service's HTTP interface.
+// Handler returns the HTTP handler of the service.
 func (s *Server) Handler() http.Handler {
-	s.once.Do(func() { s.now, s.runs = s.Faults, map[string]int{} })
+	s.once.Do(func() { s.current, s.runs = s.Faults, map[string]int{} })
 	mux := http.NewServeMux()
 	mux.HandleFunc("/faults", s.serveFaults)
 	mux.HandleFunc("GET /runs", s.serveRuns)
@@ -54,19 +55,19 @@
 	return mux
 }
 
-// Run serves until the context ends.
+// Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	return httpd.Serve(ctx, s.Listen, s.Handler(), nil)
 }
 
-func (s *Server) faults() Faults {
+func (s *Server) currentFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now
+	return s.current
 }
 
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
-	f := s.faults()
+	f := s.currentFaults()
 	if f.Down {
 		panic(http.ErrAbortHandler)
 	}
@@ -82,13 +83,13 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// An error here is the client's going away; there is nobody left to tell.
+	// A write fails only if the client has disconnected, so the error is ignored.
 	_ = json.NewEncoder(w).Encode(echo{
 		Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery, Header: r.Header, Body: string(body), Run: run,
 	})
 }
 
-// count counts a call by its body.
+// count records a call and returns the number of calls with this body so far.
 func (s *Server) count(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +97,7 @@
 	return s.runs[body]
 }
 
-// Runs returns how often each body was run.
+// Runs returns the number of runs by the body of the call.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,5 +113,5 @@
 }
 
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
-	httpd.ServeFaults(w, r, &s.mu, &s.now)
+	httpd.ServeFaults(w, r, &s.mu, &s.current)
 }
--- a/io/fakes/ports/ports.go
+++ b/io/fakes/ports/ports.go
@@ -1,5 +1,5 @@
-// Package ports finds addresses on the loopback for fleets of stand-ins and
-// trial processes, whose addresses have to be known before they listen.
+// Package ports finds free addresses on the loopback interface, for fleets of stand-ins
+// and test processes whose addresses have to be known before they listen.
 package ports
 
 import (
@@ -9,36 +9,38 @@
 	"os"
 )
 
-// The range lies below that from which systems take the local ports of outgoing
-// connections. A port out of that one can be taken by a connection between the
-// time it is found and the time its process listens; the process then fails to
-// start, once in a hundred fleets or so.
+// The range of ports is below the ephemeral range, from which systems take the local
+// ports of outgoing connections. A connection could take a port of the ephemeral range
+// after it was found to be free and before its process listens. The process would then
+// fail to start, which happened in about one of a hundred fleets.
 const (
 	lowest  = 12_000
 	highest = 31_000
 )
 
-// ExhaustedError reports that too few ports are free.
+// ExhaustedError reports that fewer ports are free than wanted.
 type ExhaustedError struct{ Wanted int }
 
 // Error implements error.
 func (*ExhaustedError) Error() string { return "too few free ports on the loopback" }
 
-// Host returns an address of a loopback network that no other process uses: two fleets
-// that run side by side cannot meet there. N is from 1 to 254.
+// Host returns the nth address of a loopback network that depends on the id of this
+// process, so that fleets of processes that run at the same time use different addresses.
+// n is from 1 to 254.
 func Host(n int) netip.Addr {
 	const first, networks = 1, 126
 	pid := os.Getpid()
 	return netip.AddrFrom4([4]byte{127, byte(first + pid/256%networks), byte(pid % 256), byte(n)})
 }
 
-// Free returns n addresses on 127.0.0.1 that nothing listens on now.
+// Free returns n addresses on 127.0.0.1 on which no process listens at present.
 func Free(n int) ([]netip.AddrPort, error) {
 	return FreeOn(netip.AddrFrom4([4]byte{127, 0, 0, 1}), n)
 }
 
-// FreeOn returns n addresses of a host that nothing listens on now. It begins at a random
-// port, so that fleets that start at the same time seldom meet.
+// FreeOn returns n addresses of a host on which no process listens at present. The search
+// starts at a random port, so that fleets that start at the same time rarely find the
+// same ports.
 func FreeOn(host netip.Addr, n int) ([]netip.AddrPort, error) {
 	var list []netip.AddrPort
 	first := rand.IntN(highest - lowest)
