--- a/io/bench/audit.go
+++ b/io/bench/audit.go
@@ -15,8 +15,8 @@
 )
 
 // callGroup counts the outcomes of the requests with the same body: a request and
-// its repetitions with the same idempotency key. unknown counts those without an
-// outcome.
+// its repetitions with the same idempotency key. unknown counts those that may have
+// run but have none of the three outcomes, or the wrong answer.
 type callGroup struct {
 	call             string
 	done, mayRun     int
--- a/io/bench/tally.go
+++ b/io/bench/tally.go
@@ -83,8 +83,8 @@
 	audit        *audit
 }
 
-// lateSlack is how long after its deadline an answer counts as late: it covers
-// the way back and the tool's own scheduling.
+// lateSlack is the time after the deadline from which an answer counts as late. It
+// allows for the way back over the network and for the scheduling of this tool.
 const lateSlack = 500 * time.Millisecond
 
 func newTally(start time.Time, width time.Duration) *tally {
--- a/io/front/answer.go
+++ b/io/front/answer.go
@@ -77,7 +77,8 @@
 	clock core.Clock
 	// stream is set if Data writes to the caller at once instead of buffering.
 	stream bool
-	// events is set if a streamed answer is a stream of server-sent events.
+	// events is set if the target is a model, whose streams consist of server-sent
+	// events.
 	events      bool
 	headWritten bool
 	ended       bool
@@ -166,9 +167,10 @@
 }
 
 // Fail ends the answer with a refusal; it does nothing after Done or Fail. If
-// part of a stream of events was already sent, the refusal becomes its last
-// event and the outcome a trailer. Any other stream is aborted (by a panic with
-// http.ErrAbortHandler), so that no caller takes a truncated body for a whole one.
+// part of the answer of a model was already sent, the refusal becomes the last
+// event of the stream and the outcome a trailer. The answer of a plain service is
+// aborted instead (by a panic with http.ErrAbortHandler), so that no caller takes
+// a truncated body for a whole one.
 func (a *Answer) Fail(r *core.Refusal) {
 	if a.ended {
 		return
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -144,7 +144,7 @@
 	return p.forward(c, parsed.stream)
 }
 
-// serveService serves a request to a plain serveService.
+// serveService serves a request to a plain service.
 func (p *inbound) serveService() *core.Refusal {
 	name, below, ok := splitServicePath(p.r.URL.EscapedPath())
 	if !ok {
--- a/io/front/header.go
+++ b/io/front/header.go
@@ -57,7 +57,7 @@
 	return key, nil
 }
 
-// deadline returns the caller's deadline, or otherwise if the caller sent none.
+// deadline returns the caller's deadline, or fallback if the caller sent none.
 func deadline(h http.Header, now, fallback time.Time) (time.Time, *core.Refusal) {
 	text := h.Get(HeaderDeadline)
 	if text == "" {
--- a/io/front/parse.go
+++ b/io/front/parse.go
@@ -15,8 +15,8 @@
 	"radishwell/core"
 )
 
-// completionRequest holds the members of a completion request that an entry reads or checks.
-// Engines read the rest.
+// completionRequest holds the members of a chat or text completion request that
+// an entry reads or checks. Engines read the rest.
 type completionRequest struct {
 	Model               *string           `json:"model"`
 	Messages            []json.RawMessage `json:"messages"`
@@ -35,7 +35,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// parsedRequest is a checked request parsedRequest.
+// parsedRequest is the result of parsing and checking a request body.
 type parsedRequest struct {
 	raw    []byte
 	model  core.ModelName
@@ -46,8 +46,8 @@
 	prefixes []uint64
 }
 
-// maxPrefixes limits the number of hashed prefixes. Prompts that share more
-// messages than that are rare.
+// maxPrefixes limits the number of hashed prefixes. Longer prefixes would add
+// little, because prompts share little beyond these.
 const maxPrefixes = 16
 
 // readAll reads the body of r. It refuses a body of more than limit bytes.
@@ -63,8 +63,8 @@
 	return raw, nil
 }
 
-// parseCompletion decodes and checks the body of a request to /v1/chat/completions if
-// chat is set, otherwise to /v1/completions.
+// parseCompletion decodes and checks the body of a request to
+// /v1/chat/completions if chat is set, otherwise to /v1/completions.
 func parseCompletion(h http.Header, raw []byte, chat bool) (parsedRequest, *core.Refusal) {
 	if kind, _, err := mime.ParseMediaType(h.Get(headerType)); err != nil || kind != "application/json" {
 		return parsedRequest{}, core.Refuse(core.CodeBadRequest, "Content-Type must be application/json")
--- a/io/soak/caller.go
+++ b/io/soak/caller.go
@@ -19,10 +19,11 @@
 	plat "radishwell/platform"
 )
 
-// Route is a kind of request that callers send.
+// Route is a route of the routing table, by which callers send requests.
 type Route uint8
 
-// Routes.
+// Routes. Requests to Once and Stream may run only once. Requests to Again may be
+// repeated, and those to Resumed are streams that another upstream may continue.
 const (
 	Once Route = iota
 	Again
--- a/io/soak/inject.go
+++ b/io/soak/inject.go
@@ -46,7 +46,7 @@
 		return host.link.Heal
 	case ResetAll:
 		w.eachLink((*midbox.Box).Reset)
-	case HushAll:
+	case SilenceAll:
 		w.eachLink((*midbox.Box).Hush)
 	case StoreDown:
 		return w.failStore(stand.Down)
--- a/io/soak/plan.go
+++ b/io/soak/plan.go
@@ -26,7 +26,7 @@
 	CutUpstream
 	DelayUpstream
 	ResetAll
-	HushAll
+	SilenceAll
 	StoreDown
 	StoreSilent
 	StoreLossy
@@ -72,7 +72,7 @@
 	CutUpstream:     {"cut-upstream", 4, 2 * time.Second},
 	DelayUpstream:   {"delay-upstream", 2, 2 * time.Second},
 	ResetAll:        {"reset-all", 3, 0},
-	HushAll:         {"hush-all", 2, 0},
+	SilenceAll:      {"hush-all", 2, 0},
 	StoreDown:       {"store-down", 2, 3 * time.Second},
 	StoreSilent:     {"store-silent", 2, 3 * time.Second},
 	StoreLossy:      {"store-lossy", 2, 2 * time.Second},
--- a/io/soak/signal.go
+++ b/io/soak/signal.go
@@ -185,7 +185,7 @@
 func (w *signalChecker) disturbed(from, to time.Duration) bool {
 	return slices.ContainsFunc(w.steps, func(s Step) bool {
 		switch s.Kind {
-		case CutUpstream, DelayUpstream, ResetAll, HushAll, RestartUpstream, LeaveUpstream:
+		case CutUpstream, DelayUpstream, ResetAll, SilenceAll, RestartUpstream, LeaveUpstream:
 			return s.Begin < to && s.End+signalDelay > from
 		}
 		return false
--- a/io/soak/testbed.go
+++ b/io/soak/testbed.go
@@ -119,7 +119,7 @@
 	}
 	free, err := ports.FreeOn(ports.Host(entryHost), 3+4*entries)
 	if err != nil {
-		return &StartError{What: "the world", Cause: err}
+		return &StartError{What: "the test bed", Cause: err}
 	}
 	agent := agentPorts{link: free[0].Port(), own: free[1].Port(), operators: free[2].Port()}
 	w.writeTable()
