--- a/io/fakes/midbox/box.go
+++ b/io/fakes/midbox/box.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// Way is a direction of a Box.
+// Way is the direction of data through a Box.
 type Way uint8
 
-// Ways of a Box.
+// Directions of data.
 const (
-	// Forth is from the side that connects.
+	// Forth is the direction from the client, which connects to the box, to the server.
 	Forth Way = iota
-	// Back is to the side that connects.
+	// Back is the direction from the server to the client.
 	Back
-	wayCount
+	directionCount
 )
 
 // Box relays connections from the address At to another address and injects faults. Data
@@ -35,10 +35,10 @@
 	mu    sync.Mutex
 	open  map[net.Conn]bool
 	delay time.Duration
-	// links limit the rate in each direction; nil is no limit.
-	links [wayCount]*Link
+	// links holds the link of each direction, or nil if its rate isn't limited.
+	links [directionCount]*Link
 	// pass holds a channel for each direction, which is closed unless the direction is cut.
-	pass [wayCount]chan struct{}
+	pass [directionCount]chan struct{}
 	// silenced counts the calls of Hush. Connections that were opened before the last one
 	// carry no data.
 	silenced int
@@ -58,9 +58,9 @@
 		return nil, err
 	}
 	b := &Box{listener: lis, to: to, open: map[net.Conn]bool{}}
-	for way := range b.pass {
-		b.pass[way] = make(chan struct{})
-		close(b.pass[way])
+	for dir := range b.pass {
+		b.pass[dir] = make(chan struct{})
+		close(b.pass[dir])
 	}
 	b.wg.Add(1)
 	go b.accept()
@@ -71,12 +71,12 @@
 func (b *Box) At() netip.AddrPort { return b.listener.Addr().(*net.TCPAddr).AddrPort() }
 
 // Cut holds back the data in a direction until Heal.
-func (b *Box) Cut(way Way) {
+func (b *Box) Cut(dir Way) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
-	case <-b.pass[way]:
-		b.pass[way] = make(chan struct{})
+	case <-b.pass[dir]:
+		b.pass[dir] = make(chan struct{})
 	default: // already cut
 	}
 }
@@ -110,10 +110,10 @@
 }
 
 // Limit makes the data in a direction pass through a link. A nil link removes the limit.
-func (b *Box) Limit(way Way, l *Link) {
+func (b *Box) Limit(dir Way, l *Link) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.links[way] = l
+	b.links[dir] = l
 }
 
 // Heal ends cuts and delays.
@@ -202,7 +202,7 @@
 }
 
 // relay copies data from one connection to the other until either ends.
-func (b *Box) relay(from, to net.Conn, way Way, silencedAtOpen int) {
+func (b *Box) relay(from, to net.Conn, dir Way, silencedAtOpen int) {
 	defer b.wg.Done()
 	defer func() {
 		b.mu.Lock()
@@ -213,8 +213,8 @@
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		b.carry(way, n)
-		if !b.awaitPass(way, silencedAtOpen) {
+		b.carry(dir, n)
+		if !b.awaitPass(dir, silencedAtOpen) {
 			_, _ = io.Copy(io.Discard, from) // until an end closes the connection
 			return
 		}
@@ -241,9 +241,9 @@
 
 // carry waits until the link of a direction, if there is one, has carried a number of
 // bytes.
-func (b *Box) carry(way Way, bytes int) {
+func (b *Box) carry(dir Way, bytes int) {
 	b.mu.Lock()
-	link := b.links[way]
+	link := b.links[dir]
 	b.mu.Unlock()
 	if link != nil && bytes > 0 {
 		link.carry(bytes)
@@ -252,9 +252,9 @@
 
 // awaitPass waits while a direction is cut and then for the delay. It returns false if the
 // connection has become silent.
-func (b *Box) awaitPass(way Way, silencedAtOpen int) bool {
+func (b *Box) awaitPass(dir Way, silencedAtOpen int) bool {
 	b.mu.Lock()
-	pass, delay := b.pass[way], b.delay
+	pass, delay := b.pass[dir], b.delay
 	b.mu.Unlock()
 	<-pass
 	if delay > 0 {
--- a/io/fakes/midbox/box_test.go
+++ b/io/fakes/midbox/box_test.go
@@ -76,10 +76,10 @@
 		writeLine(t, c, "a")
 		readLine(t, c, "a")
 	})
-	for way, name := range []string{"forth", "back"} {
+	for dir, name := range []string{"forth", "back"} {
 		t.Run("a cut "+name+" holds back what comes after it", func(t *testing.T) {
 			l, c := echo(t)
-			l.Cut(Way(way))
+			l.Cut(Way(dir))
 			writeLine(t, c, "a")
 			assertSilent(t, c)
 			l.Heal()
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -69,7 +69,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	p := inbound{front: f, w: w, r: r, id: id, arrived: arrived, snapshot: snapshot, caller: caller}
+	p := inbound{handler: f, w: w, r: r, id: id, arrived: arrived, snapshot: snapshot, caller: caller}
 	return p.dispatch()
 }
 
@@ -87,7 +87,7 @@
 
 // inbound is an authenticated request that is being checked.
 type inbound struct {
-	front    *Front
+	handler  *Front
 	w        http.ResponseWriter
 	r        *http.Request
 	id       core.RequestID
@@ -127,7 +127,7 @@
 	if refusal := p.requireMethod(http.MethodPost); refusal != nil {
 		return refusal
 	}
-	raw, refusal := readAll(p.w, p.r, p.front.MaxBody)
+	raw, refusal := readAll(p.w, p.r, p.handler.MaxBody)
 	if refusal != nil {
 		return refusal
 	}
@@ -157,7 +157,7 @@
 	if p.r.Header.Get("Upgrade") != "" || p.r.Method == http.MethodConnect {
 		return core.Refuse(core.CodeMethod, "protocol upgrades are not relayed")
 	}
-	raw, refusal := readAll(p.w, p.r, p.front.MaxBody)
+	raw, refusal := readAll(p.w, p.r, p.handler.MaxBody)
 	if refusal != nil {
 		return refusal
 	}
@@ -178,7 +178,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	due, refusal := deadline(p.r.Header, p.arrived, p.front.Deadline(c.Entry.Class, p.arrived))
+	due, refusal := deadline(p.r.Header, p.arrived, p.handler.Deadline(c.Entry.Class, p.arrived))
 	if refusal != nil {
 		return refusal
 	}
@@ -193,10 +193,10 @@
 	q.Size = core.Bytes(len(c.Body))
 	q.Fingerprint = fingerprint([]byte(q.Target.Name()), []byte(c.Method), []byte(c.Path), c.Body)
 	c.Answer = &Answer{
-		w: p.w, flush: http.NewResponseController(p.w), id: p.id, clock: p.front.Clock,
+		w: p.w, flush: http.NewResponseController(p.w), id: p.id, clock: p.handler.Clock,
 		stream: stream, events: q.Target.Model != "",
 	}
-	p.front.Serve(p.r.Context(), c)
+	p.handler.Serve(p.r.Context(), c)
 	return nil
 }
 
