--- a/io/entry/fault_test.go
+++ b/io/entry/fault_test.go
@@ -91,7 +91,7 @@
 	h.Work = between.At()
 	url := f.entryHost()
 	assertDone(t, chat(t, url, "alpha", "warm", false, 1))
-	time.AfterFunc(300*time.Millisecond, between.Hush)
+	time.AfterFunc(300*time.Millisecond, between.Silence)
 	a := chat(t, url, "alpha", "a b c", true, 60)
 	assertDone(t, a)
 	assert.Equal(t, text(t, a), strings.Repeat("a b c ", 20))
--- a/io/entry/fixture_test.go
+++ b/io/entry/fixture_test.go
@@ -287,7 +287,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- e.Run(ctx) }()
 	var n int
-	srv := httptest.NewServer(&front.Front{
+	srv := httptest.NewServer(&front.Handler{
 		Clock: realClock{}, Snapshot: f.snapshot, Serve: e.Serve, MaxBody: core.MiB,
 		Refused:  func(core.RequestID, *core.Refusal) {},
 		Deadline: func(_ core.Class, at time.Time) time.Time { return at.Add(20 * time.Second) },
--- a/io/fakes/midbox/box.go
+++ b/io/fakes/midbox/box.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// Way is the direction of data through a Box.
-type Way uint8
+// Direction is the direction of data through a Box.
+type Direction uint8
 
 // Directions of data.
 const (
-	// Forth is the direction from the client, which connects to the box, to the server.
-	Forth Way = iota
-	// Back is the direction from the server to the client.
-	Back
+	// ToServer is the direction from the client, which connects to the box, to the server.
+	ToServer Direction = iota
+	// ToClient is the direction from the server to the client.
+	ToClient
 	directionCount
 )
 
@@ -71,7 +71,7 @@
 func (b *Box) At() netip.AddrPort { return b.listener.Addr().(*net.TCPAddr).AddrPort() }
 
 // Cut holds back the data in a direction until Heal.
-func (b *Box) Cut(dir Way) {
+func (b *Box) Cut(dir Direction) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
@@ -110,7 +110,7 @@
 }
 
 // Limit makes the data in a direction pass through a link. A nil link removes the limit.
-func (b *Box) Limit(dir Way, l *Link) {
+func (b *Box) Limit(dir Direction, l *Link) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.links[dir] = l
@@ -130,8 +130,8 @@
 	}
 }
 
-// Hush makes all open connections silent for good, without closing them.
-func (b *Box) Hush() {
+// Silence makes all open connections silent for good, without closing them.
+func (b *Box) Silence() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.silenced++
@@ -181,8 +181,8 @@
 			continue
 		}
 		b.wg.Add(2)
-		go b.relay(in, out, Forth, silencedAtOpen)
-		go b.relay(out, in, Back, silencedAtOpen)
+		go b.relay(in, out, ToServer, silencedAtOpen)
+		go b.relay(out, in, ToClient, silencedAtOpen)
 	}
 }
 
@@ -202,7 +202,7 @@
 }
 
 // relay copies data from one connection to the other until either ends.
-func (b *Box) relay(from, to net.Conn, dir Way, silencedAtOpen int) {
+func (b *Box) relay(from, to net.Conn, dir Direction, silencedAtOpen int) {
 	defer b.wg.Done()
 	defer func() {
 		b.mu.Lock()
@@ -241,7 +241,7 @@
 
 // carry waits until the link of a direction, if there is one, has carried a number of
 // bytes.
-func (b *Box) carry(dir Way, bytes int) {
+func (b *Box) carry(dir Direction, bytes int) {
 	b.mu.Lock()
 	link := b.links[dir]
 	b.mu.Unlock()
@@ -252,7 +252,7 @@
 
 // awaitPass waits while a direction is cut and then for the delay. It returns false if the
 // connection has become silent.
-func (b *Box) awaitPass(dir Way, silencedAtOpen int) bool {
+func (b *Box) awaitPass(dir Direction, silencedAtOpen int) bool {
 	b.mu.Lock()
 	pass, delay := b.pass[dir], b.delay
 	b.mu.Unlock()
--- a/io/fakes/midbox/box_test.go
+++ b/io/fakes/midbox/box_test.go
@@ -79,7 +79,7 @@
 	for dir, name := range []string{"forth", "back"} {
 		t.Run("a cut "+name+" holds back what comes after it", func(t *testing.T) {
 			l, c := echo(t)
-			l.Cut(Way(dir))
+			l.Cut(Direction(dir))
 			writeLine(t, c, "a")
 			assertSilent(t, c)
 			l.Heal()
@@ -90,7 +90,7 @@
 		l, c := echo(t)
 		writeLine(t, c, "a")
 		readLine(t, c, "a")
-		l.Hush()
+		l.Silence()
 		writeLine(t, c, "b")
 		assertSilent(t, c)
 		c = dial(t, l)
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -28,8 +28,8 @@
 	Answer *Answer
 }
 
-// Front is the http.Handler for callers. All fields have to be set before use.
-type Front struct {
+// Handler is the http.Handler for callers. All fields have to be set before use.
+type Handler struct {
 	Clock core.Clock
 	// Snapshot returns the catalogue in force, or nil before the first one has
 	// arrived.
@@ -48,7 +48,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := f.NewID()
 	arrived := f.Clock.Now()
 	if refusal := f.serve(w, r, id, arrived); refusal != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (f *Front) serve(w http.ResponseWriter, r *http.Request, id core.RequestID, arrived time.Time) *core.Refusal {
+func (f *Handler) serve(w http.ResponseWriter, r *http.Request, id core.RequestID, arrived time.Time) *core.Refusal {
 	if refusal := checkSingle(r.Header); refusal != nil {
 		return refusal
 	}
@@ -87,7 +87,7 @@
 
 // inbound is an authenticated request that is being checked.
 type inbound struct {
-	handler  *Front
+	handler  *Handler
 	w        http.ResponseWriter
 	r        *http.Request
 	id       core.RequestID
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -70,7 +70,7 @@
 		objects[i].Version, objects[i].UID = core.Version(i+1), strconv.Itoa(i)
 	}
 	view.Apply(objects...)
-	srv := httptest.NewServer(&front.Front{
+	srv := httptest.NewServer(&front.Handler{
 		Clock: fixedClock{}, Snapshot: view.Snapshot, MaxBody: core.KiB,
 		Serve:    func(_ context.Context, c *front.Call) { serve(c) },
 		Refused:  func(core.RequestID, *core.Refusal) {},
--- a/io/node/entry.go
+++ b/io/node/entry.go
@@ -112,7 +112,7 @@
 
 // callersServer serves the callers' interface.
 func (n *Node) callersServer(e *entry.Entry) *httpd.Server {
-	f := &front.Front{
+	f := &front.Handler{
 		Clock: n.clock, Serve: e.Serve, MaxBody: n.Settings.Limits.MaxBody, Deadline: n.Settings.Limits.Deadlines.At,
 		Snapshot: func() *catlog.Snapshot {
 			if !n.role.ready() {
--- a/io/peer/calls_test.go
+++ b/io/peer/calls_test.go
@@ -108,7 +108,7 @@
 	l, err := midbox.New(to)
 	assert.NilError(t, err)
 	t.Cleanup(l.Close)
-	return l.At(), l.Hush
+	return l.At(), l.Silence
 }
 
 // TestSilentShortCalls: an entry probes a host now and then and waits for
--- a/io/peer/large_test.go
+++ b/io/peer/large_test.go
@@ -45,7 +45,7 @@
 		box, err := midbox.New(p.Address)
 		assert.NilError(f.t, err)
 		f.t.Cleanup(box.Close)
-		box.Limit(midbox.Back, link)
+		box.Limit(midbox.ToClient, link)
 		through = append(through, Target{Host: p.Host, Address: box.At()})
 	}
 	r := &remote{cut: make(chan error, 64)}
--- a/io/soak/inject.go
+++ b/io/soak/inject.go
@@ -47,7 +47,7 @@
 	case ResetAll:
 		w.eachLink((*midbox.Box).Reset)
 	case SilenceAll:
-		w.eachLink((*midbox.Box).Hush)
+		w.eachLink((*midbox.Box).Silence)
 	case StoreDown:
 		return w.failStore(stand.Down)
 	case StoreSilent:
@@ -83,8 +83,8 @@
 	case ResizeTable:
 		w.resizeTable()
 	case NarrowStore:
-		link.Limit(midbox.Back, &midbox.Link{Rate: float64(int(100+s.Variant%300) << 10)})
-		return func() { link.Limit(midbox.Back, nil) }
+		link.Limit(midbox.ToClient, &midbox.Link{Rate: float64(int(100+s.Variant%300) << 10)})
+		return func() { link.Limit(midbox.ToClient, nil) }
 	}
 	return nil
 }
@@ -124,10 +124,10 @@
 // cut cuts one direction, the other, or both.
 func cut(l *midbox.Box, variant int) func() {
 	if variant%3 != 1 {
-		l.Cut(midbox.Forth)
+		l.Cut(midbox.ToServer)
 	}
 	if variant%3 != 0 {
-		l.Cut(midbox.Back)
+		l.Cut(midbox.ToClient)
 	}
 	return l.Heal
 }
