--- a/io/fakes/midbox/box.go
+++ b/io/fakes/midbox/box.go
@@ -39,7 +39,7 @@
 	links [directionCount]*Link
 	// pass holds a channel for each direction, which is closed unless the direction is cut.
 	pass [directionCount]chan struct{}
-	// silenced counts the calls of Hush. Connections that were opened before the last one
+	// silenced counts the calls of Silence. Connections that were opened before the last one
 	// carry no data.
 	silenced int
 	closed   bool
@@ -187,7 +187,7 @@
 }
 
 // register adds connections to those that are open, or closes them if the box is closed.
-// It returns the number of calls of Hush so far.
+// It returns the number of calls of Silence so far.
 func (b *Box) register(conns ...net.Conn) (silencedAtOpen int, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/io/front/doc.go
+++ b/io/front/doc.go
@@ -3,6 +3,6 @@
 // It serves models under the paths of the OpenAI API and plain services under
 // /services/. It authenticates callers by their bearer keys, checks requests,
 // deadlines and idempotency keys, and writes whole or streamed answers with
-// their outcomes and typed errors. Front.Serve, which the entry sets, runs the
+// their outcomes and typed errors. Handler.Serve, which the entry sets, runs the
 // requests in between.
 package front
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -169,7 +169,7 @@
 	return p.forward(c, true)
 }
 
-// forward fills in the remaining fields of the call and passes it to Front.Serve.
+// forward fills in the remaining fields of the call and passes it to Handler.Serve.
 func (p *inbound) forward(c *Call, stream bool) *core.Refusal {
 	if !c.Entry.Allows(p.caller.Account.Name) {
 		return core.Refuse(core.CodeForbidden, "the owner "+string(p.caller.Account.Name)+" may not use "+c.Entry.Target.Name())
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -59,7 +59,7 @@
 // Now returns a fixed time, from which the tests compute deadlines.
 func (fixedClock) Now() time.Time { return time.Date(2026, 12, 1, 20, 0, 0, 0, time.UTC) }
 
-// serveWith starts a Front that answers requests with serve and returns its URL.
+// serveWith starts a Handler that answers requests with serve and returns its URL.
 func serveWith(t *testing.T, serve func(*front.Call)) string {
 	t.Helper()
 	var view catlog.View
