--- a/io/peer/calls_test.go
+++ b/io/peer/calls_test.go
@@ -108,7 +108,7 @@
 	l, err := midbox.New(to)
 	assert.NilError(t, err)
 	t.Cleanup(l.Close)
-	return l.At(), l.Hush
+	return l.At(), l.Silence
 }
 
 // TestSilentShortCalls: an entry probes a host now and then with a timeout of 50 ms, and
--- a/io/peer/large_test.go
+++ b/io/peer/large_test.go
@@ -46,7 +46,7 @@
 		box, err := midbox.New(p.Address)
 		assert.NilError(f.t, err)
 		f.t.Cleanup(box.Close)
-		box.Limit(midbox.Back, link)
+		box.Limit(midbox.ToClient, link)
 		through = append(through, Target{Host: p.Host, Address: box.At()})
 	}
 	r := &remoteProcess{failedCalls: make(chan error, 64)}
