--- a/io/proxy/answer.go
+++ b/io/proxy/answer.go
@@ -16,16 +16,17 @@
 
 // outcome is the result of one attempt.
 type outcome struct {
-	// done is set if the caller has its answer.
+	// done is set if the whole answer was forwarded to the caller.
 	done bool
 	// sent is set if the host may have received the request, rejected if the host
 	// states that it did not run the request.
 	sent, rejected bool
-	cause          error
+	// cause is the error of an attempt that is not done.
+	cause error
 }
 
 // SpoiltError reports an upstream's answer that cannot belong to the request or cannot
-// be passed on.
+// be forwarded.
 type SpoiltError struct{ Reason string }
 
 // Error implements error.
@@ -168,7 +169,7 @@
 	io.Closer
 }
 
-// writeFailure writes the failure that was kept.
+// writeFailure answers the caller with the kept failure.
 func (c *call) writeFailure() {
 	c.status = c.failure.status
 	head := c.writer.Header()
@@ -202,7 +203,7 @@
 	h.NoteFailure(now)
 }
 
-// recordEnd records that an attempt has ended, and calls note for its result.
+// recordEnd records that an attempt has ended, and calls note to record its result.
 func (c *call) recordEnd(t *target, note func(*fleet.Host, time.Time)) {
 	c.proxy.Update(func(_ *fleet.View, now time.Time) {
 		if !t.started {
@@ -220,7 +221,7 @@
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// check reports why an answer cannot be passed on as the request's.
+// check returns an error if a response cannot be forwarded as the answer to the request.
 func (c *call) check(resp *http.Response, head core.AnswerHead) error {
 	switch {
 	case head.ID != c.ask.ID:
--- a/io/proxy/backoff_test.go
+++ b/io/proxy/backoff_test.go
@@ -57,9 +57,9 @@
 		}
 		w.SetFault(stand.NoFault)
 		wantStatus(t, <-got, http.StatusOK)
-		came := w.Arrivals()
-		assert.Equal(t, len(came), 2)
-		assert.Assert(t, came[1].Sub(came[0]) >= 300*time.Millisecond)
+		arrivals := w.Arrivals()
+		assert.Equal(t, len(arrivals), 2)
+		assert.Assert(t, arrivals[1].Sub(arrivals[0]) >= 300*time.Millisecond)
 	})
 	t.Run("and of a model too", func(t *testing.T) {
 		r := newRig(t)
--- a/io/proxy/call.go
+++ b/io/proxy/call.go
@@ -24,8 +24,9 @@
 	refusalMargin = 20 * time.Millisecond
 	// failureMargin is how long before a request's deadline a kept failure is written.
 	failureMargin = 40 * time.Millisecond
-	// recheckInterval is how often a waiting request looks for a host without a change:
-	// hosts that were set aside for a time become available without one.
+	// recheckInterval is the interval at which a waiting request looks for a host while
+	// nothing changes: hosts that were set aside for a time become available again
+	// without a change.
 	recheckInterval = 200 * time.Millisecond
 	// retryPause is how long a request waits after all hosts have rejected it.
 	retryPause = 100 * time.Millisecond
@@ -44,6 +45,7 @@
 	ask      core.RequestHead
 	route    *rtable.Route
 	customer *rtable.Customer
+	// rank is the request's priority; zero is the most urgent.
 	rank     int
 	service  *rtable.Service
 	body     []byte
@@ -58,13 +60,14 @@
 	// sends counts the hosts that received any part of the request, ran those that may
 	// have run it.
 	sends, ran int
-	// The fields from here to longestPause are for the log line. lastErr and lastHost
-	// are the error and the host of the last attempt.
+	// The fields from here to longestPause are written to the log line; some are used
+	// elsewhere, too. lastErr and lastHost are the error and the host of the last
+	// attempt.
 	lastErr  error
 	lastHost core.HostName
-	// chosen is the host chosen last; reportAge the age of its report, cost and
-	// expectedWait the estimates for the request there, and signals what the host had
-	// stated about itself when the request was sent.
+	// chosen is the host chosen last; reportAge is the age of its agent's report, -1 if
+	// there is none; cost and expectedWait are the estimates for the request there; and
+	// signals is what the host had stated about itself when the request was sent.
 	chosen       core.HostName
 	reportAge    time.Duration
 	cost         float64
@@ -86,8 +89,8 @@
 	// events.
 	firstEvent, lastEvent time.Time
 	longestPause          time.Duration
-	// watched is the attempt in progress, if it is moved to another host when its own
-	// falls silent.
+	// watched is the attempt in progress if its stream may move to another host, nil
+	// otherwise.
 	watched *watchedStream
 	// started is set once part of an answer has been sent to the caller.
 	started bool
--- a/io/proxy/customer.go
+++ b/io/proxy/customer.go
@@ -12,13 +12,15 @@
 	// staleTableRetry is after how long callers retry if the entry's table is too old
 	// to judge their key.
 	staleTableRetry = 500 * time.Millisecond
-	// maxChargeAge is how long before a request is sent its units may have been taken.
+	// maxChargeAge is the longest time between the charge of a request and its sending.
+	// A request that is sent later is charged again.
 	maxChargeAge = 300 * time.Millisecond
 )
 
-// identify finds the customer that holds the caller's key. It decides once, on arrival:
-// a request that was accepted continues if its key is removed, since aborting it would
-// waste the work done and tell its caller nothing that the next request does not.
+// identify finds the customer that holds the caller's key, and refuses a request without
+// a valid key unless its route is open. It decides once, on arrival: a request that was
+// accepted continues if its key is removed. Aborting it would waste the work done, and
+// its caller learns of the removal from the next request.
 func (c *call) identify(t *rtable.Table) *core.Refusal {
 	if !t.Keyed() {
 		return nil
@@ -66,9 +68,9 @@
 	return refusal
 }
 
-// recharge charges a request that has waited just before it is sent, instead of on
-// arrival. The time at which upstreams receive requests is what counts: otherwise the
-// units of many requests that wait for one model would all be used at the moment at
+// recharge replaces the charge of a request that has waited by a new one just before the
+// request is sent. The time at which upstreams receive requests is what counts: otherwise
+// the units of many requests that wait for one model would all be used at the moment at
 // which the model is loaded.
 func (c *call) recharge(ctx context.Context, t *target) *core.Refusal {
 	if c.units == 0 || c.ran > 0 || !c.chargedAt.IsZero() && c.proxy.Clock.Now().Sub(c.chargedAt) < maxChargeAge {
--- a/io/proxy/customer_test.go
+++ b/io/proxy/customer_test.go
@@ -136,7 +136,7 @@
 	} {
 		t.Run(name, func(t *testing.T) { refused(t, http.StatusUnauthorized, values...) })
 	}
-	t.Run("an entry that may be behind says when to come back", func(t *testing.T) {
+	t.Run("an entry that may be behind says when to retry", func(t *testing.T) {
 		r.Behind = func() bool { return true }
 		defer func() { r.Behind = nil }()
 		a := refused(t, http.StatusServiceUnavailable, "Bearer k-9")
@@ -159,7 +159,7 @@
 		wantStatus(t, do(t, r.ask(t, http.MethodGet, "/once/x", "q-2", keyField, "Bearer k-1")), http.StatusOK)
 		assert.Equal(t, quota.remaining(), 640.0)
 	})
-	t.Run("one that is over it is told when to come back and does not run", func(t *testing.T) {
+	t.Run("a request over it is refused with a time to retry and does not run", func(t *testing.T) {
 		r, w, quota := keyedRig(t)
 		a := send(t, r, "q", "999,2")
 		wantStatus(t, a, http.StatusTooManyRequests)
--- a/io/proxy/leave_test.go
+++ b/io/proxy/leave_test.go
@@ -14,9 +14,10 @@
 // Guards against requests sent to an upstream after it has stated in an answer that it
 // is leaving, even if that answer could not be used.
 func TestLeavingUpstreamGetsNoMore(t *testing.T) {
-	// settled makes p-1 state that it is leaving in the answer to a first request, to
-	// which the trick applies, and returns a rig that has another upstream.
-	settled := func(t *testing.T, trick stand.WorkerFault, path string) (*rig, *stand.Worker) {
+	// leavingRig returns a rig with two upstreams, and the first of them, p-1, which has
+	// stated in the answer to a request that it is leaving. The fault applies to that
+	// answer.
+	leavingRig := func(t *testing.T, fault stand.WorkerFault, path string) (*rig, *stand.Worker) {
 		t.Helper()
 		r := newRig(t)
 		service, more := "plain", []string{}
@@ -24,7 +25,7 @@
 			service, more = "llm", []string{"X-Radishwell-Model", "m"}
 		}
 		w := r.add(t, core.ServiceName(service), &stand.Worker{ID: "p-1", Events: 4})
-		w.SetFault(trick)
+		w.SetFault(fault)
 		w.AnnounceLeaving()
 		r.add(t, core.ServiceName(service), &stand.Worker{ID: "p-2", Events: 4})
 		for n := 0; len(w.Requests()) == 0; n++ {
@@ -34,12 +35,12 @@
 		return r, w
 	}
 	for _, path := range []string{"/once/", "/again/", "/stream/", "/resumed/"} {
-		for name, trick := range map[string]stand.WorkerFault{
+		for name, fault := range map[string]stand.WorkerFault{
 			"whole": stand.NoFault, "turned away": stand.Shed, "failed": stand.ServerError, "not signed": stand.Unsigned,
 			"without a word on whether it ran": stand.Ambiguous, "cut after its head": stand.HeaderOnly, "cut in the middle": stand.Truncated,
 		} {
 			t.Run(path+" "+name, func(t *testing.T) {
-				r, w := settled(t, trick, path)
+				r, w := leavingRig(t, fault, path)
 				for i := range 8 {
 					a := do(t, r.ask(t, http.MethodPost, path+"x", fmt.Sprint("q-", i), "X-Radishwell-Model", "m"))
 					wantStatus(t, a, http.StatusOK)
--- a/io/proxy/proxy.go
+++ b/io/proxy/proxy.go
@@ -32,10 +32,10 @@
 	Pacer core.Pacer
 	// OnRateLimit, if set, is called for each answer in which an upstream names a rate
 	// limit, and once when the upstream no longer names one.
-	OnRateLimit func(life fleet.Incarnation, limit core.RateLimit)
+	OnRateLimit func(inc fleet.Incarnation, limit core.RateLimit)
 	// OnLeaving, if set, is called once an upstream states in an answer that it is
 	// leaving.
-	OnLeaving func(life fleet.Incarnation)
+	OnLeaving func(inc fleet.Incarnation)
 	// Behind, if set, reports whether the routing table in force may be outdated.
 	Behind func() bool
 	// RetryRatio, RetrySpare and RetrySpan are this process's share of the platform's
@@ -155,8 +155,8 @@
 	return p.demand.All(p.Clock.Now())
 }
 
-// UpdateForecasts updates the forecasts of the models in asked. Those that ready lacks are
-// not being loaded.
+// UpdateForecasts updates the forecasts of the models in asked. It deletes the forecasts of
+// those that are not in ready, since they are not being loaded.
 func (p *Proxy) UpdateForecasts(asked []core.ModelName, ready map[core.ModelName]time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,8 +200,8 @@
 	p.wake()
 }
 
-// waitUntil returns until when a request with a deadline may wait. stopping is set if
-// the process stops before that deadline.
+// waitUntil returns the time until which a request with a deadline may wait. stopping is
+// set if the process stops before that time.
 func (p *Proxy) waitUntil(deadline time.Time) (at time.Time, stopping bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -238,13 +238,15 @@
 
 // target is the host that an attempt is sent to.
 type target struct {
-	id      core.HostName
+	id core.HostName
+	// born is the start time of the host's incarnation, as in fleet.Incarnation.
 	born    int64
 	address netip.AddrPort
 	host    *fleet.Host
 	// unread is the number of prompt tokens that the host has to process for the
 	// request.
-	unread  int
+	unread int
+	// started is set once the first event of a stream has arrived from the host.
 	started bool
 	// limit is the rate limit that the host named when it was chosen. reserved is set
 	// if a reservation was made under it.
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -179,7 +179,7 @@
 	assert.Equal(t, a.header.Get("X-Radishwell-Server-Signature"), "signed-by-p-1")
 	assert.Equal(t, a.header.Get("X-Radishwell-Request-Id"), "q-1")
 	seen := w.Requests()[0]
-	assert.Equal(t, seen.Path, "/once/a%2Fb//c?x=%20y", "path and query go on as they came")
+	assert.Equal(t, seen.Path, "/once/a%2Fb//c?x=%20y", "path and query are forwarded unchanged")
 	assert.Equal(t, seen.Host, "a.example")
 	assert.Equal(t, string(seen.Body), "body of q-1")
 	assert.Equal(t, seen.Header.Get("Hold"), "")
@@ -212,12 +212,12 @@
 // answer to its first run was lost.
 func TestLostAnswers(t *testing.T) {
 	t.Run("a request that may run once", func(t *testing.T) {
-		for _, trick := range []stand.WorkerFault{stand.NoResponse, stand.WrongID, stand.Unsigned, stand.Ambiguous, stand.Truncated} {
-			t.Run(fmt.Sprint(trick), func(t *testing.T) {
+		for _, fault := range []stand.WorkerFault{stand.NoResponse, stand.WrongID, stand.Unsigned, stand.Ambiguous, stand.Truncated} {
+			t.Run(fmt.Sprint(fault), func(t *testing.T) {
 				r := newRig(t)
 				ws := plain(t, r, "p-1", "p-2", "p-3")
 				for _, w := range ws {
-					w.SetFault(trick)
+					w.SetFault(fault)
 				}
 				for _, method := range []string{http.MethodGet, http.MethodPost} {
 					id := "q-" + method
@@ -258,7 +258,7 @@
 		wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "q")), http.StatusOK)
 		assert.Equal(t, ws[1].Ran("q"), 1)
 	})
-	t.Run("all turn it away: not run, and when to come back", func(t *testing.T) {
+	t.Run("all reject it: not run, and when to retry", func(t *testing.T) {
 		r := newRig(t)
 		ws := plain(t, r, "p-1", "p-2")
 		ws[0].SetFault(stand.Shed)
@@ -268,7 +268,7 @@
 		assert.Assert(t, a.header.Get("Retry-After") != "")
 		assert.Equal(t, totalRuns(ws, "q"), 0)
 	})
-	t.Run("the address has another life: 421 is no answer for the caller", func(t *testing.T) {
+	t.Run("the address belongs to another incarnation: 421 is no answer for the caller", func(t *testing.T) {
 		r := newRig(t)
 		ws := plain(t, r, "p-1", "p-2")
 		ws[0].ID = "p-9"
@@ -294,7 +294,7 @@
 	assert.Assert(t, arrivals > requests, arrivals)
 }
 
-// Guards against replacing a failure of the service itself, which is the caller's
+// Guards against replacing a failure that the service itself answers. It is the caller's
 // answer.
 func TestOwnFailureIsPassedOn(t *testing.T) {
 	r := newRig(t)
@@ -333,7 +333,7 @@
 		a := do(t, r.ask(t, http.MethodGet, "/again/x", "q", "X-Radishwell-Deadline-Ms", "1000"))
 		wantStatus(t, a, http.StatusInternalServerError)
 	})
-	t.Run("or where no other host is there", func(t *testing.T) {
+	t.Run("or where there is no other host", func(t *testing.T) {
 		r := newRig(t)
 		w := plain(t, r, "p-1")[0]
 		w.SetFault(stand.ServerError)
--- a/io/proxy/reserve_test.go
+++ b/io/proxy/reserve_test.go
@@ -65,7 +65,7 @@
 	w := plain(t, r, "p-1")[0]
 	rate := 1.0
 	w.SetRateLimit(&rate)
-	wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "told")), http.StatusOK)
+	wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "q-limit")), http.StatusOK)
 	return r, p, w
 }
 
--- a/io/proxy/signal.go
+++ b/io/proxy/signal.go
@@ -9,8 +9,8 @@
 	"radishwell/io/meter"
 )
 
-// signals are what a host's own answers are known to state about it when a request is
-// sent there.
+// signals is what this entry knows, when it sends a request to a host, of what the host
+// has stated about itself.
 type signals struct {
 	limit core.RateLimit
 	// leaving is set if the host states that it is leaving, and leavingFor is the time
@@ -21,8 +21,8 @@
 	backoff bool
 }
 
-// recordSend records, for the log, what is known of a host when a request is sent
-// there. It returns the time.
+// recordSend records what a host has stated about itself when a request is sent there,
+// for the log and the metrics. It returns the current time.
 func (c *call) recordSend(t *target) time.Time {
 	p := c.proxy
 	p.mu.Lock()
@@ -47,7 +47,8 @@
 // maxUnknownFields bounds the names of unknown fields that are remembered.
 const maxUnknownFields = 64
 
-// newFields returns the names of unknown fields that were not seen before.
+// newFields returns the names of unknown fields that were not seen before, and remembers
+// them.
 func (p *Proxy) newFields(names []string) (out []string) {
 	if len(names) == 0 {
 		return nil
@@ -69,23 +70,23 @@
 	if head.ID != c.ask.ID {
 		return // the answer belongs to another request
 	}
-	p, life := c.proxy, fleet.Incarnation{ID: t.id, Born: t.born}
+	p, inc := c.proxy, fleet.Incarnation{ID: t.id, Born: t.born}
 	for _, name := range p.newFields(head.UnknownFields) {
 		events.Log(events.UpstreamFieldUnknown, "field", name, "host", t.id, "address", t.address, "request", c.ask.ID)
 	}
 	var limited, leaving, backoff bool
 	var limit core.RateLimit
 	p.Update(func(v *fleet.View, now time.Time) {
-		limited = v.NoteLimit(life, sent, now, head.Limit)
-		limit = v.Limit(life, now)
-		backoff = v.NoteBackoff(life, now, head.RetryAt)
-		leaving = head.Leaving && v.NoteLeaving(life, now)
+		limited = v.NoteLimit(inc, sent, now, head.Limit)
+		limit = v.Limit(inc, now)
+		backoff = v.NoteBackoff(inc, now, head.RetryAt)
+		leaving = head.Leaving && v.NoteLeaving(inc, now)
 	})
 	if p.OnRateLimit != nil && (limited || head.Limit.Limited) {
-		p.OnRateLimit(life, limit)
+		p.OnRateLimit(inc, limit)
 	}
 	if p.OnLeaving != nil && leaving {
-		p.OnLeaving(life)
+		p.OnLeaving(inc)
 	}
 	if limited {
 		events.Log(events.UpstreamLimited, "host", t.id, "address", t.address, "limited", limit.Limited, "rate", limit.Rate, "request", c.ask.ID)
--- a/io/proxy/silent.go
+++ b/io/proxy/silent.go
@@ -41,16 +41,17 @@
 	latencyTarget time.Duration
 	// callerLeaves is when the caller leaves if no first event arrives.
 	callerLeaves time.Time
-	// started is set once an event has arrived.
+	// started is set once an event has been forwarded to the caller.
 	started atomic.Bool
-	// lastEvent is when the latest event arrived, or the attempt began, in nanoseconds
-	// since the Unix epoch.
+	// lastEvent is when the latest event was forwarded, or the attempt began, in
+	// nanoseconds since the Unix epoch.
 	lastEvent atomic.Int64
 	cancel    context.CancelCauseFunc
 }
 
-// watch cancels an attempt at a stream that may run again when its host falls silent.
-// The caller ends the watch with the function returned.
+// watch starts to watch the attempt that begins now, if it is at a stream that may be sent
+// to another host. It returns a context that is cancelled when the stream is to move since
+// its host is silent, and a function that ends the watch.
 //
 // A host may freeze or lose power together with its agent. Its connections stay open
 // but carry nothing, the registry lists the host for seconds more, and callers leave
@@ -94,9 +95,9 @@
 	return nil
 }
 
-// canMove reports whether a stream may move to another host. Without any event yet, a
-// late answer is better than none; if the caller has events, the stream may still
-// continue where it is, so it moves only to a host that is not overloaded.
+// canMove reports whether a stream may move to the host next. Before the first event, a
+// late answer is better than none. After it, the stream may still continue at its present
+// host, so it moves only to a host that is not overloaded.
 func (w *watchedStream) canMove(now time.Time, next fleet.Choice) bool {
 	switch {
 	case next.Host == nil:
@@ -107,8 +108,8 @@
 	return !next.Overloaded(w.latencyTarget)
 }
 
-// moveSilent cancels the attempts at streams of silent hosts so that they continue
-// elsewhere. Those that no other host can take now stay.
+// moveSilent cancels the attempts at streams of silent hosts so that the streams continue
+// elsewhere. Streams that no other host can take now stay at their hosts.
 func (p *Proxy) moveSilent() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/io/proxy/silent_test.go
+++ b/io/proxy/silent_test.go
@@ -49,7 +49,7 @@
 		t.Cleanup(done)
 		return r
 	}
-	left := func(r *rig) bool {
+	moved := func(r *rig) bool {
 		r.moveSilent()
 		var silent *SilentError
 		return errors.As(context.Cause(r.ctx), &silent)
@@ -58,9 +58,9 @@
 	t.Run("go on elsewhere", func(t *testing.T) {
 		r := begin(t, resumable, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(900 * time.Millisecond)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 		r.clock.now = r.clock.now.Add(200 * time.Millisecond)
-		assert.Assert(t, left(r))
+		assert.Assert(t, moved(r))
 	})
 	// overload makes i-2 a host that should answer after the route's target, but before
 	// callers leave.
@@ -75,7 +75,7 @@
 		r := begin(t, patient, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1100 * time.Millisecond)
 		overload(r)
-		assert.Assert(t, left(r))
+		assert.Assert(t, moved(r))
 	})
 	t.Run("stay where the caller would have left by then, or has events", func(t *testing.T) {
 		patient := resumable
@@ -83,42 +83,42 @@
 		r := begin(t, patient, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1600 * time.Millisecond)
 		overload(r)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 		r = begin(t, patient, "i-1", "i-2")
 		r.call.recordEvent()
 		r.clock.now = r.clock.now.Add(1100 * time.Millisecond)
 		overload(r)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 	t.Run("stay while the agent reports", func(t *testing.T) {
 		r := begin(t, resumable, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
 		r.view.Report(fleet.Report{ID: "i-1", Taken: r.clock.now, Reachable: true})
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 	t.Run("stay while events come", func(t *testing.T) {
 		r := begin(t, resumable, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
 		r.call.recordEvent()
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 	t.Run("stay for twice the pause that callers accept", func(t *testing.T) {
 		slow := resumable
 		slow.Pause = time.Second
 		r := begin(t, slow, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 	t.Run("stay where no other host has the model", func(t *testing.T) {
 		r := begin(t, resumable, "i-1")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 	t.Run("stay where they may not run again", func(t *testing.T) {
 		once := resumable
 		once.Resumable = false
 		r := begin(t, once, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 }
--- a/io/proxy/stream.go
+++ b/io/proxy/stream.go
@@ -105,7 +105,7 @@
 	return err == nil && bytes.Contains(ahead, []byte("\n\n"))
 }
 
-// GoneError reports that the caller no longer reads its answer.
+// GoneError reports a caller that no longer reads its answer.
 type GoneError struct{ Cause error }
 
 // Error implements error.
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// noLoaderTimeout is how long no agent or entry that can order loads may be known
-	// before requests for models that no host holds are refused. Agents that restart
-	// are back within it.
+	// noLoaderTimeout is how long there may be no agent or entry that can order loads
+	// before requests for models that no host holds are refused. Agents that restart are
+	// available again within it.
 	noLoaderTimeout = 3 * time.Second
 	// noLoaderRetry is after how long callers of such requests are told to retry.
 	noLoaderRetry = 2 * time.Second
@@ -21,8 +21,8 @@
 	allLeavingRetry = time.Second
 )
 
-// acquire returns the host that the request is sent to next. It waits while no host
-// holds the model, and refuses as soon as it is known that none will in time.
+// acquire returns the host that the request is sent to next. It waits while no host can
+// take the request, and refuses as soon as it is known that none will in time.
 func (c *call) acquire(ctx context.Context) (*target, *core.Refusal) {
 	waiting := false
 	began, fetched := c.proxy.Clock.Now(), c.fetchTime
@@ -175,8 +175,8 @@
 	return core.RefuseUntil(core.CodeWaitTooLong, "no host takes the request before its deadline", c.retryAt(at.Sub(now)))
 }
 
-// noLoader reports whether no agent, nor an entry that acts for one, that could have
-// the model loaded was known for noLoaderTimeout. Callers would otherwise wait until
+// noLoader reports whether, for noLoaderTimeout, no agent was available that could order
+// the load of the model, nor an entry in its place. Callers would otherwise wait until
 // they leave.
 func (c *call) noLoader(now time.Time) bool {
 	return c.query.Model != "" && c.ran == 0 && len(c.query.Tried) == 0 && now.Sub(c.proxy.loaderSeen) >= noLoaderTimeout
