--- a/io/deploy/adapters.go
+++ b/io/deploy/adapters.go
@@ -47,9 +47,9 @@
 }
 
 // callAgent calls the agent of a host, or the entry that orders the host in place of an agent.
-// An entry that orders some engines of a data centre may not order this one, if it has an
-// agent that this process does not poll. The entry then refuses the call, and callAgent calls
-// the agent.
+// An entry that orders some engines of a data centre does not order this one if the host has
+// an agent, which this entry may not know if it does not poll that agent. The other entry
+// then refuses the call, and callAgent calls the agent.
 func callAgent[R any](l *links, h fleet.Entry, call func(to peer.Target, upstream []byte) (R, error)) (R, error) {
 	to, upstream := l.target(h.Address, h.DataCentre)
 	reply, err := call(to, upstream)
--- a/io/deploy/agent.go
+++ b/io/deploy/agent.go
@@ -46,8 +46,8 @@
 // startRecord is the record that an agent writes to the store when it starts.
 type startRecord struct {
 	Began time.Time `json:"began"`
-	// Upstream is the engine beside the agent. While the record exists, no entry orders that
-	// engine.
+	// Upstream is the address of the agent's engine. While the record exists, no entry orders
+	// that engine.
 	Upstream netip.AddrPort `json:"upstream"`
 }
 
@@ -72,8 +72,8 @@
 	}
 }
 
-// awaitEntry waits until no entry orders the engine beside this agent. An entry of its data
-// centre may have done so until the agent's record existed.
+// awaitEntry waits until no entry orders this agent's engine. An entry of its data centre
+// may have done so until the agent's record existed.
 func (p *Process) awaitEntry(ctx context.Context) error {
 	_, err := p.store.Get(ctx, core.KindOrders, string(p.Settings.DataCentre))
 	var failed *core.PlatformError
--- a/io/deploy/deploy_test.go
+++ b/io/deploy/deploy_test.go
@@ -267,9 +267,9 @@
 	})
 }
 
-// Guards against engines without agents that nobody orders. Requests for a model that was
-// not loaded anywhere then waited until their callers gave up, though the engines worked. An
-// entry has to order such engines.
+// Guards against engines without agents that receive no orders. Requests for a model that
+// was not loaded anywhere then waited until their callers gave up, though the engines worked.
+// An entry has to order such engines.
 func TestEngineWithoutAgentIsOrdered(t *testing.T) {
 	f := newFleet(t)
 	w := f.addEngine(t, 1, stand.Held{Name: "m-1"})
--- a/io/deploy/leave_test.go
+++ b/io/deploy/leave_test.go
@@ -25,7 +25,7 @@
 	return w
 }
 
-// Guards against entries that do not tell each other of an upstream that announces in a
+// Guards against entries that do not notify each other of an upstream that announces in a
 // response that it is leaving. The registry does not show it.
 func TestOthersHearOfLeaving(t *testing.T) {
 	f := newFleet(t)
--- a/io/deploy/limit_test.go
+++ b/io/deploy/limit_test.go
@@ -93,7 +93,7 @@
 	})
 }
 
-// Guards against entries that do not tell each other of upstreams' rate limits.
+// Guards against entries that do not notify each other of upstreams' rate limits.
 func TestOthersHearOfLimit(t *testing.T) {
 	f := newFleet(t)
 	w := f.addUpstream(t, 1, stand.Held{Name: "m-1"})
--- a/io/deploy/link.go
+++ b/io/deploy/link.go
@@ -14,7 +14,7 @@
 	"radishwell/wire"
 )
 
-// link is the exchange with the agent beside one upstream host.
+// link is the exchange with the agent of one upstream.
 type link struct {
 	address netip.AddrPort
 	stop    context.CancelFunc
@@ -34,26 +34,25 @@
 	// entriesExpire when it next requests the whole list.
 	entriesVersion uint64
 	entriesExpire  time.Time
-	// life is the life of the upstream that was last sent to the agent. A life is the time
-	// from one start of the upstream to the next.
-	life   fleet.Incarnation
-	centre core.DataCentre
-	// agentAnswered is set once an agent has answered. tryAgent is set if the next call goes to
-	// the agent even though an entry orders the engines without one.
-	agentAnswered, tryAgent bool
+	// incarnation is the upstream's incarnation that was last sent to the agent.
+	incarnation fleet.Incarnation
+	centre      core.DataCentre
+	// agentResponded is set once an agent has responded. tryAgent is set if the next call goes
+	// to the agent even though an entry orders the engines without one.
+	agentResponded, tryAgent bool
 }
 
-// isNewLife reports whether a life differs from the one last sent to the agent. The agent must
-// then be notified without waiting for the call in progress, whose reply it may delay for
-// half a second: until it knows the life, it sends no orders.
-func (k *link) isNewLife(life fleet.Incarnation) bool {
+// isNewIncarnation reports whether an incarnation differs from the one last sent to the
+// agent. The agent must then be notified without waiting for the call in progress, whose
+// reply it may delay for half a second: until it knows the incarnation, it sends no orders.
+func (k *link) isNewIncarnation(inc fleet.Incarnation) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return life.ID != "" && life != k.life
+	return inc.ID != "" && inc != k.incarnation
 }
 
-// notify sends the current state, such as the upstream's life and the planner, to an agent
-// without waiting for the next poll.
+// notify sends the current state, such as the upstream's incarnation and the planner, to an
+// agent without waiting for the next poll.
 func (l *links) notify(ctx context.Context, k *link) {
 	reply, err := l.call(ctx, k, 0, 0)
 	if err != nil {
@@ -64,12 +63,13 @@
 	l.applyReply(k, reply)
 }
 
-// recordAnswer records whether a call was answered, and whether it went to the agent. After a
-// failure the next call goes to the other of agent and entry.
-func (k *link) recordAnswer(beside, ok bool) {
+// recordResult records whether a call succeeded, and whether it went to the agent. After a
+// failure the next call goes to the other one of the agent and the entry that orders the
+// engine in its place.
+func (k *link) recordResult(toAgent, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.agentAnswered = k.agentAnswered || ok && beside
+	k.agentResponded = k.agentResponded || ok && toAgent
 	if !ok {
 		k.tryAgent = !k.tryAgent
 	}
@@ -106,17 +106,17 @@
 	} else {
 		l.addRelayed(k, in)
 	}
-	// The life is zero if the registry lists no upstream at the address.
-	var life fleet.Incarnation
+	// The incarnation is zero if the registry lists no upstream at the address.
+	var inc fleet.Incarnation
 	l.entry.proxy.Update(func(v *fleet.View, _ time.Time) {
-		life = v.Newest(k.address)
-		if h := v.Host(life.ID); h != nil && direct {
+		inc = v.Newest(k.address)
+		if h := v.Host(inc.ID); h != nil && direct {
 			in.Active = feed.EncodeCounts(h.OwnActive())
 		}
 	})
-	in.Instance, in.Born = string(life.ID), life.Born
+	in.Instance, in.Born = string(inc.ID), inc.Born
 	k.mu.Lock()
-	k.life = life
+	k.incarnation = inc
 	for name := range k.used {
 		in.Used = append(in.Used, name)
 	}
@@ -131,12 +131,12 @@
 	to, upstream := l.target(k.address, k.centre)
 	in.Upstream = upstream
 	reply, err := l.entry.client.Upstream(ctx, to, in)
-	k.recordAnswer(upstream == nil, err == nil)
+	k.recordResult(upstream == nil, err == nil)
 	return reply, err
 }
 
-// addRelayed adds the planner and the use of the upstream by other entries to a call, for
-// which a relay is responsible.
+// addRelayed adds to a relay's call what the other entries do not send to the agent
+// themselves: the planner, and all entries' use of the upstream.
 func (l *links) addRelayed(k *link, in *wire.UpstreamCall) {
 	planner := l.entry.feed.CurrentPlanner()
 	in.Planner, in.PlannerControl = string(planner.Name), planner.Control.String()
--- a/io/deploy/links.go
+++ b/io/deploy/links.go
@@ -72,15 +72,15 @@
 		}
 	}
 	for address, e := range wanted {
-		life := e.life
+		inc := e.incarnation
 		k := l.all[address]
 		if k == nil {
 			own, stop := context.WithCancel(ctx)
-			k = &link{address: address, centre: e.centre, stop: stop, used: map[string]bool{}, life: life}
+			k = &link{address: address, centre: e.centre, stop: stop, used: map[string]bool{}, incarnation: inc}
 			l.all[address] = k
 			go l.poll(own, k)
 		}
-		if k.isNewLife(life) {
+		if k.isNewIncarnation(inc) {
 			go l.notify(ctx, k)
 		}
 	}
@@ -88,8 +88,8 @@
 
 // engine is an upstream of a service with models, as the registry lists it.
 type engine struct {
-	centre core.DataCentre
-	life   fleet.Incarnation
+	centre      core.DataCentre
+	incarnation fleet.Incarnation
 }
 
 // engines returns the upstreams of services with models, by address.
@@ -102,7 +102,7 @@
 	l.entry.proxy.Update(func(v *fleet.View, _ time.Time) {
 		for _, h := range v.Hosts("") {
 			if s := table.Services[h.Service]; h.Usable && s != nil && s.HasModels() {
-				out[h.Address] = engine{centre: h.DataCentre, life: v.Newest(h.Address)}
+				out[h.Address] = engine{centre: h.DataCentre, incarnation: v.Newest(h.Address)}
 			}
 		}
 	})
@@ -136,46 +136,48 @@
 	return l.all[address]
 }
 
-// agentTarget returns the target of calls to the agent beside an upstream.
+// agentTarget returns the target of calls to the agent of an upstream, which listens on the
+// upstream's IP address.
 func (l *links) agentTarget(address netip.AddrPort) peer.Target {
 	return peer.Target{Address: netip.AddrPortFrom(address.Addr(), uint16(l.entry.Settings.Managed.AgentPort))}
 }
 
-// target returns the target of calls to the agent of an upstream. If no agent has ever
-// answered there and an entry orders upstreams of the data centre, the target is that entry,
-// and upstream is the encoded address that identifies the upstream in the call. Otherwise
-// upstream is nil.
+// target returns the target of calls to the agent of an upstream. If this entry has not had
+// a response from that agent, and an entry orders upstreams of the data centre, the target is
+// that entry, and upstream is the encoded address that identifies the upstream in the call.
+// Otherwise upstream is nil.
 func (l *links) target(address netip.AddrPort, dc core.DataCentre) (to peer.Target, upstream []byte) {
-	beside := l.agentTarget(address)
+	agent := l.agentTarget(address)
 	if k := l.link(address); k != nil {
 		k.mu.Lock()
-		direct := k.agentAnswered || k.tryAgent
+		direct := k.agentResponded || k.tryAgent
 		k.mu.Unlock()
 		if direct {
-			return beside, nil
+			return agent, nil
 		}
 	}
-	holder, ok := l.entry.members.ordererOf(dc)
+	orderer, ok := l.entry.members.ordererOf(dc)
 	if !ok {
-		return beside, nil
+		return agent, nil
 	}
 	upstream, err := address.MarshalBinary()
 	if err != nil {
 		events.Fail(events.DecisionFailed, err, "address", address)
-		return beside, nil
+		return agent, nil
 	}
-	return holder, upstream
+	return orderer, upstream
 }
 
-// agentAnswered reports whether an agent beside an upstream has ever answered this entry.
-func (l *links) agentAnswered(address netip.AddrPort) bool {
+// agentResponded reports whether the agent of an upstream has responded to a poll of this
+// entry since the entry began to poll it.
+func (l *links) agentResponded(address netip.AddrPort) bool {
 	k := l.link(address)
 	if k == nil {
 		return false
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.agentAnswered
+	return k.agentResponded
 }
 
 // active returns the links whose agents reported within reportTimeout.
--- a/io/deploy/links_test.go
+++ b/io/deploy/links_test.go
@@ -18,7 +18,7 @@
 // Guards against a data race at the start of an entry: the planner read the map of links
 // while the goroutine of the links created it. On a busy machine the race detector aborted
 // one start in some dozens.
-func TestLinksAreThereBeforeTheyRun(t *testing.T) {
+func TestLinksExistBeforeRun(t *testing.T) {
 	e := &entry{Process: &Process{clock: Clock{start: time.Now()}}, proxy: &proxy.Proxy{Clock: Clock{start: time.Now()}}}
 	e.proxy.Start()
 	e.buildLinks()
@@ -50,15 +50,15 @@
 // Guards against sending all calls for a data centre to the entry that orders some of its
 // engines. If one engine had no agent, entries that poll no agents called that entry for the
 // adapters of all engines there, and no adapters were loaded on engines with agents.
-func TestAgentIsCalledBesideEngineOfAnEntry(t *testing.T) {
-	holder := serveCalls(t, &peer.Handler{Adapter: func(*wire.AdapterCall) (*wire.AdapterReply, error) { return nil, &NotHeldError{} }})
+func TestAgentIsCalledIfEntryRefuses(t *testing.T) {
+	orderer := serveCalls(t, &peer.Handler{Adapter: func(*wire.AdapterCall) (*wire.AdapterReply, error) { return nil, &NotHeldError{} }})
 	agent := serveCalls(t, &peer.Handler{Adapter: func(c *wire.AdapterCall) (*wire.AdapterReply, error) {
 		return &wire.AdapterReply{Loaded: c.GetUpstream() == nil}, nil
 	}})
 	e := &entry{Process: &Process{client: &peer.Client{}}}
 	e.Settings.Managed.AgentPort = int(agent.Port())
 	e.buildLinks()
-	e.members.ordering = map[core.DataCentre]ordering{"dc-1": {name: "edge-1", control: holder}}
+	e.members.ordering = map[core.DataCentre]ordering{"dc-1": {name: "edge-1", control: orderer}}
 	host := fleet.Entry{Address: netip.AddrPortFrom(agent.Addr(), 9), DataCentre: "dc-1"}
 	reply, err := callAgent(e.links, host, func(to peer.Target, upstream []byte) (*wire.AdapterReply, error) {
 		return e.client.Adapter(t.Context(), to, &wire.AdapterCall{Upstream: upstream})
--- a/io/deploy/members.go
+++ b/io/deploy/members.go
@@ -16,8 +16,9 @@
 	"radishwell/io/peer"
 )
 
-// recordRetryPause is the pause after a failed write of this entry's record. The store is out
-// then; other entries learn of this one when it calls them.
+// recordRetryPause is the pause after a failed write of this entry's record. Writes fail
+// during an outage of the store; meanwhile other entries learn of this one when it calls
+// them.
 const recordRetryPause = 2 * time.Second
 
 // listedPollInterval is the interval at which an entry checks whether the records have been
--- a/io/deploy/orderer.go
+++ b/io/deploy/orderer.go
@@ -39,12 +39,13 @@
 
 	mu    sync.Mutex
 	lease lease.Lease
-	// wantsLease is set while there are such engines, and stopping once the process stops.
+	// wantsLease is set while there are engines without agents, and stopping once the process
+	// stops.
 	wantsLease, stopping bool
 	// driven are the engines that this entry orders.
 	driven map[netip.AddrPort]*orderedEngine
-	// book is used by run only.
-	book orphan.Tracker
+	// tracker decides which engines have no agent. Only run and what it calls use it.
+	tracker orphan.Tracker
 }
 
 // orderedEngine is an engine that this entry orders.
@@ -96,26 +97,26 @@
 func (r *orderer) step(ctx context.Context) {
 	now := bootTime()
 	engines := r.engines()
-	r.book.SetEngines(now, engines, r.entry.links.agentAnswered)
-	_, holds := r.fence()
-	if r.eligible() && r.book.MustReadRecords(now, holds) {
+	r.tracker.SetEngines(now, engines, r.entry.links.agentResponded)
+	_, holdsLease := r.fence()
+	if r.eligible() && r.tracker.MustReadRecords(now, holdsLease) {
 		r.listAgents(ctx, now)
 	}
 	r.mu.Lock()
-	r.wantsLease = r.book.AnyWithoutAgent() && !r.stopping
+	r.wantsLease = r.tracker.AnyWithoutAgent() && !r.stopping
 	r.mu.Unlock()
-	var alone []netip.AddrPort
-	if holds {
-		alone = r.book.WithoutAgent(now)
+	var withoutAgent []netip.AddrPort
+	if holdsLease {
+		withoutAgent = r.tracker.WithoutAgent(now)
 	}
-	r.stopOrdering(alone)
-	for _, e := range alone {
+	r.stopOrdering(withoutAgent)
+	for _, e := range withoutAgent {
 		r.startOrdering(ctx, e)
 	}
-	r.entry.setOrders(len(alone) > 0)
+	r.entry.setOrders(len(withoutAgent) > 0)
 }
 
-// engines returns the engines in this entry's data centre.
+// engines returns the addresses of the engines in this entry's data centre.
 func (r *orderer) engines() []netip.AddrPort {
 	var out []netip.AddrPort
 	for address, e := range r.entry.links.engines() {
@@ -154,7 +155,7 @@
 		}
 		agents = append(agents, s.Upstream)
 	}
-	r.book.SetRecords(now, agents)
+	r.tracker.SetRecords(now, agents)
 }
 
 // fence returns the fencing number of this entry's orders; false while it may not order
--- a/io/deploy/planner.go
+++ b/io/deploy/planner.go
@@ -206,7 +206,8 @@
 	return sum
 }
 
-// plan decides on moves, that is, loads and evictions, and sends them as goals to the agents.
+// plan decides on moves, each the models that a host is to evict and the one that it is to
+// load then, and sends them as goals to the agents.
 func (p *planner) plan(ctx context.Context, now time.Time, followers map[netip.AddrPort]bool) {
 	table := p.entry.proxy.Table()
 	if table == nil {
@@ -338,8 +339,7 @@
 	p.entry.proxy.SetForecasts(ready)
 }
 
-// servePlan handles another entry's demand. It returns forecasts of when the models are
-// loaded.
+// servePlan handles another entry's demand. It returns the forecasts for the models in it.
 func (p *planner) servePlan(c *wire.PlanCall) (*wire.PlanReply, error) {
 	now := p.entry.clock.Now()
 	p.recordDemand(c.GetEntry(), now, c.GetDemands())
--- a/io/deploy/signal.go
+++ b/io/deploy/signal.go
@@ -18,17 +18,17 @@
 }
 
 // broadcastLimit sends the rate limit that an upstream stated to other entries.
-func (e *entry) broadcastLimit(life fleet.Incarnation, limit core.RateLimit) {
+func (e *entry) broadcastLimit(inc fleet.Incarnation, limit core.RateLimit) {
 	e.state.Mark(peer.Mark{
-		Host: life.ID, Incarnation: core.Incarnation(life.Born), Kind: peer.MarkLimited, Rate: limit.Rate,
+		Host: inc.ID, Incarnation: core.Incarnation(inc.Born), Kind: peer.MarkLimited, Rate: limit.Rate,
 		Expires: e.clock.Now().Add(fleet.LimitAge),
 	})
 }
 
 // broadcastLeaving notifies other entries that an upstream is leaving.
-func (e *entry) broadcastLeaving(life fleet.Incarnation) {
+func (e *entry) broadcastLeaving(inc fleet.Incarnation) {
 	e.state.Mark(peer.Mark{
-		Host: life.ID, Incarnation: core.Incarnation(life.Born), Kind: peer.MarkLeaving,
+		Host: inc.ID, Incarnation: core.Incarnation(inc.Born), Kind: peer.MarkLeaving,
 		Expires: e.clock.Now().Add(fleet.LeaveAge),
 	})
 }
@@ -37,12 +37,12 @@
 func (e *entry) applyMarks(marks []peer.Mark) {
 	e.proxy.Update(func(v *fleet.View, now time.Time) {
 		for _, m := range marks {
-			life := fleet.Incarnation{ID: m.Host, Born: int64(m.Incarnation)}
+			inc := fleet.Incarnation{ID: m.Host, Born: int64(m.Incarnation)}
 			switch m.Kind {
 			case peer.MarkLimited:
-				v.NoteLimit(life, now, now, core.RateLimit{Limited: m.Rate > 0, Rate: m.Rate})
+				v.NoteLimit(inc, now, now, core.RateLimit{Limited: m.Rate > 0, Rate: m.Rate})
 			case peer.MarkLeaving:
-				v.NoteLeaving(life, now)
+				v.NoteLeaving(inc, now)
 			}
 		}
 	})
--- a/io/deploy/watch.go
+++ b/io/deploy/watch.go
@@ -64,17 +64,18 @@
 	e.feed.RegistryChanged()
 }
 
-// applyHost applies a registry entry. It logs a change after which the host gets no new work.
+// applyHost applies a registry entry. It logs a change after which the host receives no new
+// requests.
 func applyHost(v *fleet.View, now time.Time, o core.Object) {
 	id := core.HostName(o.Name)
 	known := v.Host(id)
-	open := known != nil && !known.IsLeaving(now)
+	inUse := known != nil && !known.IsLeaving(now)
 	if o.Deleted {
 		v.Remove(now, id)
 	} else {
 		v.Apply(decodeHost(o))
 	}
-	if !open {
+	if !inUse {
 		return
 	}
 	switch left := v.Host(id); {
