--- a/io/entry/client.go
+++ b/io/entry/client.go
@@ -26,6 +26,8 @@
 	list map[clientKey]*client
 }
 
+// get returns the client for a host's work address, and creates it if there is none. conf
+// returns the host's TLS configuration; without one, connections are not encrypted.
 func (s *clientSet) get(h Host, conf func(core.HostName) *tls.Config) *client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -27,9 +27,9 @@
 	maxStrikes = 10_000
 	// maxProven bounds the requests that are remembered as having ended well.
 	maxProven = 50_000
-	// minWindow is the least number of requests that an entry may have in progress for
-	// one target. The requests beyond it are ordered here, among all of the entry's
-	// classes and owners, and not at a single host.
+	// minWindow is the lower bound of the number of requests that an entry may have in
+	// progress for one target. The requests beyond that number are ordered here, among
+	// all of the entry's classes and owners, and not at a single host.
 	minWindow = 64
 	// windowFactor is how many requests an entry sends to a target's hosts for each
 	// that may run there, so that hosts are never idle while requests wait.
@@ -62,7 +62,7 @@
 	Find  func(core.HostName) (Host, bool)
 	// Share returns this entry's part of the limits.
 	Share func() admit.Share
-	// OnContact records in membership how contact with a host went.
+	// OnContact records in membership whether a host could be reached.
 	OnContact func(member.Contact)
 	// Probe asks a host for its load. Seal asks a host what became of an attempt and,
 	// unless the call only peeks, seals an attempt that has not arrived, so that it
@@ -117,7 +117,7 @@
 func (e *Entry) Init() {
 	e.router = route.Router{Seed: e.Rand.Uint64()}
 	e.book = strike.Book{Self: e.Name, MaxRecords: maxStrikes}
-	e.queue = queue.Queue{CheckHold: e.mayStart}
+	e.queue = queue.Queue{CheckHold: e.holdFor}
 	e.copies = strike.Copies{MaxProven: maxProven}
 	e.hosts = map[core.HostName]*hostState{}
 	e.waiters = map[core.RequestID]*waiter{}
--- a/io/entry/fixture_test.go
+++ b/io/entry/fixture_test.go
@@ -179,7 +179,7 @@
 		Grant:            func(core.ModelName) (core.GrantState, bool) { return core.GrantActive, !h.unsure.Load() },
 		Release:          func(context.Context, core.ModelName) error { return nil },
 		Revoked:          func() []core.ModelName { return nil },
-		BroadcastStrikes: f.spread, Agents: func() int { return 1 }, Rand: rand.New(rand.NewPCG(2, 2)), Worth: f.worth,
+		BroadcastStrikes: f.broadcastStrikes, Agents: func() int { return 1 }, Rand: rand.New(rand.NewPCG(2, 2)), Worth: f.worth,
 		Store: agent.Store{Parallel: 100, Adapters: 100},
 		Slot: func(context.Context, *wire.SlotCall) (*wire.SlotReply, error) {
 			return &wire.SlotReply{Granted: true}, nil
@@ -212,7 +212,7 @@
 	return a
 }
 
-func (f *fleet) spread(list []strike.Record) {
+func (f *fleet) broadcastStrikes(list []strike.Record) {
 	for _, e := range f.entries {
 		e.MergeStrikes(list)
 	}
@@ -278,7 +278,7 @@
 		Rand: rand.New(rand.NewPCG(1, uint64(len(f.entries)))), Snapshot: f.snapshot, Hosts: f.hosts, Find: f.find,
 		Share:     func() admit.Share { return admit.Share{Entries: 1} },
 		OnContact: func(member.Contact) {}, Probe: f.probe, Seal: f.seal, Claim: f.claim,
-		KeyAge: time.Hour, Relay: &entry.Relay{}, BroadcastStrikes: f.spread,
+		KeyAge: time.Hour, Relay: &entry.Relay{}, BroadcastStrikes: f.broadcastStrikes,
 		SendStrikes: func(h core.HostName, list []strike.Record) { f.agents[h].agent.MergeStrikes(list) },
 	}
 	e.Init()
--- a/io/entry/host_test.go
+++ b/io/entry/host_test.go
@@ -115,13 +115,13 @@
 		all.Go(func() { assertDone(t, chat(t, url, "alpha", "session", true, 60)) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	left := f.agents["up-1"]
-	left.agent.Leave()
+	leaving := f.agents["up-1"]
+	leaving.agent.Leave()
 	for range 10 {
 		all.Go(func() { assertDone(t, chat(t, url, "alpha", "later", false, 5)) })
 	}
 	all.Wait()
-	waitFor(t, "the agent is not idle", left.agent.Idle)
+	waitFor(t, "the agent is not idle", leaving.agent.Idle)
 }
 
 // An agent is restarted between two requests, and the entry still names the previous
@@ -158,7 +158,7 @@
 // meanwhile are served after its return. Guards against refusing a later caller with a
 // short deadline because the entry counts the wait for the host as the service's own
 // time.
-func TestWaitForHostIsNoPace(t *testing.T) {
+func TestWaitForHostIsNotServiceTime(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.worth = warm.DefaultWorth.Scale(1e6)
@@ -181,15 +181,15 @@
 // state in a loop, which took a CPU core on each host. During a load the state is read
 // at intervals that grow with the load's age, some fifty times in half a second however
 // many requests wait.
-func TestWaitForLoadLooksSeldom(t *testing.T) {
+func TestWaitForLoadReadsStateRarely(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	llm := &llmsrv.Server{Capacity: []core.Bytes{4 * core.GiB}, LoadTimes: [3]time.Duration{500 * time.Millisecond, 500 * time.Millisecond, 500 * time.Millisecond}}
 	inner := llm.Handler()
-	var looks atomic.Int64
+	var reads atomic.Int64
 	f.host("up-1", "pool", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/state" {
-			looks.Add(1)
+			reads.Add(1)
 		}
 		inner.ServeHTTP(w, r)
 	}), false)
@@ -199,5 +199,5 @@
 		all.Go(func() { assertDone(t, chat(t, url, "alpha", "x", false, 1)) })
 	}
 	all.Wait()
-	assert.Assert(t, looks.Load() < 300, "%d looks", looks.Load())
+	assert.Assert(t, reads.Load() < 300, "%d reads", reads.Load())
 }
--- a/io/entry/hosts.go
+++ b/io/entry/hosts.go
@@ -16,9 +16,12 @@
 type hostState struct {
 	load        *wire.HostLoad
 	incarnation core.Incarnation
-	inFlight    int
-	sent        int
-	probing     bool
+	// inFlight counts this entry's requests at the host, sent those that were sent since
+	// the last report of its load.
+	inFlight int
+	sent     int
+	// probing is set during a probe in the background.
+	probing bool
 	// tiers holds the storage tier in which the host last had each checkpoint.
 	tiers map[core.ModelName]core.Tier
 }
@@ -31,7 +34,7 @@
 	// costWeight is the divisor of a new measurement: each measured cold start moves
 	// the known cost by 1/costWeight of the difference.
 	costWeight = 4
-	// probeTimeout bounds a probe; a later answer would be outdated.
+	// probeTimeout bounds a probe; a later response would be outdated.
 	probeTimeout = 300 * time.Millisecond
 )
 
@@ -45,8 +48,8 @@
 }
 
 // plan asks the router where a request should go. It probes hosts whose load is
-// outdated. If the router prefers to wait for their answers, since a load would
-// otherwise be started in vain, it is asked again with them.
+// outdated. If the router prefers to wait for their responses, since a load would
+// otherwise be started in vain, plan asks it again with them.
 func (e *Entry) plan(ctx context.Context, r core.Request, tried []core.HostName) ([]route.Choice, map[core.HostName]Host) {
 	hosts := e.Hosts(r.Target)
 	byName := make(map[core.HostName]Host, len(hosts))
@@ -54,9 +57,9 @@
 		byName[h.Name] = h
 	}
 	var asked []core.HostName
-	unanswered := map[core.HostName]bool{}
+	unresponsive := map[core.HostName]bool{}
 	for {
-		plan := e.planOnce(r, hosts, tried, asked, unanswered)
+		plan := e.planOnce(r, hosts, tried, asked, unresponsive)
 		if !plan.Wait || len(plan.Probe) == 0 || ctx.Err() != nil {
 			for _, name := range plan.Probe {
 				e.probeLater(byName[name], r.Target)
@@ -64,13 +67,13 @@
 			return plan.Hosts, byName
 		}
 		for name, ok := range e.probeAll(ctx, byName, plan.Probe, r.Target) {
-			unanswered[name] = !ok
+			unresponsive[name] = !ok
 		}
 		asked = append(asked, plan.Probe...)
 	}
 }
 
-func (e *Entry) planOnce(r core.Request, hosts []Host, tried, asked []core.HostName, unanswered map[core.HostName]bool) route.Plan {
+func (e *Entry) planOnce(r core.Request, hosts []Host, tried, asked []core.HostName, unresponsive map[core.HostName]bool) route.Plan {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
@@ -80,7 +83,7 @@
 	}
 	for _, h := range e.allowed(now, r, hosts, tried) {
 		c := e.candidate(r.Target, h)
-		if unanswered[h.Name] && c.Health == route.Live {
+		if unresponsive[h.Name] && c.Health == route.Live {
 			c.Health = route.Suspect
 		}
 		q.Candidates = append(q.Candidates, c)
@@ -88,7 +91,7 @@
 	return e.router.Plan(now, q)
 }
 
-// probeAll probes hosts and reports which of them answered.
+// probeAll probes hosts and reports which of them responded.
 func (e *Entry) probeAll(ctx context.Context, byName map[core.HostName]Host, names []core.HostName, t core.Target) map[core.HostName]bool {
 	type outcome struct {
 		name core.HostName
@@ -106,7 +109,7 @@
 	return out
 }
 
-// probe asks one host for its load and reports whether it answered.
+// probe asks one host for its load and reports whether it responded.
 func (e *Entry) probe(ctx context.Context, h Host, t core.Target) bool {
 	ctx, stop := context.WithTimeout(ctx, probeTimeout)
 	defer stop()
@@ -121,9 +124,9 @@
 }
 
 // allowed returns the hosts that the request may go to, given the strikes against it. A
-// suspect goes to the host of its trial, which is the same for all entries. Identical
-// requests of which none has ended well yet stay on one host: if they crash engines,
-// they crash one instead of one each.
+// suspect request goes to the host of its trial, which is the same for all entries.
+// Identical requests of which none has ended well yet stay on one host: if they crash
+// engines, they crash one instead of one each.
 func (e *Entry) allowed(now time.Time, r core.Request, hosts []Host, tried []core.HostName) []Host {
 	only := e.copies.RequiredHost(r.Fingerprint)
 	if !e.book.TrialTime(now, r.Fingerprint).IsZero() {
@@ -249,8 +252,8 @@
 	}
 }
 
-// recordColdStart records the duration of a cold start: the time from sending a request
-// that waited for a load to its end.
+// recordColdStart records the duration of a cold start: the time from the sending of a
+// request that waited for a load to the end of the request.
 func (e *Entry) recordColdStart(t core.Target, tier core.Tier, took time.Duration) {
 	c := e.costs[t.Model]
 	if c == nil {
--- a/io/entry/journal.go
+++ b/io/entry/journal.go
@@ -19,7 +19,7 @@
 	Self     core.HostName
 	Clock    core.Clock
 	Platform core.Platform
-	// Known reports whether the platform has answered since the start.
+	// Known reports whether the platform has responded since the start.
 	Known func() bool
 	// Entries lists the live entries, this one included.
 	Entries func() []core.HostName
@@ -48,8 +48,10 @@
 
 // journal is one journal. The goroutine of Journals.serve owns all fields but events.
 type journal struct {
-	events  chan func(now time.Time) claims.Effects
-	state   claims.Journal
+	events chan func(now time.Time) claims.Effects
+	state  claims.Journal
+	// waiting has the channels for the answers to submissions by their tokens; token is
+	// the last token used.
 	waiting map[uint64]chan claims.Answer
 	token   uint64
 	// ready is set once the journal has been read whole.
@@ -70,8 +72,8 @@
 // Run serves the journals until the context ends.
 func (s *Journals) Run(ctx context.Context) error {
 	ended := make(chan struct{}, len(s.journals))
-	for _, b := range s.journals {
-		go func() { s.serve(ctx, b); ended <- struct{}{} }()
+	for _, j := range s.journals {
+		go func() { s.serve(ctx, j); ended <- struct{}{} }()
 	}
 	s.keepWarm(ctx)
 	for range s.journals {
@@ -102,9 +104,9 @@
 				leads[n] = len(first) > 0 && first[0] == s.Self
 			}
 		}
-		for n, b := range s.journals {
+		for n, j := range s.journals {
 			if leads[n] && !warm[n] && s.Known() {
-				b.send(ctx, b.state.Preload)
+				j.send(ctx, j.state.Preload)
 				warm[n] = true
 			}
 			warm[n] = warm[n] && leads[n]
@@ -118,64 +120,64 @@
 }
 
 // serve handles all events of one journal, which it owns.
-func (s *Journals) serve(ctx context.Context, b *journal) {
+func (s *Journals) serve(ctx context.Context, j *journal) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		wait := time.Hour
-		if next := b.state.NextTick(); !next.IsZero() {
+		if next := j.state.NextTick(); !next.IsZero() {
 			wait = max(0, next.Sub(s.Clock.Now()))
 		}
 		timer.Reset(wait)
 		var effects claims.Effects
 		select {
-		case event := <-b.events:
+		case event := <-j.events:
 			effects = event(s.Clock.Now())
 		case <-timer.C:
-			effects = b.state.Tick(s.Clock.Now())
+			effects = j.state.Tick(s.Clock.Now())
 		case <-ctx.Done():
 			return
 		}
-		s.apply(ctx, b, effects)
+		s.apply(ctx, j, effects)
 	}
 }
 
-func (s *Journals) apply(ctx context.Context, b *journal, e claims.Effects) {
+func (s *Journals) apply(ctx context.Context, j *journal, e claims.Effects) {
 	for _, a := range e.Answers {
-		if answer := b.waiting[a.Token]; answer != nil {
-			delete(b.waiting, a.Token)
+		if answer := j.waiting[a.Token]; answer != nil {
+			delete(j.waiting, a.Token)
 			answer <- a
 		}
 	}
-	b.ready = b.ready || b.state.Ready()
-	if !b.ready && len(e.Reads) > 0 {
-		go s.readMany(ctx, b, e.Reads)
+	j.ready = j.ready || j.state.Ready()
+	if !j.ready && len(e.Reads) > 0 {
+		go s.readMany(ctx, j, e.Reads)
 	} else {
 		for _, name := range e.Reads {
-			go s.read(ctx, b, name)
+			go s.read(ctx, j, name)
 		}
 	}
 	if e.Write != nil {
-		go s.write(ctx, b, *e.Write)
+		go s.write(ctx, j, *e.Write)
 	}
 }
 
 // send passes an event to the journal's owner.
-func (b *journal) send(ctx context.Context, event func(time.Time) claims.Effects) {
+func (j *journal) send(ctx context.Context, event func(time.Time) claims.Effects) {
 	select {
-	case b.events <- event:
+	case j.events <- event:
 	case <-ctx.Done():
 	}
 }
 
-func (s *Journals) read(ctx context.Context, b *journal, name string) {
+func (s *Journals) read(ctx context.Context, j *journal, name string) {
 	call, stop := context.WithTimeout(ctx, platformTime)
 	defer stop()
 	o, err := s.Platform.Get(call, core.KindClaim, name)
 	if err == nil {
 		events.Log(events.ClaimSettled, "segment", name)
 	}
-	b.send(ctx, func(now time.Time) claims.Effects { return b.state.ReadDone(now, replyOf(name, o, err)) })
+	j.send(ctx, func(now time.Time) claims.Effects { return j.state.ReadDone(now, replyOf(name, o, err)) })
 }
 
 // maxListAge is how old a list may be from which slots are read. When a journal is read
@@ -193,7 +195,7 @@
 }
 
 // readMany reads many slots from one list, as when a journal is taken over.
-func (s *Journals) readMany(ctx context.Context, b *journal, names []string) {
+func (s *Journals) readMany(ctx context.Context, j *journal, names []string) {
 	objects, err := s.list(ctx)
 	for _, name := range names {
 		o, found := objects[name]
@@ -201,7 +203,7 @@
 		if err != nil {
 			reply = replyOf(name, o, err)
 		}
-		b.send(ctx, func(now time.Time) claims.Effects { return b.state.ReadDone(now, reply) })
+		j.send(ctx, func(now time.Time) claims.Effects { return j.state.ReadDone(now, reply) })
 	}
 }
 
@@ -226,7 +228,7 @@
 	return s.listing.objects, nil
 }
 
-func (s *Journals) write(ctx context.Context, b *journal, w claims.Write) {
+func (s *Journals) write(ctx context.Context, j *journal, w claims.Write) {
 	call, stop := context.WithTimeout(ctx, platformTime)
 	defer stop()
 	put := s.Platform.Update
@@ -234,7 +236,7 @@
 		put = s.Platform.Create
 	}
 	o, err := put(call, w.Object)
-	b.send(ctx, func(now time.Time) claims.Effects { return b.state.WriteDone(now, replyOf(w.Object.Name, o, err)) })
+	j.send(ctx, func(now time.Time) claims.Effects { return j.state.WriteDone(now, replyOf(w.Object.Name, o, err)) })
 }
 
 func replyOf(name string, o core.Object, err error) claims.Reply {
@@ -250,7 +252,7 @@
 }
 
 // Claim records a claim through the entry that leads the key's journal, or locally if
-// that entry does not answer. Any entry may append, since every append is conditional.
+// that entry does not respond. Any entry may append, since every append is conditional.
 func (s *Journals) Claim(ctx context.Context, a claims.Submission) claims.Answer {
 	n := claims.JournalOf(a.Claim.ID)
 	ranked := claims.Rank(n, s.Entries())
@@ -258,23 +260,23 @@
 		return s.Local(ctx, a)
 	}
 	call, stop := context.WithTimeout(ctx, askTimeout)
-	reply, err := s.Ask(call, ranked[0], callOf(a))
+	reply, err := s.Ask(call, ranked[0], encodeSubmission(a))
 	stop()
 	if err != nil {
 		return s.Local(ctx, a)
 	}
-	return answerOf(reply)
+	return decodeAnswer(reply)
 }
 
 // Local records a claim without asking another entry.
 func (s *Journals) Local(ctx context.Context, a claims.Submission) claims.Answer {
-	b := s.journals[claims.JournalOf(a.Claim.ID)]
+	j := s.journals[claims.JournalOf(a.Claim.ID)]
 	to := make(chan claims.Answer, 1)
-	b.send(ctx, func(now time.Time) claims.Effects {
-		b.token++
-		a.Token = b.token
-		b.waiting[a.Token] = to
-		return b.state.Submit(now, a)
+	j.send(ctx, func(now time.Time) claims.Effects {
+		j.token++
+		a.Token = j.token
+		j.waiting[a.Token] = to
+		return j.state.Submit(now, a)
 	})
 	select {
 	case answer := <-to:
@@ -286,5 +288,5 @@
 
 // Serve records a claim for another entry.
 func (s *Journals) Serve(ctx context.Context, c *wire.ClaimCall) *wire.ClaimReply {
-	return replyTo(s.Local(ctx, askOf(c, s.Clock.Now().Add(askTimeout))))
+	return encodeAnswer(s.Local(ctx, decodeSubmission(c, s.Clock.Now().Add(askTimeout))))
 }
--- a/io/entry/journal_test.go
+++ b/io/entry/journal_test.go
@@ -69,8 +69,8 @@
 	}}
 }
 
-// The same key is claimed through several entries at once. Guards against two sendings
-// that win, and against losers that are given the wrong holder.
+// The same key is claimed through several entries at once. Guards against two claims that
+// win, and against answers that name different holders.
 func TestOneClaimWins(t *testing.T) {
 	t.Parallel()
 	list := journals(t, 3)
--- a/io/entry/keyed.go
+++ b/io/entry/keyed.go
@@ -16,7 +16,7 @@
 
 const (
 	// claimTimeout is how long an entry waits for a claim to be recorded: the time of
-	// ten group commits, or of a retry after a lost answer.
+	// ten group commits, or of a retry after a lost response.
 	claimTimeout = 2 * time.Second
 	// claimRetryTime is how long an entry retries while a claim is not recorded: longer
 	// than it takes to replace the entry that leads a journal at a planned stop, and
@@ -25,8 +25,10 @@
 	claimRetryPause = 100 * time.Millisecond
 )
 
-// runKeyed runs a request that may not be repeated under its idempotency key.
-// core/claims decides each step; see docs/design/at-most-once.md.
+// runKeyed runs a request that may not be repeated under its idempotency key. The caller
+// may send the request several times, also to different entries; each sending makes a claim
+// of its own, and one of them is recorded. core/claims decides each step; see
+// docs/design/at-most-once.md.
 func (j *job) runKeyed(ctx context.Context) *core.Refusal {
 	r := j.call.Request
 	call := claims.Call{
@@ -89,8 +91,8 @@
 	}
 }
 
-// find returns the first host of a plan that answers, with its incarnation; zero if
-// there is none.
+// find returns the first host of a plan whose incarnation is known or can be probed, with
+// that incarnation; zero if there is none.
 func (k *keyed) find(ctx context.Context, r core.Request) (Host, core.Incarnation) {
 	choices, hosts := k.j.e.plan(ctx, r, k.tried)
 	for _, c := range choices {
@@ -103,7 +105,7 @@
 }
 
 // incarnationOf returns a host's incarnation. It probes the host if the incarnation is
-// not known, and returns zero if the host does not answer.
+// not known, and returns zero if the host does not respond.
 func (e *Entry) incarnationOf(ctx context.Context, h Host, t core.Target) core.Incarnation {
 	e.mu.Lock()
 	known := e.host(h.Name).incarnation
@@ -119,9 +121,9 @@
 	return e.host(h.Name).incarnation
 }
 
-// claim has the claim recorded. It retries with the same claim until that is known to
-// be recorded: if an answer was lost, the claimant's number distinguishes the recorded
-// claim from another's.
+// claim has the claim recorded. While it is not known whether a claim is recorded, it
+// retries with the same claim until claimRetryTime has passed: if a response was lost, the
+// claimant's number distinguishes the recorded claim from another's.
 func (k *keyed) claim(ctx context.Context, c claims.Claim) claims.Step {
 	until := k.now().Add(claimRetryTime)
 	var answer claims.Answer
@@ -211,7 +213,7 @@
 	return k.call.Ended(k.now(), claims.EndRefused, refusal, mayRetry)
 }
 
-// mayRetry asks core/retry whether a refused attempt may be made elsewhere.
+// mayRetry asks core/retry whether a refused request may be handed to another host.
 func (k *keyed) mayRetry(refusal *core.Refusal) bool {
 	d := k.j.e.decideRetry(retry.Case{
 		Request: k.j.call.Request, Attempts: []retry.Attempt{{Host: refusal.Host, Refusal: refusal}},
--- a/io/entry/note.go
+++ b/io/entry/note.go
@@ -145,8 +145,8 @@
 // has it. The lock is held.
 func (e *Entry) mergeStrikes(list []strike.Record) bool {
 	now := e.Clock.Now()
-	news := e.book.Merge(now, list)
-	for _, f := range news {
+	added := e.book.Merge(now, list)
+	for _, f := range added {
 		if e.copies.TakeProven(now, f) {
 			go e.BroadcastStrikes([]strike.Record{e.book.RecordKnownGood(now, f)})
 		}
@@ -154,7 +154,7 @@
 			go e.SendStrikes(host, e.book.RecordsOf(now, f))
 		}
 	}
-	return len(news) > 0
+	return len(added) > 0
 }
 
 // Quarantined lists the requests that strikes are held against, for operators.
--- a/io/entry/queue.go
+++ b/io/entry/queue.go
@@ -109,9 +109,9 @@
 	admit.Owner: queue.HoldOwner, admit.Caller: queue.HoldCaller, admit.Target: queue.HoldLane, admit.Service: queue.HoldLane,
 }
 
-// mayStart returns which part of the queue concurrency limits hold back because of an
-// item. An item that may not start keeps its place.
-func (e *Entry) mayStart(i queue.Item) queue.Hold {
+// holdFor returns the part of the queue that concurrency limits hold back because of an
+// item, queue.Go if the item may start. An item that may not start keeps its place.
+func (e *Entry) holdFor(i queue.Item) queue.Hold {
 	scope, blocked := e.admit.Blocked(i.ID)
 	if !blocked {
 		return queue.Go
--- a/io/entry/relay.go
+++ b/io/entry/relay.go
@@ -77,18 +77,18 @@
 func (r *Relay) open(ctx context.Context, h Host, head *wire.WorkHead, body []byte) (io.ReadCloser, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
-	answer, err := r.post(ctx, h, agent.PathWork, head, body)
+	resp, err := r.post(ctx, h, agent.PathWork, head, body)
 	if err != nil {
 		return nil, &handOverError{sent: sent.Load(), cause: err}
 	}
-	if answer.StatusCode != http.StatusOK {
-		answer.Body.Close()
-		return nil, &handOverError{sent: true, cause: &StatusError{Status: answer.StatusCode}}
+	if resp.StatusCode != http.StatusOK {
+		resp.Body.Close()
+		return nil, &handOverError{sent: true, cause: &StatusError{Status: resp.StatusCode}}
 	}
-	return answer.Body, nil
+	return resp.Body, nil
 }
 
-// StatusError reports an agent that answered with an unexpected HTTP status.
+// StatusError reports an agent that responded with an unexpected HTTP status.
 type StatusError struct{ Status int }
 
 // Error implements error.
@@ -119,9 +119,9 @@
 func (r *Relay) cancel(h Host, id core.RequestID) {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
-	answer, err := r.post(ctx, h, agent.PathCancel, &wire.WorkHead{RequestId: string(id)}, nil)
+	resp, err := r.post(ctx, h, agent.PathCancel, &wire.WorkHead{RequestId: string(id)}, nil)
 	if err == nil {
-		answer.Body.Close()
+		resp.Body.Close()
 	}
 }
 
