--- a/io/quota/quota.go
+++ b/io/quota/quota.go
@@ -27,7 +27,7 @@
 	// unknownRetry is after how long callers retry if the keeper does not know the
 	// customer yet.
 	unknownRetry = 200 * time.Millisecond
-	// maxTries bounds the keepers that are asked for one request.
+	// maxTries bounds the calls of keepers for one request.
 	maxTries = 3
 )
 
@@ -111,7 +111,7 @@
 }
 
 // askKeeper has the keeper decide on one use, or decides by this entry's own parts if
-// no keeper answers.
+// no keeper responds.
 func (q *Quota) askKeeper(ctx context.Context, use *wire.AllowanceUse) *wire.AllowanceReply {
 	if !q.hasKeeper() {
 		q.Renew(ctx)
@@ -187,8 +187,8 @@
 	return q.current
 }
 
-// Renew delegates this entry's parts to the first keeper that answers, and reports the
-// units that were given back. Those units are lost if the call fails, since it may have
+// Renew delegates this entry's parts to the first keeper that responds, and reports the
+// units and reservations that were given back. Those units are lost if the call fails, since it may have
 // arrived.
 func (q *Quota) Renew(ctx context.Context) {
 	for {
@@ -244,7 +244,7 @@
 	return out
 }
 
-// setKeeper records the keeper that answered, and ends the delegation to the previous
+// setKeeper records the keeper that responded, and ends the delegation to the previous
 // one.
 func (q *Quota) setKeeper(ctx context.Context, to follow.Member) {
 	q.mu.Lock()
@@ -295,7 +295,7 @@
 	return reply, err
 }
 
-// Serve answers another entry that considers this one the keeper.
+// Serve serves a call of another entry that considers this one the keeper.
 func (q *Quota) Serve(c *wire.AllowanceCall) (*wire.AllowanceReply, error) {
 	q.mu.Lock()
 	now, from := q.Clock.Now(), core.HostName(c.GetEntry())
--- a/io/quota/quota_test.go
+++ b/io/quota/quota_test.go
@@ -32,7 +32,7 @@
 	clock   stepClock
 	members []follow.Member
 	quotas  map[core.HostName]*quota.Quota
-	// down are entries that do not answer.
+	// down are the entries that can neither call others nor be called.
 	down map[core.HostName]bool
 }
 
@@ -57,7 +57,7 @@
 	return f
 }
 
-// DownError reports an entry that does not answer.
+// DownError reports a call between entries of which one is down.
 type DownError struct{ Host core.HostName }
 
 func (e *DownError) Error() string { return string(e.Host) + " is down" }
@@ -87,7 +87,8 @@
 	}
 }
 
-// take returns how many units an entry can take at once, one by one.
+// take takes units at an entry one by one until one is refused, and returns how many it
+// took.
 func (f *fleet) take(ctx context.Context, name core.HostName) int {
 	n := 0
 	for n < 1000 && f.quotas[name].Take(ctx, "c", 1) == nil {
@@ -106,8 +107,8 @@
 	assert.Assert(t, r.RetryAt.Sub(f.clock.now).Round(10*time.Millisecond) == 100*time.Millisecond, r.RetryAt.Sub(f.clock.now))
 }
 
-// Guards against refusing customers everywhere, or letting in their use twice, after
-// the keeper has died.
+// Guards against refusing customers at all entries, or granting their allowance twice,
+// after the keeper has died.
 func TestKeeperDies(t *testing.T) {
 	f := newFleet(t, "e-1", "e-2", "e-3")
 	f.settle(t.Context())
@@ -120,7 +121,7 @@
 	assert.Equal(t, f.take(t.Context(), "e-3"), 100)
 }
 
-// Guards against an entry that reaches no other but lets in more than its own part.
+// Guards against an entry that reaches no other but grants more than its own part.
 func TestCutEntryHasItsOwnPart(t *testing.T) {
 	f := newFleet(t, "e-1", "e-2", "e-3", "e-4")
 	f.settle(t.Context())
