--- a/io/deploy/watch.go
+++ b/io/deploy/watch.go
@@ -34,7 +34,7 @@
 	e.state = &peer.Store{
 		Self: peer.Target{Host: s.Name, Address: s.Listen.Control},
 		// All kinds are listed from the store at once, without waiting for a first exchange
-		// with peers: after all processes have been killed, no peer answers.
+		// with peers: after all processes have been killed, no peer responds.
 		Kinds: kinds, Confirm: kinds, Platform: e.store, Client: e.client, Clock: e.clock,
 		Peers: e.members.peers, Near: e.members.isNear, Watchers: watchers, Seed: rand.Uint64(), MaxRetry: maxStoreRetry,
 		OnChange: e.applyChanges, OnAnswer: e.storeReached, OnError: e.readFailed,
@@ -143,7 +143,7 @@
 	return age < 0 || age > outageAge
 }
 
-// storeReached logs that the store answers again after a failed read.
+// storeReached logs that the store responds again after a failed read.
 func (e *entry) storeReached() {
 	if e.storeFailed.CompareAndSwap(true, false) {
 		events.Log(events.PlatformBack)
--- a/io/proxy/answer.go
+++ b/io/proxy/answer.go
@@ -207,7 +207,7 @@
 func (c *call) recordEnd(t *target, note func(*fleet.Host, time.Time)) {
 	c.proxy.Update(func(_ *fleet.View, now time.Time) {
 		if !t.started {
-			t.host.NoteAnswerStart(t.unread)
+			t.host.NoteAnswerStart(t.prefillTokens)
 		}
 		t.host.NoteEnd(c.query.Model)
 		note(t.host, now)
--- a/io/proxy/backoff_test.go
+++ b/io/proxy/backoff_test.go
@@ -25,7 +25,7 @@
 		wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "first")), http.StatusServiceUnavailable)
 		return r, w
 	}
-	t.Run("its callers are refused at once and told when", func(t *testing.T) {
+	t.Run("its callers are refused at once with a time to retry", func(t *testing.T) {
 		r, w := shed(t, 5*time.Second)
 		for i := range 5 {
 			a := do(t, r.ask(t, http.MethodPost, "/once/x", fmt.Sprint("q-", i)))
--- a/io/proxy/customer.go
+++ b/io/proxy/customer.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// staleTableRetry is after how long callers retry if the entry's table is too old
-	// to judge their key.
+	// staleTableRetry is the time after which callers are to retry if the entry's table is
+	// too old to judge their key.
 	staleTableRetry = 500 * time.Millisecond
 	// maxChargeAge is the longest time between the charge of a request and its sending.
 	// A request that is sent later is charged again.
--- a/io/proxy/customer_test.go
+++ b/io/proxy/customer_test.go
@@ -167,13 +167,13 @@
 		assert.Equal(t, len(w.Requests()), 0)
 		assert.Equal(t, quota.remaining(), 1000.0)
 	})
-	t.Run("and not where the upstream says that it did not run", func(t *testing.T) {
+	t.Run("but not if the upstream states that it did not run", func(t *testing.T) {
 		r, w, quota := keyedRig(t)
 		w.SetFault(stand.Shed)
 		wantStatus(t, send(t, r, "q", "300,50"), http.StatusServiceUnavailable)
 		assert.Equal(t, quota.remaining(), 1000.0)
 	})
-	t.Run("but where it may have run", func(t *testing.T) {
+	t.Run("also if it may have run", func(t *testing.T) {
 		r, w, quota := keyedRig(t)
 		w.SetFault(stand.NoResponse)
 		wantStatus(t, send(t, r, "q", "300,50"), http.StatusBadGateway)
--- a/io/proxy/leave_test.go
+++ b/io/proxy/leave_test.go
@@ -36,8 +36,8 @@
 	}
 	for _, path := range []string{"/once/", "/again/", "/stream/", "/resumed/"} {
 		for name, fault := range map[string]stand.WorkerFault{
-			"whole": stand.NoFault, "turned away": stand.Shed, "failed": stand.ServerError, "not signed": stand.Unsigned,
-			"without a word on whether it ran": stand.Ambiguous, "cut after its head": stand.HeaderOnly, "cut in the middle": stand.Truncated,
+			"whole": stand.NoFault, "rejected": stand.Shed, "failed": stand.ServerError, "not signed": stand.Unsigned,
+			"ambiguous": stand.Ambiguous, "cut after its header": stand.HeaderOnly, "cut in the middle": stand.Truncated,
 		} {
 			t.Run(path+" "+name, func(t *testing.T) {
 				r, w := leavingRig(t, fault, path)
--- a/io/proxy/proxy.go
+++ b/io/proxy/proxy.go
@@ -243,9 +243,9 @@
 	born    int64
 	address netip.AddrPort
 	host    *fleet.Host
-	// unread is the number of prompt tokens that the host has to process for the
+	// prefillTokens is the number of prompt tokens that the host has to process for the
 	// request.
-	unread int
+	prefillTokens int
 	// started is set once the first event of a stream has arrived from the host.
 	started bool
 	// limit is the rate limit that the host named when it was chosen. reserved is set
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -430,7 +430,7 @@
 		assert.Equal(t, a.body, eventsOf(8))
 		assert.Equal(t, a.header.Get("Content-Type"), "text/event-stream")
 	})
-	t.Run("one that cannot go on is cut, not ended", func(t *testing.T) {
+	t.Run("one that cannot continue is cut, not ended", func(t *testing.T) {
 		// The upstream is lost in the middle of an event. An answer that ended properly
 		// after it would look complete to the caller.
 		r := newRig(t)
@@ -449,7 +449,7 @@
 		a := do(t, r.ask(t, http.MethodPost, "/stream/x", "q", "X-Radishwell-Model", "m"))
 		wantStatus(t, a, http.StatusBadGateway)
 	})
-	t.Run("one that may be resumed goes on after the last whole event", func(t *testing.T) {
+	t.Run("one that may be resumed continues after the last whole event", func(t *testing.T) {
 		r := newRig(t)
 		ws := []*stand.Worker{
 			r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8}), r.add(t, "llm", &stand.Worker{ID: "i-2", Events: 8}),
@@ -549,7 +549,7 @@
 	t.Run("not for a model that comes after the caller has left", func(t *testing.T) {
 		// A caller leaves a stream that stays silent for four times its target, long
 		// before the request's deadline. Guards against making it wait for a model that
-		// is loaded later, instead of telling it to retry when the model is there.
+		// is loaded later, instead of refusing it with the time at which to retry.
 		r := newRig(t)
 		table := routes(longTimeout)
 		table.Version = 2
@@ -574,7 +574,7 @@
 		assert.Equal(t, w.Ran("q"), 0)
 	})
 	t.Run("not past a planned stop", func(t *testing.T) {
-		// An entry is told to stop while a request waits for a load. If the connection
+		// An entry begins to stop while a request waits for a load. If the connection
 		// were closed at the end of the stop, the caller could not know that the request
 		// has not run.
 		r := newRig(t)
--- a/io/proxy/reserve_test.go
+++ b/io/proxy/reserve_test.go
@@ -84,7 +84,7 @@
 // Guards against callers who wait for a reservation that comes too late for them, and
 // against refusing a request that runs later.
 func TestLimitedUpstreamWithoutAnother(t *testing.T) {
-	t.Run("refuses at once and says when", func(t *testing.T) {
+	t.Run("refuses at once with a time to retry", func(t *testing.T) {
 		r, p, w := limitedRig(t, 1)
 		p.next = 2 * time.Second
 		wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "q-1")), http.StatusOK)
--- a/io/proxy/silent_test.go
+++ b/io/proxy/silent_test.go
@@ -13,7 +13,7 @@
 	"radishwell/core/rtable"
 )
 
-// stepClock is a clock that advances only when told to.
+// stepClock is a clock that only tests advance.
 type stepClock struct{ now time.Time }
 
 func (c *stepClock) Now() time.Time { return c.now }
@@ -55,7 +55,7 @@
 		return errors.As(context.Cause(r.ctx), &silent)
 	}
 	resumable := rtable.Route{Kind: rtable.Stream, Resumable: true, MaxHosts: 2, Target: 300 * time.Millisecond, Pause: 200 * time.Millisecond}
-	t.Run("go on elsewhere", func(t *testing.T) {
+	t.Run("move to another host", func(t *testing.T) {
 		r := begin(t, resumable, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(900 * time.Millisecond)
 		assert.Assert(t, !moved(r))
@@ -69,7 +69,7 @@
 			ID: "i-2", Taken: r.clock.now, Reachable: true, Models: []core.HeldModel{{Model: "m"}}, Reading: 20_000,
 		})
 	}
-	t.Run("go on at a host that answers late but before the caller leaves", func(t *testing.T) {
+	t.Run("move to a host that answers late but before the caller leaves", func(t *testing.T) {
 		patient := resumable
 		patient.Timeout, patient.SilenceTimeout = time.Minute, 2*time.Second
 		r := begin(t, patient, "i-1", "i-2")
--- a/io/proxy/stream.go
+++ b/io/proxy/stream.go
@@ -128,7 +128,7 @@
 func (c *call) openStream(t *target, resp *http.Response) {
 	if !t.started {
 		t.started = true
-		c.proxy.Update(func(_ *fleet.View, _ time.Time) { t.host.NoteAnswerStart(t.unread) })
+		c.proxy.Update(func(_ *fleet.View, _ time.Time) { t.host.NoteAnswerStart(t.prefillTokens) })
 	}
 	if c.started {
 		return
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -14,9 +14,9 @@
 	// before requests for models that no host holds are refused. Agents that restart are
 	// available again within it.
 	noLoaderTimeout = 3 * time.Second
-	// noLoaderRetry is after how long callers of such requests are told to retry.
+	// noLoaderRetry is the time after which callers of such requests are to retry.
 	noLoaderRetry = 2 * time.Second
-	// allLeavingRetry is after how long callers are told to retry if all hosts of their
+	// allLeavingRetry is the time after which callers are to retry if all hosts of their
 	// service are leaving. Replacements that have started are listed by then.
 	allLeavingRetry = time.Second
 )
@@ -94,7 +94,8 @@
 }
 
 // choose picks a host and records the request there. t is nil if no host can take the
-// request.
+// request; changed is closed when that may have changed. fetch is set if the request's
+// adapter has to be loaded at the host first.
 func (c *call) choose() (t *target, fetch bool, changed chan struct{}, refusal *core.Refusal) {
 	p := c.proxy
 	p.mu.Lock()
@@ -119,10 +120,10 @@
 		return nil, false, nil, c.giveUp()
 	}
 	h := choice.Host
-	t = &target{id: h.ID, born: h.Born, address: h.Address, host: h, unread: h.PrefillTokens(now, &c.query), limit: h.Limit(now)}
+	t = &target{id: h.ID, born: h.Born, address: h.Address, host: h, prefillTokens: h.PrefillTokens(now, &c.query), limit: h.Limit(now)}
 	h.NoteSent(now, &c.query)
 	if c.query.Model != "" {
-		p.view.NotePrompt(t.unread)
+		p.view.NotePrompt(t.prefillTokens)
 	}
 	return t, choice.Fetch, nil, nil
 }
@@ -149,9 +150,9 @@
 }
 
 // refuseLate refuses a request whose model will not be loaded before its caller leaves,
-// which callers of silent streams do long before their deadline. A caller that is told
-// at once when to retry finds the model loaded then. The caller of refuseLate holds the
-// proxy's mu.
+// which callers of silent streams do long before their deadline. A caller that is refused
+// at once, with the time at which to retry, finds the model loaded at that time. The caller
+// of refuseLate holds the proxy's mu.
 func (c *call) refuseLate(now time.Time, choice fleet.Choice) *core.Refusal {
 	if c.query.Model == "" && choice.Leaving && !choice.Listed && c.ran == 0 {
 		return core.RefuseUntil(core.CodeNoHost, "all hosts of the service leave", c.retryAt(allLeavingRetry))
@@ -220,8 +221,8 @@
 	return nil
 }
 
-// giveUpWaiting returns the refusal of a request that may wait no longer. An entry that
-// is stopping tells the caller to retry at once, at another entry.
+// giveUpWaiting returns the refusal of a request that may wait no longer. If this entry is
+// stopping, the caller is to retry at once, at another entry.
 func (c *call) giveUpWaiting(stopping bool) *core.Refusal {
 	switch {
 	case c.ran > 0:
@@ -250,7 +251,7 @@
 func (c *call) abandon(t *target) {
 	c.release(t)
 	c.proxy.Update(func(*fleet.View, time.Time) {
-		t.host.NoteAnswerStart(t.unread)
+		t.host.NoteAnswerStart(t.prefillTokens)
 		t.host.NoteEnd(c.query.Model)
 	})
 }
--- a/io/quota/quota.go
+++ b/io/quota/quota.go
@@ -24,8 +24,8 @@
 	findInterval = 20 * time.Millisecond
 	// callTimeout bounds a call of a keeper. Entries are a few milliseconds apart.
 	callTimeout = 150 * time.Millisecond
-	// unknownRetry is after how long callers retry if the keeper does not know the
-	// customer yet.
+	// unknownRetry is the time after which callers are to retry if the keeper does not
+	// know the customer yet.
 	unknownRetry = 200 * time.Millisecond
 	// maxTries bounds the calls of keepers for one request.
 	maxTries = 3
--- a/io/quota/quota_test.go
+++ b/io/quota/quota_test.go
@@ -22,7 +22,7 @@
 	m.Run()
 }
 
-// stepClock is a clock that advances only when told to.
+// stepClock is a clock that only tests advance.
 type stepClock struct{ now time.Time }
 
 func (c *stepClock) Now() time.Time { return c.now }
