--- a/io/soak/caller.go
+++ b/io/soak/caller.go
@@ -122,7 +122,7 @@
 	req.ContentLength = int64(len(text))
 	req.Host = "a.example"
 	now := time.Now()
-	req.Header = plat.AskHeader(askOf(r, model, now.Add(deadline)), now)
+	req.Header = plat.RequestHeader(askOf(r, model, now.Add(deadline)), now)
 	req.Header.Set("Authorization", "Bearer "+r.Key)
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
