--- a/io/proxy/backoff_test.go
+++ b/io/proxy/backoff_test.go
@@ -25,7 +25,7 @@
 		wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "first")), http.StatusServiceUnavailable)
 		return r, w
 	}
-	t.Run("its callers are refused at once and told when", func(t *testing.T) {
+	t.Run("its callers are refused at once with a time to retry", func(t *testing.T) {
 		r, w := shed(t, 5*time.Second)
 		for i := range 5 {
 			a := do(t, r.ask(t, http.MethodPost, "/once/x", fmt.Sprint("q-", i)))
@@ -57,9 +57,9 @@
 		}
 		w.SetFault(stand.NoFault)
 		wantStatus(t, <-got, http.StatusOK)
-		came := w.Arrivals()
-		assert.Equal(t, len(came), 2)
-		assert.Assert(t, came[1].Sub(came[0]) >= 300*time.Millisecond)
+		arrivals := w.Arrivals()
+		assert.Equal(t, len(arrivals), 2)
+		assert.Assert(t, arrivals[1].Sub(arrivals[0]) >= 300*time.Millisecond)
 	})
 	t.Run("and of a model too", func(t *testing.T) {
 		r := newRig(t)
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -179,7 +179,7 @@
 	assert.Equal(t, a.header.Get("X-Radishwell-Server-Signature"), "signed-by-p-1")
 	assert.Equal(t, a.header.Get("X-Radishwell-Request-Id"), "q-1")
 	seen := w.Requests()[0]
-	assert.Equal(t, seen.Path, "/once/a%2Fb//c?x=%20y", "path and query go on as they came")
+	assert.Equal(t, seen.Path, "/once/a%2Fb//c?x=%20y", "path and query are forwarded unchanged")
 	assert.Equal(t, seen.Host, "a.example")
 	assert.Equal(t, string(seen.Body), "body of q-1")
 	assert.Equal(t, seen.Header.Get("Hold"), "")
@@ -212,12 +212,12 @@
 // answer to its first run was lost.
 func TestLostAnswers(t *testing.T) {
 	t.Run("a request that may run once", func(t *testing.T) {
-		for _, trick := range []stand.WorkerFault{stand.NoResponse, stand.WrongID, stand.Unsigned, stand.Ambiguous, stand.Truncated} {
-			t.Run(fmt.Sprint(trick), func(t *testing.T) {
+		for _, fault := range []stand.WorkerFault{stand.NoResponse, stand.WrongID, stand.Unsigned, stand.Ambiguous, stand.Truncated} {
+			t.Run(fmt.Sprint(fault), func(t *testing.T) {
 				r := newRig(t)
 				ws := plain(t, r, "p-1", "p-2", "p-3")
 				for _, w := range ws {
-					w.SetFault(trick)
+					w.SetFault(fault)
 				}
 				for _, method := range []string{http.MethodGet, http.MethodPost} {
 					id := "q-" + method
@@ -258,7 +258,7 @@
 		wantStatus(t, do(t, r.ask(t, http.MethodPost, "/once/x", "q")), http.StatusOK)
 		assert.Equal(t, ws[1].Ran("q"), 1)
 	})
-	t.Run("all turn it away: not run, and when to come back", func(t *testing.T) {
+	t.Run("all reject it: not run, and when to retry", func(t *testing.T) {
 		r := newRig(t)
 		ws := plain(t, r, "p-1", "p-2")
 		ws[0].SetFault(stand.Shed)
@@ -268,7 +268,7 @@
 		assert.Assert(t, a.header.Get("Retry-After") != "")
 		assert.Equal(t, totalRuns(ws, "q"), 0)
 	})
-	t.Run("the address has another life: 421 is no answer for the caller", func(t *testing.T) {
+	t.Run("the address belongs to another incarnation: 421 is no answer for the caller", func(t *testing.T) {
 		r := newRig(t)
 		ws := plain(t, r, "p-1", "p-2")
 		ws[0].ID = "p-9"
@@ -294,7 +294,7 @@
 	assert.Assert(t, arrivals > requests, arrivals)
 }
 
-// Guards against replacing a failure of the service itself, which is the caller's
+// Guards against replacing a failure that the service itself answers. It is the caller's
 // answer.
 func TestOwnFailureIsPassedOn(t *testing.T) {
 	r := newRig(t)
@@ -333,7 +333,7 @@
 		a := do(t, r.ask(t, http.MethodGet, "/again/x", "q", "X-Radishwell-Deadline-Ms", "1000"))
 		wantStatus(t, a, http.StatusInternalServerError)
 	})
-	t.Run("or where no other host is there", func(t *testing.T) {
+	t.Run("or where there is no other host", func(t *testing.T) {
 		r := newRig(t)
 		w := plain(t, r, "p-1")[0]
 		w.SetFault(stand.ServerError)
@@ -430,7 +430,7 @@
 		assert.Equal(t, a.body, eventsOf(8))
 		assert.Equal(t, a.header.Get("Content-Type"), "text/event-stream")
 	})
-	t.Run("one that cannot go on is cut, not ended", func(t *testing.T) {
+	t.Run("one that cannot continue is cut, not ended", func(t *testing.T) {
 		// The upstream is lost in the middle of an event. An answer that ended properly
 		// after it would look complete to the caller.
 		r := newRig(t)
@@ -449,7 +449,7 @@
 		a := do(t, r.ask(t, http.MethodPost, "/stream/x", "q", "X-Radishwell-Model", "m"))
 		wantStatus(t, a, http.StatusBadGateway)
 	})
-	t.Run("one that may be resumed goes on after the last whole event", func(t *testing.T) {
+	t.Run("one that may be resumed continues after the last whole event", func(t *testing.T) {
 		r := newRig(t)
 		ws := []*stand.Worker{
 			r.add(t, "llm", &stand.Worker{ID: "i-1", Events: 8}), r.add(t, "llm", &stand.Worker{ID: "i-2", Events: 8}),
@@ -549,7 +549,7 @@
 	t.Run("not for a model that comes after the caller has left", func(t *testing.T) {
 		// A caller leaves a stream that stays silent for four times its target, long
 		// before the request's deadline. Guards against making it wait for a model that
-		// is loaded later, instead of telling it to retry when the model is there.
+		// is loaded later, instead of refusing it with the time at which to retry.
 		r := newRig(t)
 		table := routes(longTimeout)
 		table.Version = 2
@@ -574,7 +574,7 @@
 		assert.Equal(t, w.Ran("q"), 0)
 	})
 	t.Run("not past a planned stop", func(t *testing.T) {
-		// An entry is told to stop while a request waits for a load. If the connection
+		// An entry begins to stop while a request waits for a load. If the connection
 		// were closed at the end of the stop, the caller could not know that the request
 		// has not run.
 		r := newRig(t)
--- a/io/proxy/silent_test.go
+++ b/io/proxy/silent_test.go
@@ -13,7 +13,7 @@
 	"radishwell/core/rtable"
 )
 
-// stepClock is a clock that advances only when told to.
+// stepClock is a clock that only tests advance.
 type stepClock struct{ now time.Time }
 
 func (c *stepClock) Now() time.Time { return c.now }
@@ -49,18 +49,18 @@
 		t.Cleanup(done)
 		return r
 	}
-	left := func(r *rig) bool {
+	moved := func(r *rig) bool {
 		r.moveSilent()
 		var silent *SilentError
 		return errors.As(context.Cause(r.ctx), &silent)
 	}
 	resumable := rtable.Route{Kind: rtable.Stream, Resumable: true, MaxHosts: 2, Target: 300 * time.Millisecond, Pause: 200 * time.Millisecond}
-	t.Run("go on elsewhere", func(t *testing.T) {
+	t.Run("move to another host", func(t *testing.T) {
 		r := begin(t, resumable, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(900 * time.Millisecond)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 		r.clock.now = r.clock.now.Add(200 * time.Millisecond)
-		assert.Assert(t, left(r))
+		assert.Assert(t, moved(r))
 	})
 	// overload makes i-2 a host that should answer after the route's target, but before
 	// callers leave.
@@ -69,13 +69,13 @@
 			ID: "i-2", Taken: r.clock.now, Reachable: true, Models: []core.HeldModel{{Model: "m"}}, Reading: 20_000,
 		})
 	}
-	t.Run("go on at a host that answers late but before the caller leaves", func(t *testing.T) {
+	t.Run("move to a host that answers late but before the caller leaves", func(t *testing.T) {
 		patient := resumable
 		patient.Timeout, patient.SilenceTimeout = time.Minute, 2*time.Second
 		r := begin(t, patient, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1100 * time.Millisecond)
 		overload(r)
-		assert.Assert(t, left(r))
+		assert.Assert(t, moved(r))
 	})
 	t.Run("stay where the caller would have left by then, or has events", func(t *testing.T) {
 		patient := resumable
@@ -83,42 +83,42 @@
 		r := begin(t, patient, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1600 * time.Millisecond)
 		overload(r)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 		r = begin(t, patient, "i-1", "i-2")
 		r.call.recordEvent()
 		r.clock.now = r.clock.now.Add(1100 * time.Millisecond)
 		overload(r)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 	t.Run("stay while the agent reports", func(t *testing.T) {
 		r := begin(t, resumable, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
 		r.view.Report(fleet.Report{ID: "i-1", Taken: r.clock.now, Reachable: true})
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 	t.Run("stay while events come", func(t *testing.T) {
 		r := begin(t, resumable, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
 		r.call.recordEvent()
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 	t.Run("stay for twice the pause that callers accept", func(t *testing.T) {
 		slow := resumable
 		slow.Pause = time.Second
 		r := begin(t, slow, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 	t.Run("stay where no other host has the model", func(t *testing.T) {
 		r := begin(t, resumable, "i-1")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 	t.Run("stay where they may not run again", func(t *testing.T) {
 		once := resumable
 		once.Resumable = false
 		r := begin(t, once, "i-1", "i-2")
 		r.clock.now = r.clock.now.Add(1500 * time.Millisecond)
-		assert.Assert(t, !left(r))
+		assert.Assert(t, !moved(r))
 	})
 }
--- a/io/proxy/stream.go
+++ b/io/proxy/stream.go
@@ -105,7 +105,7 @@
 	return err == nil && bytes.Contains(ahead, []byte("\n\n"))
 }
 
-// GoneError reports that the caller no longer reads its answer.
+// GoneError reports a caller that no longer reads its answer.
 type GoneError struct{ Cause error }
 
 // Error implements error.
@@ -128,7 +128,7 @@
 func (c *call) openStream(t *target, resp *http.Response) {
 	if !t.started {
 		t.started = true
-		c.proxy.Update(func(_ *fleet.View, _ time.Time) { t.host.NoteAnswerStart(t.unread) })
+		c.proxy.Update(func(_ *fleet.View, _ time.Time) { t.host.NoteAnswerStart(t.prefillTokens) })
 	}
 	if c.started {
 		return
--- a/io/proxy/wait.go
+++ b/io/proxy/wait.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// noLoaderTimeout is how long no agent or entry that can order loads may be known
-	// before requests for models that no host holds are refused. Agents that restart
-	// are back within it.
+	// noLoaderTimeout is how long there may be no agent or entry that can order loads
+	// before requests for models that no host holds are refused. Agents that restart are
+	// available again within it.
 	noLoaderTimeout = 3 * time.Second
-	// noLoaderRetry is after how long callers of such requests are told to retry.
+	// noLoaderRetry is the time after which callers of such requests are to retry.
 	noLoaderRetry = 2 * time.Second
-	// allLeavingRetry is after how long callers are told to retry if all hosts of their
+	// allLeavingRetry is the time after which callers are to retry if all hosts of their
 	// service are leaving. Replacements that have started are listed by then.
 	allLeavingRetry = time.Second
 )
 
-// acquire returns the host that the request is sent to next. It waits while no host
-// holds the model, and refuses as soon as it is known that none will in time.
+// acquire returns the host that the request is sent to next. It waits while no host can
+// take the request, and refuses as soon as it is known that none will in time.
 func (c *call) acquire(ctx context.Context) (*target, *core.Refusal) {
 	waiting := false
 	began, fetched := c.proxy.Clock.Now(), c.fetchTime
@@ -94,7 +94,8 @@
 }
 
 // choose picks a host and records the request there. t is nil if no host can take the
-// request.
+// request; changed is closed when that may have changed. fetch is set if the request's
+// adapter has to be loaded at the host first.
 func (c *call) choose() (t *target, fetch bool, changed chan struct{}, refusal *core.Refusal) {
 	p := c.proxy
 	p.mu.Lock()
@@ -119,10 +120,10 @@
 		return nil, false, nil, c.giveUp()
 	}
 	h := choice.Host
-	t = &target{id: h.ID, born: h.Born, address: h.Address, host: h, unread: h.PrefillTokens(now, &c.query), limit: h.Limit(now)}
+	t = &target{id: h.ID, born: h.Born, address: h.Address, host: h, prefillTokens: h.PrefillTokens(now, &c.query), limit: h.Limit(now)}
 	h.NoteSent(now, &c.query)
 	if c.query.Model != "" {
-		p.view.NotePrompt(t.unread)
+		p.view.NotePrompt(t.prefillTokens)
 	}
 	return t, choice.Fetch, nil, nil
 }
@@ -149,9 +150,9 @@
 }
 
 // refuseLate refuses a request whose model will not be loaded before its caller leaves,
-// which callers of silent streams do long before their deadline. A caller that is told
-// at once when to retry finds the model loaded then. The caller of refuseLate holds the
-// proxy's mu.
+// which callers of silent streams do long before their deadline. A caller that is refused
+// at once, with the time at which to retry, finds the model loaded at that time. The caller
+// of refuseLate holds the proxy's mu.
 func (c *call) refuseLate(now time.Time, choice fleet.Choice) *core.Refusal {
 	if c.query.Model == "" && choice.Leaving && !choice.Listed && c.ran == 0 {
 		return core.RefuseUntil(core.CodeNoHost, "all hosts of the service leave", c.retryAt(allLeavingRetry))
@@ -175,8 +176,8 @@
 	return core.RefuseUntil(core.CodeWaitTooLong, "no host takes the request before its deadline", c.retryAt(at.Sub(now)))
 }
 
-// noLoader reports whether no agent, nor an entry that acts for one, that could have
-// the model loaded was known for noLoaderTimeout. Callers would otherwise wait until
+// noLoader reports whether, for noLoaderTimeout, no agent was available that could order
+// the load of the model, nor an entry in its place. Callers would otherwise wait until
 // they leave.
 func (c *call) noLoader(now time.Time) bool {
 	return c.query.Model != "" && c.ran == 0 && len(c.query.Tried) == 0 && now.Sub(c.proxy.loaderSeen) >= noLoaderTimeout
@@ -220,8 +221,8 @@
 	return nil
 }
 
-// giveUpWaiting returns the refusal of a request that may wait no longer. An entry that
-// is stopping tells the caller to retry at once, at another entry.
+// giveUpWaiting returns the refusal of a request that may wait no longer. If this entry is
+// stopping, the caller is to retry at once, at another entry.
 func (c *call) giveUpWaiting(stopping bool) *core.Refusal {
 	switch {
 	case c.ran > 0:
@@ -250,7 +251,7 @@
 func (c *call) abandon(t *target) {
 	c.release(t)
 	c.proxy.Update(func(*fleet.View, time.Time) {
-		t.host.NoteAnswerStart(t.unread)
+		t.host.NoteAnswerStart(t.prefillTokens)
 		t.host.NoteEnd(c.query.Model)
 	})
 }
--- a/io/soak/caller.go
+++ b/io/soak/caller.go
@@ -127,7 +127,7 @@
 	req.ContentLength = int64(len(text))
 	req.Host = "a.example"
 	now := time.Now()
-	req.Header = plat.AskHeader(requestHead(r, model, now.Add(callerTimeout)), now)
+	req.Header = plat.RequestHeader(requestHead(r, model, now.Add(callerTimeout)), now)
 	req.Header.Set("Authorization", "Bearer "+r.Key)
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
