--- a/core/fleet/host.go
+++ b/core/fleet/host.go
@@ -103,7 +103,7 @@
 }
 
 // reportTTL is how long a report takes precedence over the registry on what a host holds.
-// Entries poll agents twice a second, so two seconds are four missed answers, and the
+// Entries poll agents twice a second, so two seconds are four missed responses, and the
 // registry lags by about a second.
 const reportTTL = 2 * time.Second
 
@@ -158,7 +158,7 @@
 }
 
 // silenceTimeout is the age of a host's last report at which its agent counts as silent.
-// Agents answer every half second, so two answers are missing.
+// Entries poll agents twice a second, so two responses are missing.
 const silenceTimeout = time.Second
 
 // Silent reports whether the host's agent has reported before, but not within
--- a/core/fleet/incarnation.go
+++ b/core/fleet/incarnation.go
@@ -17,16 +17,16 @@
 	maxEnded = 8
 )
 
-// Incarnation identifies one incarnation of a host by its ID and, if the host reports it,
-// its start time in milliseconds since the Unix epoch, since an ID can be reused after a
-// restart.
+// Incarnation identifies one run of a host, from its start to its end, by the host's ID
+// and, if the host reports it, its start time in milliseconds since the Unix epoch: an ID
+// can be reused after a restart.
 type Incarnation struct {
 	ID   core.HostName
 	Born int64
 }
 
 // IncarnationTracker tracks the running incarnation of a host, from the entries that the
-// registry lists, for the agent beside a host whose own reports do not name it.
+// registry lists, for the agent of a host whose own reports do not name it.
 //
 // A restarted host is listed under a new name at once, while its old entry lapses only
 // seconds later. If the agent kept the old name, the host would refuse all of its orders,
@@ -44,42 +44,42 @@
 }
 
 // Current returns the running incarnation's ID, empty if none is known.
-func (l *IncarnationTracker) Current() core.HostName { return l.current.ID }
+func (t *IncarnationTracker) Current() core.HostName { return t.current.ID }
 
 // NoteReported records the incarnation that the host itself reports. It takes precedence
 // over what the registry lists.
-func (l *IncarnationTracker) NoteReported(inc Incarnation) { l.current = inc }
+func (t *IncarnationTracker) NoteReported(inc Incarnation) { t.current = inc }
 
 // NoteListed records the incarnation that the registry lists, and reports whether it is a
 // new one. An incarnation that has ended is ignored until endedTTL has passed.
-func (l *IncarnationTracker) NoteListed(now time.Time, inc Incarnation) bool {
-	l.forget(now)
-	over := func(e endedIncarnation) bool { return e.Incarnation == inc }
-	if inc.ID == "" || inc == l.current || slices.ContainsFunc(l.ended, over) {
+func (t *IncarnationTracker) NoteListed(now time.Time, inc Incarnation) bool {
+	t.forget(now)
+	hasEnded := func(e endedIncarnation) bool { return e.Incarnation == inc }
+	if inc.ID == "" || inc == t.current || slices.ContainsFunc(t.ended, hasEnded) {
 		return false
 	}
-	l.current = inc
+	t.current = inc
 	return true
 }
 
 // End records that the current incarnation has ended: the host was restarted, or it refused
 // a message that was addressed to that incarnation.
-func (l *IncarnationTracker) End(now time.Time) {
-	if l.current.ID == "" {
+func (t *IncarnationTracker) End(now time.Time) {
+	if t.current.ID == "" {
 		return
 	}
-	l.ended = append(l.ended, endedIncarnation{Incarnation: l.current, until: now.Add(endedTTL)})
-	l.ended = l.ended[max(0, len(l.ended)-maxEnded):]
-	l.current = Incarnation{}
+	t.ended = append(t.ended, endedIncarnation{Incarnation: t.current, until: now.Add(endedTTL)})
+	t.ended = t.ended[max(0, len(t.ended)-maxEnded):]
+	t.current = Incarnation{}
 }
 
 // Ended returns the IDs of the recently ended incarnations that have no start time, oldest
-// first. An ID with start times may be running again, and its incarnations are told apart
-// by them.
-func (l *IncarnationTracker) Ended(now time.Time) []core.HostName {
-	l.forget(now)
+// first. An ID that has start times may be in use again, and the start times distinguish its
+// incarnations.
+func (t *IncarnationTracker) Ended(now time.Time) []core.HostName {
+	t.forget(now)
 	var out []core.HostName
-	for _, e := range l.ended {
+	for _, e := range t.ended {
 		if e.Born == 0 {
 			out = append(out, e.ID)
 		}
@@ -87,6 +87,6 @@
 	return out
 }
 
-func (l *IncarnationTracker) forget(now time.Time) {
-	l.ended = slices.DeleteFunc(l.ended, func(e endedIncarnation) bool { return !now.Before(e.until) })
+func (t *IncarnationTracker) forget(now time.Time) {
+	t.ended = slices.DeleteFunc(t.ended, func(e endedIncarnation) bool { return !now.Before(e.until) })
 }
--- a/core/fleet/limit_test.go
+++ b/core/fleet/limit_test.go
@@ -97,7 +97,7 @@
 		v.Replace(t0, list)
 		assert.Equal(t, v.Host("i-1").Limit(after(time.Second)), one)
 	})
-	t.Run("and not for good", func(t *testing.T) {
+	t.Run("but not without bound", func(t *testing.T) {
 		for i := range 5000 {
 			v.NoteLimit(fleet.Incarnation{ID: "i-9", Born: int64(i)}, t0, t0, one)
 		}
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -75,7 +75,7 @@
 	return prefixKey(xxhash.Sum64String(string(q.Model) + "/" + q.Adapter + "/" + part))
 }
 
-// Choice is the answer to a Query.
+// Choice is the result of Pick.
 type Choice struct {
 	// Host is nil if no host can take the request now.
 	Host *Host
@@ -97,7 +97,7 @@
 	RateLimitDelay time.Duration
 }
 
-// minWait is the wait that is allowed for any target.
+// minWait is the wait that is allowed even if the target is shorter.
 const minWait = 500 * time.Millisecond
 
 // Overloaded reports whether a request would wait longer than its target even at the host
@@ -107,12 +107,12 @@
 // seconds after demand has shifted. If they were all queued in the engines, requests would
 // wait until every one is late, and many prompts would be read for callers who have left.
 // Only as many requests are admitted as can be served within their target, which still
-// keeps the engines busy. The others are told at once when to retry. The threshold is the
+// keeps the engines busy. The others are refused at once with the time at which to retry. The threshold is the
 // target because a later answer is of little use and delays others.
 func (c Choice) Overloaded(target time.Duration) bool { return exceeds(c.Wait, target) }
 
 // AllBackingOff reports whether all hosts want no requests for longer than a request with
-// the given target waits. Such a request is told at once when to retry.
+// the given target waits. Such a request is refused at once with the time at which to retry.
 func (c Choice) AllBackingOff(now time.Time, target time.Duration) bool {
 	return exceeds(c.RetryAt.Sub(now), target)
 }
@@ -252,7 +252,7 @@
 	return q.Parts[:len(q.Parts)-1]
 }
 
-// affinity returns the host's position, from 0 up to 1, in an order of hosts that is the
+// affinity returns the host's position, at least 0 and below 1, in an order of hosts that is the
 // same in all processes for requests that share a prompt, an adapter or a model.
 func (h *Host) affinity(q *Query) float64 {
 	part := ""
--- a/core/fleet/pick_test.go
+++ b/core/fleet/pick_test.go
@@ -58,7 +58,7 @@
 	})
 	t.Run("an adapter is not fetched where a load delays orders", func(t *testing.T) {
 		// A load from the weight store takes six seconds. A request with an adapter that is
-		// sent there would wait that long beside idle hosts.
+		// sent there would wait that long while other hosts are idle.
 		v := view(entry("i-1", "m"), entry("i-2", "m"))
 		q := &fleet.Query{Service: "llm", Model: "m", Adapter: "a1", DataCentre: "dc-1"}
 		first := v.Pick(t0, q).Host.ID
--- a/core/fleet/view.go
+++ b/core/fleet/view.go
@@ -206,14 +206,14 @@
 }
 
 // NoteIncarnations records what the agent at an address reports of its host's incarnations:
-// the start time of the current one, zero if the host does not report it, and the ones that
-// have ended. The registry lists those for some seconds more, but requests and orders for
-// them are refused.
+// the start time of the current one, zero if the host does not report it, and the IDs of
+// those that have ended. The registry lists ended incarnations for some seconds more, but
+// requests and orders for them are refused.
 func (v *View) NoteIncarnations(address netip.AddrPort, born int64, ended []core.HostName) {
 	for _, h := range v.byAddress[address] {
-		over := born != 0 && h.Born != 0 && h.Born < born || slices.Contains(ended, h.ID)
-		if over != h.ended {
-			h.ended = over
+		hasEnded := born != 0 && h.Born != 0 && h.Born < born || slices.Contains(ended, h.ID)
+		if hasEnded != h.ended {
+			h.ended = hasEnded
 			v.changes++
 		}
 	}
--- a/core/fleet/view_test.go
+++ b/core/fleet/view_test.go
@@ -108,7 +108,7 @@
 }
 
 // Guards against callers that are refused after an outage of the store. If the store is out
-// for longer than entries live, all entries are gone when it is back, and those of live
+// for longer than entries last, all entries are gone when it is back, and those of live
 // hosts return within two seconds.
 func TestLapsedEntries(t *testing.T) {
 	lapse := func() *fleet.View {
@@ -257,9 +257,9 @@
 
 // Guards against processes that disagree on the running incarnation. All hosts lose power
 // and return under new names, and for some seconds the registry lists both incarnations of
-// each. Entries that started in that time passed different ones to an agent, which changed
-// its mind with each, and the planner ordered loads on dead incarnations, where they
-// counted as under way.
+// each. Entries that started in that time named different ones to an agent, which switched
+// with each, and the planner ordered loads on ended incarnations, where they counted as
+// under way.
 func TestTwoLivesAtOneAddress(t *testing.T) {
 	at := func(id string, revision uint64) fleet.Entry {
 		e := entry(id, "m")
@@ -281,7 +281,7 @@
 		old.Born, young.Born = 1, 2
 		newest(t, view(young, old), "i-1")
 	})
-	t.Run("the dead one is not used though the other is leaving", func(t *testing.T) {
+	t.Run("the ended one is not used though the other is leaving", func(t *testing.T) {
 		v := view(at("i-1", 7), at("i-2", 9))
 		leaving := at("i-2", 10)
 		leaving.Leaving = true
--- a/core/queue/choose.go
+++ b/core/queue/choose.go
@@ -123,15 +123,15 @@
 
 // pick returns the next entry of the class that may start. Owners that are held
 // are removed from the heap during the search, so each is examined once.
-func (s *classQueue) pick(may func(Item) Hold) *entry {
-	if may == nil {
+func (s *classQueue) pick(checkHold func(Item) Hold) *entry {
+	if checkHold == nil {
 		return s.first().first().entries.top()
 	}
 	var held []*ownerQueue
 	var found *entry
 	for found == nil && s.byTag.Len() > 0 {
 		p := s.first()
-		e, hold := p.pick(may)
+		e, hold := p.pick(checkHold)
 		if hold == HoldLane {
 			break
 		}
@@ -146,12 +146,12 @@
 	return found
 }
 
-func (p *ownerQueue) pick(may func(Item) Hold) (found *entry, hold Hold) {
+func (p *ownerQueue) pick(checkHold func(Item) Hold) (found *entry, hold Hold) {
 	var held []*callerQueue
 	for p.byTag.Len() > 0 {
 		f := p.first()
 		e := f.entries.top()
-		hold = may(e.Item)
+		hold = checkHold(e.Item)
 		if hold == Go {
 			found = e
 		}
--- a/core/queue/heap.go
+++ b/core/queue/heap.go
@@ -8,7 +8,7 @@
 type indexedHeap[T any] struct {
 	elems    []T
 	less     func(a, b T) bool
-	setIndex func(e T, place int)
+	setIndex func(e T, index int)
 }
 
 // Len implements heap.Interface.
--- a/core/queue/hold_test.go
+++ b/core/queue/hold_test.go
@@ -70,7 +70,7 @@
 
 // Overnight requests take every slot of an engine. An interactive request that
 // arrives afterwards waits for one of them to end unless a spare slot is kept.
-func TestSparePlaces(t *testing.T) {
+func TestSpareSlots(t *testing.T) {
 	for spare, want := range []int{4, 3} {
 		t.Run(fmt.Sprint(spare), func(t *testing.T) {
 			q := &queue.Queue{Spare: spare}
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -22,11 +22,12 @@
 // Queue holds the waiting requests of one process. The zero value is ready for
 // use. It is not safe for concurrent use.
 type Queue struct {
-	// Items and Bytes bound everything that waits; zero means the default.
+	// Items bounds the number of waiting items and Bytes their total size; zero
+	// means the default.
 	Items int
 	Bytes core.Bytes
-	// LaneItems and LaneBytes bound what waits in one lane; zero means no bound
-	// per lane.
+	// LaneItems and LaneBytes are the same bounds for each lane; zero means no
+	// bound per lane.
 	LaneItems int
 	LaneBytes core.Bytes
 	// Shared is set if all lanes start work in the same slots, as the models of
@@ -47,7 +48,7 @@
 	running map[core.RequestID]run
 	byStart indexedHeap[*entry]
 	sizes   sizeClassifier
-	// expired holds the refusals of items whose time ran out, until the next
+	// expired holds the items that can no longer finish in time, until the next
 	// call of Expire; expiredAt is the time of the first of them.
 	expired   []Refused
 	expiredAt time.Time
--- a/core/queue/rest.go
+++ b/core/queue/rest.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Depth describes what waits in a lane and how fast the lane drains, for the
-// explain command and metrics.
+// Depth describes the waiting items of a lane and how fast the lane drains, for
+// the explain command and metrics.
 type Depth struct {
 	Items   int
 	Cost    int64
