--- a/core/copies/place.go
+++ b/core/copies/place.go
@@ -96,7 +96,7 @@
 	return true
 }
 
-// nearSooner reports whether a host that has a model's weights near will have loaded it
+// nearHostIsSooner reports whether a host that has a model's weights near will have loaded it
 // before the given time, though it takes no order yet.
 //
 // This matters if requests cycle through more models than the hosts can hold, with one
--- a/core/copies/plan_test.go
+++ b/core/copies/plan_test.go
@@ -34,7 +34,7 @@
 
 func name(i int) core.ModelName { return core.ModelName(fmt.Sprintf("m-%02d", i)) }
 
-// host returns an open host whose disk has the models that it holds and those in disk.
+// host returns a host that takes orders and whose disk has the models that it holds and those in disk.
 func host(id string, held []core.ModelName, disk ...core.ModelName) *copies.Host {
 	return &copies.Host{
 		ID: core.HostName(id), TakesOrders: true, Held: held, Memory: 145 * gb, OnDisk: slices.Concat(held, disk),
@@ -355,7 +355,7 @@
 }
 
 // Guards against moves that exceed a host's memory, and against models with waiting
-// requests that are never loaded beside the busy ones, in a long simulation of moving
+// requests that are never loaded in addition to the busy ones, in a long simulation of moving
 // demand on full hosts.
 func TestMovesFit(t *testing.T) {
 	s := service(12)
@@ -378,7 +378,7 @@
 			hosts[i] = host(string(m.Host), held)
 		}
 		waited := slices.ContainsFunc(hosts, func(h *copies.Host) bool { return slices.Contains(h.Held, name((step*7)%12)) })
-		assert.Assert(t, waited, "step %d: a model with waiting requests is loaded beside busy ones", step)
+		assert.Assert(t, waited, "step %d: a model with waiting requests is loaded in addition to busy ones", step)
 		for _, h := range hosts {
 			h.TakesOrders = true
 		}
--- a/core/copies/policy_test.go
+++ b/core/copies/policy_test.go
@@ -285,8 +285,8 @@
 	})
 }
 
-// greedy loads each model with waiting requests on the open host that has its weights near,
-// or on any other open host, and evicts the model that victim returns there. Hosts whose
+// greedy loads each model with waiting requests on a host that takes orders, preferably one
+// that has its weights near, and evicts the model that victim returns there. Hosts whose
 // victim has the highest weight are preferred.
 func greedy(s *rtable.Service, hosts []*copies.Host, demand map[core.ModelName]copies.Demand, victim func(*copies.Host) (core.ModelName, float64)) []copies.Move {
 	var moves []copies.Move
--- a/core/copies/width.go
+++ b/core/copies/width.go
@@ -35,17 +35,20 @@
 	// shared is set if loads were seen to share the store's speed, so that the estimate is
 	// close.
 	shared bool
-	// full counts the full-speed loads that ran beside as many others as the width allows.
+	// full counts the full-speed loads during which about as many loads ran as the width
+	// allows, since the width last changed.
 	full  float64
 	loads map[core.HostName]*observedLoad
-	at    time.Time
+	// notedAt is when Note was last called.
+	notedAt time.Time
 }
 
-// observedLoad is a load from the weight store. Its field began is zero if the load was
-// under way when it was first seen.
+// observedLoad is a load from the weight store.
 type observedLoad struct {
 	model core.ModelName
+	// began is zero if the load was under way when it was first seen.
 	began time.Time
+	// alone is how long the load takes if no other runs.
 	alone time.Duration
 	// storeTime is the load's share of the store's time, if all loads at each moment had
 	// equal shares.
@@ -68,7 +71,7 @@
 	if w.value == 0 {
 		w.value = max(1, w.First)
 	}
-	first := w.at.IsZero()
+	first := w.notedAt.IsZero()
 	w.advance(now)
 	old := w.loads
 	w.loads = map[core.HostName]*observedLoad{}
@@ -104,12 +107,12 @@
 
 // advance credits the loads in progress with their shares of the time since the last call.
 func (w *Width) advance(now time.Time) {
-	if passed := now.Sub(w.at); !w.at.IsZero() && passed > 0 {
+	if passed := now.Sub(w.notedAt); !w.notedAt.IsZero() && passed > 0 {
 		for _, l := range w.loads {
 			l.storeTime += passed / time.Duration(len(w.loads))
 		}
 	}
-	w.at = now
+	w.notedAt = now
 }
 
 // lowerIfSlow lowers the width when a load takes longer than it would if the store had the
@@ -124,15 +127,15 @@
 	}
 }
 
-// finish measures a load that has ended. A full-speed load beside as many others as the
-// width allows is evidence for a larger width.
+// finish measures a load that has ended. A full-speed load during which about as many loads
+// ran as the width allows is evidence for a larger width.
 func (w *Width) finish(now time.Time, l *observedLoad) {
 	took := now.Sub(l.began)
 	if l.began.IsZero() || l.storeTime <= 0 || float64(took) > fullSpeed*float64(l.alone) {
 		return
 	}
-	beside := float64(took) / float64(l.storeTime)
-	if beside < w.value-0.5 {
+	concurrent := float64(took) / float64(l.storeTime)
+	if concurrent < w.value-0.5 {
 		return
 	}
 	w.full++
--- a/core/route/load_test.go
+++ b/core/route/load_test.go
@@ -16,7 +16,7 @@
 // Forty requests reach eight entries within a second, for a model that no host
 // holds. A random router starts a load on every granted host, which occupies
 // the accelerators of all of them.
-func TestBurstWakesOneHost(t *testing.T) {
+func TestBurstLoadsOnOneHost(t *testing.T) {
 	simulate := func(make func(int) router) *simulation {
 		p := newSimulation(8, 6, 0, make)
 		for i := range 40 {
@@ -35,7 +35,7 @@
 
 // Twenty entries hold the same report, in which one host has the least load. If
 // all of them follow it, that host gets every request until the next report.
-func TestOldReportsMakeNoHerd(t *testing.T) {
+func TestStaleReportsDoNotAttractAll(t *testing.T) {
 	simulate := func(make func(int) router) (most int) {
 		p := newSimulation(20, 5, 5, make)
 		report := t0.Add(-time.Second)
@@ -74,7 +74,7 @@
 			t.Logf("slow answers %d of %d, random %d; p99 %v, random %v; share afterwards %.3f",
 				slow, len(planned.waits), randomSlow, quantile(planned.waits, 0.99), quantile(random.waits, 0.99), part)
 			assert.Assert(t, slow*3 < randomSlow)
-			assert.Assert(t, part > 0.13, "the host is not let back in")
+			assert.Assert(t, part > 0.13, "the host does not get its share again")
 		})
 	}
 }
--- a/core/route/option.go
+++ b/core/route/option.go
@@ -10,7 +10,7 @@
 
 const (
 	// maxFreshAge is the age up to which a load report counts in full. Reports
-	// of busy hosts are younger because answers carry them. Two round trips
+	// of busy hosts are younger because their answers carry them. Two round trips
 	// between data centres plus the time of a few tokens take about 200 ms.
 	maxFreshAge = 100 * time.Millisecond
 	// reportHalfLife is the age by which a stale report loses half of its
@@ -136,7 +136,8 @@
 }
 
 // slots returns how many requests a host runs at once: the number it ran when
-// it last reported a queue, or twice the number it runs now if it never did.
+// it last reported a queue, or more if it has run more since. If it never
+// reported one, the result is twice the number it runs now.
 func (r *Router) slots(c Candidate) int {
 	known, ok := r.knownSlots.get(c.Host)
 	switch {
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -75,7 +75,7 @@
 	Tried []core.HostName
 	// Probed lists hosts that were probed for this request. No plan names them
 	// for a probe again. The caller sets the health of a host that did not
-	// answer its probe to Suspect.
+	// respond to its probe to Suspect.
 	Probed []core.HostName
 }
 
@@ -132,12 +132,12 @@
 	Age  time.Duration
 }
 
-// Plan is the answer to a Query.
+// Plan is the result of Router.Plan.
 type Plan struct {
 	// Hosts are in the order in which to try them; empty if none may serve.
 	Hosts []Choice
-	// Probe lists at most two hosts whose load should be probed. Plan is then
-	// called again with their answers, until it names none.
+	// Probe lists at most two hosts whose load should be probed. Router.Plan is
+	// then called again with the loads that they reported, until it names none.
 	Probe []core.HostName
 	// Wait is set if the probes should be awaited before the plan is followed,
 	// because it would start a load and a probed host may hold the target.
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -145,7 +145,7 @@
 
 // A host with the prompt's prefix cached is not chosen if its load is far above
 // that of the others.
-func TestCacheDoesNotCrowd(t *testing.T) {
+func TestCachedHolderIsNotOverloaded(t *testing.T) {
 	r := &route.Router{}
 	q := route.Query{Request: request(1, t0, time.Minute, 7)}
 	r.RecordSent(t0, q.Request, "a")
