--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -53,7 +53,7 @@
 	Object core.Object
 }
 
-// Reply is the answer to an Action.
+// Reply is the platform's reply to an Action.
 type Reply struct {
 	// Object is the object that the platform returned, if Failed is false.
 	Object core.Object
@@ -209,10 +209,10 @@
 	if call == Read {
 		return
 	}
-	// Only the answer to a write of its own entitles a process to decide, counted
-	// from when the write was sent: the platform can't have applied it earlier. After
-	// a lost answer the process finds its write by reading, and decides only once the
-	// next renewal has been answered.
+	// A process may decide only after a reply to a write of its own, counted from
+	// when the write was sent: the platform can't have applied it earlier. After a
+	// lost reply the process finds its write by reading, and decides only after the
+	// reply to its next renewal.
 	if l.held && l.version == o.Version {
 		l.validUntil = l.sentAt.Add(l.validity())
 		l.nextCallAt = l.sentAt.Add(l.term() / renewalsPerTerm)
@@ -225,8 +225,8 @@
 		l.handleAbsence(now)
 		return
 	case core.Conflict, core.Exists:
-		// The object has a newer version. If another process now holds the lease, this
-		// one must not decide until the end of its term.
+		// The object has a newer version, so another process may hold the lease. This
+		// one stops deciding now, not only when its term ends.
 		l.validUntil = time.Time{}
 		l.observed = false
 		l.nextCallAt = now
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -177,9 +177,9 @@
 	assert.Equal(t, assertDecides(t, l, now, true), core.Fence(901))
 }
 
-// The platform applies a write whose answer is lost. The process must find by
-// reading that it holds the lease, but must not decide before another write of its
-// own has been answered: it doesn't know when the first one was applied.
+// The platform applies a write whose reply is lost. The process must find by
+// reading that it holds the lease, but must not decide before the reply to another
+// write of its own: it doesn't know when the first one was applied.
 func TestLostAnswer(t *testing.T) {
 	s, l := &store{}, newContender("d1")
 	l.NoPriorHolder = true
