--- a/core/manage.go
+++ b/core/manage.go
@@ -35,12 +35,13 @@
 
 // UpstreamState is the state that a managed upstream reports.
 type UpstreamState struct {
-	// ID identifies the instance of the upstream, if the upstream reports one.
-	// Born is the instance's start in milliseconds since the Unix epoch; it
-	// distinguishes instances that share an ID.
+	// ID identifies the upstream's incarnation, which is one run from its start to
+	// its end; empty if the upstream does not report it. Born is the start time in
+	// milliseconds since the Unix epoch, zero if not reported; it distinguishes
+	// incarnations that share an ID.
 	ID   HostName
 	Born int64
-	// Orders is the number of orders that this instance has accepted.
+	// Orders is the number of orders that this incarnation has accepted.
 	Orders int64
 	// Busy is set if an order is in progress, during which no other is accepted.
 	Busy bool
@@ -64,7 +65,7 @@
 	PrefillTokens int64
 }
 
-// Restarted reports whether later is a report of another instance than s. An
+// Restarted reports whether later is a report of another incarnation than s. An
 // upstream that reports neither ID nor start time reveals a restart by its order
 // count, which starts again from zero.
 func (s UpstreamState) Restarted(later UpstreamState) bool {
@@ -80,7 +81,7 @@
 	// AfterOrders is the order count that the upstream must have for the order to
 	// apply.
 	AfterOrders int64
-	// Instance is the instance of the upstream that the order is for.
+	// Instance is the ID of the incarnation that the order is for.
 	Instance HostName
 	Holder   HostName
 	Fence    Fence
@@ -99,7 +100,7 @@
 	OrderConflict
 	// OrderStale: the fencing number is out of date.
 	OrderStale
-	// OrderOtherInstance: another instance of the upstream answered.
+	// OrderOtherInstance: another incarnation of the upstream responded.
 	OrderOtherInstance
 	// OrderRejected: the upstream cannot carry out the order.
 	OrderRejected
@@ -122,7 +123,7 @@
 	// returns once the adapter is loaded.
 	Fetch(ctx context.Context, host HostName, model ModelName, adapter string) error
 	// RecordUse records a request for an adapter that a host has, so that the
-	// host's agent can tell which adapters are idle.
+	// host's agent knows which adapters are idle.
 	RecordUse(host HostName, model ModelName, adapter string)
 }
 
--- a/core/object.go
+++ b/core/object.go
@@ -51,7 +51,7 @@
 	Deleted bool
 }
 
-// Listing is the answer to List: all objects of a kind as of Version.
+// Listing is the result of List: all objects of a kind as of Version.
 type Listing struct {
 	Objects []Object
 	Version Version
--- a/core/proto.go
+++ b/core/proto.go
@@ -38,8 +38,8 @@
 
 // Hop is the metadata that an entry sends to an upstream with a request.
 type Hop struct {
-	// Instance is the instance of the upstream that is to run the request; any
-	// other refuses it.
+	// Instance is the ID of the upstream's incarnation that is to run the request;
+	// any other refuses it.
 	Instance HostName
 	// Remaining is the time remaining for the upstream to run the request.
 	Remaining time.Duration
@@ -86,8 +86,8 @@
 	Limit RateLimit
 	// Leaving is set if the upstream states that it is shutting down.
 	Leaving bool
-	// RetryAt is when this process may send to an upstream again that has rejected
-	// the request; zero if the upstream named no time.
+	// RetryAt is when this process may send requests to the upstream again after it
+	// has rejected this one; zero if the upstream named no time.
 	RetryAt time.Time
 	// UnknownFields lists, sorted, the names of fields that belong to the platform
 	// but that this version doesn't know.
