--- a/core/digest/table.go
+++ b/core/digest/table.go
@@ -9,8 +9,8 @@
 	"radishwell/core/fleet"
 )
 
-// staleAge is the age at which a host's report is listed separately as stale. Agents answer
-// every half second.
+// staleAge is the age at which a host's report is listed separately as stale. Agents are
+// polled twice a second.
 const staleAge = 800 * time.Millisecond
 
 // loadTolerance is how much the expected end of a load may shift without counting as a
@@ -26,7 +26,7 @@
 	Unreachable bool
 	Born        int64
 	Ended       []core.HostName
-	// Planner is the entry whose orders the agent follows.
+	// Planner is the entry that the agent follows: it accepts the goals of that entry.
 	Planner core.HostName
 }
 
@@ -105,7 +105,7 @@
 }
 
 // PutFigures records a host's figures from a relay. It returns false if the rest of the
-// host's report is not from the same relay, in which case the relay has to be asked for the
+// host's report is not from the same relay, in which case the relay has to be polled for the
 // whole report.
 func (t *Table) PutFigures(source core.HostName, address netip.AddrPort, f Figures) bool {
 	r := t.rows[address]
@@ -173,6 +173,7 @@
 	return at, stale
 }
 
+// Len returns the number of hosts.
 func (t *Table) Len() int { return len(t.rows) }
 
 // Host returns the state of the host at an address, false if it is unknown.
--- a/core/follow/choose.go
+++ b/core/follow/choose.go
@@ -21,8 +21,8 @@
 	// is held until there is news takes a third of it.
 	responseTTL = time.Second
 	// minBackoff is how long a member that did not respond is avoided at first, and
-	// maxBackoff is the longest after several failures, since a host that was removed for
-	// good is still listed.
+	// maxBackoff is the longest after several failures, since a host that was removed may
+	// still be listed.
 	minBackoff = time.Second
 	maxBackoff = 16 * time.Second
 	// probeAhead is how many members are probed at once after one before them did not
--- a/core/follow/choose_test.go
+++ b/core/follow/choose_test.go
@@ -266,7 +266,7 @@
 	})
 }
 
-// Guards against repeated delays by a host that was removed for good and is still listed.
+// Guards against repeated delays by a host that was removed and is still listed.
 // After the first failure, nobody must wait for it again.
 func TestLostMemberDelaysNobody(t *testing.T) {
 	eachSize(t, func(t *testing.T, w *cluster) {
--- a/core/follow/doc.go
+++ b/core/follow/doc.go
@@ -1,5 +1,5 @@
 // Package follow decides from which agents and relays an entry receives the state of the
-// upstream hosts. An entry follows an agent if it receives the agent's reports itself.
+// upstream hosts. An entry follows an agent if it polls the agent itself.
 //
 // In a small fleet each entry follows every agent. In a large one that would take a
 // connection for each pair, and a report of each host to each entry several times a second.
@@ -8,4 +8,7 @@
 // centre. The relay is the first entry by rank that responds. There is no election and no
 // stored state: each entry chooses for itself, and an entry becomes a relay by being
 // polled. If entries disagree for a moment, the only cost is a second relay.
+//
+// The planner, the entry that decides which models the hosts hold, is the first by rank of
+// the relays that respond.
 package follow
--- a/core/member/doc.go
+++ b/core/member/doc.go
@@ -7,7 +7,7 @@
 // at a dead host before it is tried elsewhere, and a flapping host would get, and
 // lose, a share of the work after every return.
 //
-// A suspicion only steers work. Only the platform's list shows that a host is gone
-// for good, so that its grants may move: a host that one process can't reach may
-// be serving others.
+// A suspicion only steers work. Only the platform's list proves that a host is
+// gone, so that its grants may move: a host that one process can't reach may be
+// serving others.
 package member
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -51,9 +51,9 @@
 type host struct {
 	listed      core.HostState
 	incarnation core.Incarnation
-	// pastIncarnations has earlier incarnations, whose late answers are ignored.
+	// pastIncarnations has earlier incarnations, whose late responses are ignored.
 	pastIncarnations []core.Incarnation
-	// leavingIncarnation is the incarnation whose answer said that it is leaving.
+	// leavingIncarnation is the incarnation whose response said that it is leaving.
 	leavingIncarnation core.Incarnation
 	// leavingMarks has the incarnations marked as leaving by peers, with the expiry
 	// of each mark.
@@ -141,14 +141,14 @@
 		return
 	}
 	if c.OK {
-		h.recordAnswer(now, c)
+		h.recordSuccess(now, c)
 		return
 	}
 	t.recordFailure(now, h, c)
 }
 
-// recordAnswer records a successful contact.
-func (h *host) recordAnswer(now time.Time, c Contact) {
+// recordSuccess records a successful contact.
+func (h *host) recordSuccess(now time.Time, c Contact) {
 	if c.Incarnation != 0 && slices.Contains(h.pastIncarnations, c.Incarnation) {
 		return
 	}
@@ -178,7 +178,7 @@
 
 // recordFailure records a failed contact.
 //
-// A connection can go silent while others to the same host work. Such a failure
+// A connection can stop carrying data while others to the same host work. Such a failure
 // dates from when the connection last carried data, and a later success outweighs
 // it. Without this rule, every connection that was dropped silently would take a
 // healthy host out of service.
--- a/core/member/state.go
+++ b/core/member/state.go
@@ -43,7 +43,7 @@
 	Failing Reason = "last contact failed"
 	// HeldBack: contact works again, but failed too often before.
 	HeldBack Reason = "held back after repeated failures"
-	// SaidLeaving: the host's process said so in an answer.
+	// SaidLeaving: the host's process said so in a response.
 	SaidLeaving Reason = "said that it is leaving"
 	// MarkedLeaving: the host's process sent a mark to its peers.
 	MarkedLeaving Reason = "marked as leaving"
@@ -64,13 +64,13 @@
 // Contact is one attempt to reach a host's process, or a report about it.
 type Contact struct {
 	Host core.HostName
-	// OK is set if the host answered, even with a refusal.
+	// OK is set if the host responded, even with a refusal.
 	OK bool
 	// Since is when the host was last known to be up before a failure: when the
 	// failed connection was started or last carried data. Zero means now.
 	Since time.Time
-	// Incarnation is the incarnation of the process that answered, zero if unknown.
+	// Incarnation is the incarnation of the process that responded, zero if unknown.
 	Incarnation core.Incarnation
-	// Leaving is set if the answer said that the process is leaving.
+	// Leaving is set if the response said that the process is leaving.
 	Leaving bool
 }
--- a/core/orphan/tracker_test.go
+++ b/core/orphan/tracker_test.go
@@ -19,10 +19,10 @@
 
 func at(d time.Duration) time.Time { return t0.Add(d) }
 
-func silent(netip.AddrPort) bool { return false }
+func noResponse(netip.AddrPort) bool { return false }
 
 func see(b *orphan.Tracker, d time.Duration, engines ...netip.AddrPort) {
-	b.SetEngines(at(d), engines, silent)
+	b.SetEngines(at(d), engines, noResponse)
 }
 
 func wantWithoutAgent(t *testing.T, b *orphan.Tracker, d time.Duration, want ...netip.AddrPort) {
@@ -71,8 +71,8 @@
 	assert.Assert(t, !b.MustReadRecords(at(time.Minute), true), "its record is known")
 }
 
-// Guards against an engine with two holders when an agent appears beside an engine that an
-// entry orders. The agent writes its record and waits. By the end of the wait the entry
+// Guards against an engine with two holders when an agent starts on the host of an engine that
+// an entry orders. The agent writes its record and waits. By the end of the wait the entry
 // must have stopped, whatever fails on its way to the store.
 func TestAgentThatAppearsWaitsLongEnough(t *testing.T) {
 	var b orphan.Tracker
