--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -186,7 +186,7 @@
 
 // Names that are no longer in use must not stay in memory. Otherwise a scan
 // over many callers would grow an entry without bound.
-func TestSilentNamesAreForgotten(t *testing.T) {
+func TestUnusedNamesAreForgotten(t *testing.T) {
 	a := &admit.Limiter{}
 	b := admit.Bounds{Caller: core.Limits{Rate: 1, Burst: 2}}
 	now := t0
--- a/core/admit/choose.go
+++ b/core/admit/choose.go
@@ -9,20 +9,20 @@
 
 const (
 	// minAside is how long an entry is set aside after its first failure to
-	// answer, and maxAside is the longest time after several failures in a row.
+	// respond, and maxAside is the longest time after several failures in a row.
 	minAside = time.Second
 	maxAside = 8 * time.Second
 )
 
 // Chooser chooses the keeper to which an entry delegates its shares of the
-// allowances: the first entry that answers, in an order that all entries have
+// allowances: the first entry that responds, in an order that all entries have
 // in common. The zero value is ready for use. A Chooser is not safe for
 // concurrent use.
 type Chooser struct {
 	failed map[core.HostName]*failedEntry
 }
 
-// failedEntry is an entry that did not answer.
+// failedEntry is an entry that did not respond.
 type failedEntry struct {
 	retryAt  time.Time
 	failures int
@@ -40,10 +40,10 @@
 	return ordered[len(ordered)-1]
 }
 
-// RecordAnswer records that an entry answered.
+// RecordAnswer records that an entry responded.
 func (c *Chooser) RecordAnswer(name core.HostName) { delete(c.failed, name) }
 
-// RecordFailure records that an entry did not answer.
+// RecordFailure records that an entry did not respond.
 func (c *Chooser) RecordFailure(now time.Time, name core.HostName) {
 	if c.failed == nil {
 		c.failed = map[core.HostName]*failedEntry{}
--- a/core/admit/choose_test.go
+++ b/core/admit/choose_test.go
@@ -11,7 +11,7 @@
 )
 
 // This test guards against an entry that repeatedly calls a keeper that does
-// not answer.
+// not respond.
 func TestChooser(t *testing.T) {
 	now := time.Unix(1000, 0)
 	order := []core.HostName{"a", "b", "self"}
--- a/core/admit/keeper_test.go
+++ b/core/admit/keeper_test.go
@@ -192,7 +192,7 @@
 
 // This test guards against refusals of a customer that is within its allowance
 // but whose requests arrive unevenly.
-func TestUsualLoadIsLetIn(t *testing.T) {
+func TestUsualLoadIsAdmitted(t *testing.T) {
 	for _, n := range sizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			r, f := newRand(2), newFleet(n, allowanceOf(60_000))
--- a/core/admit/sim_test.go
+++ b/core/admit/sim_test.go
@@ -109,7 +109,7 @@
 	return true
 }
 
-// steadyOwner is a small constant workload that runs beside another.
+// steadyOwner is a small constant workload that runs together with another.
 func steadyOwner() workload {
 	return workload{
 		owner: "treasurer", caller: "t", model: "ledger", rate: 4, stop: 20 * time.Second,
@@ -117,8 +117,8 @@
 	}
 }
 
-// Each case has an owner that is bounded by its limits and a small steady owner
-// beside it. With one FIFO queue and no limits, the steady owner waits behind
+// Each case has an owner that is bounded by its limits, and a small steady owner.
+// With one FIFO queue and no limits, the steady owner waits behind
 // the work of the other one and gets answers after the deadline.
 func TestLimitsProtectTheOthers(t *testing.T) {
 	half := core.Limits{Concurrency: 5}
--- a/core/claims/call.go
+++ b/core/claims/call.go
@@ -37,7 +37,7 @@
 	// claim is the current attempt.
 	claim Claim
 	// justWon is set if this call won the current claim and has not queried the agent
-	// about it since, so that the agent's answer can't be an old one.
+	// about it since, so that a refusal by the agent can't be an old one.
 	justWon  bool
 	attempts int
 	// metOther is set if this call has come across another claimant's claim since
@@ -98,11 +98,12 @@
 
 // AttemptStatus is the result of a StepAsk.
 type AttemptStatus struct {
-	// Reached is false if the agent didn't answer.
+	// Reached is false if the agent didn't respond.
 	Reached bool
 	// Gone is set if the platform no longer lists the host.
 	Gone bool
-	// State is the agent's answer. It is valid only if Reached is set.
+	// State is the state in the agent's response. It is valid only if Reached is
+	// set.
 	State dedupe.State
 }
 
@@ -176,7 +177,7 @@
 	return c.refuse(r)
 }
 
-// Asked handles the agent's answer about the current attempt.
+// Asked handles the agent's response about the current attempt.
 func (c *Call) Asked(now time.Time, s AttemptStatus) Step {
 	switch {
 	case s.Reached && s.State == dedupe.Sealed:
--- a/core/claims/journal.go
+++ b/core/claims/journal.go
@@ -161,7 +161,7 @@
 	return out
 }
 
-// Tick must be called at the time that Next returns.
+// Tick must be called at the time that NextTick returns.
 func (j *Journal) Tick(now time.Time) Effects {
 	var out Effects
 	j.advance(now, &out)
--- a/core/claims/schedule_test.go
+++ b/core/claims/schedule_test.go
@@ -31,9 +31,9 @@
 	return n
 }
 
-// play runs one random schedule: requests with two keys through three entries to
+// runSchedule runs one random schedule: requests with two keys through three entries to
 // two agents, with faults at every step for 30 s and none afterwards.
-func play(seed uint64, broken disabledGuards) *world {
+func runSchedule(seed uint64, broken disabledGuards) *world {
 	w := newWorld(seed, 3, 2)
 	w.broken = broken
 	w.faultRate = []float64{0, 0.05, 0.2}[w.rng.IntN(3)]
@@ -157,7 +157,7 @@
 	outcomes := make(map[string]int)
 	first, count := seeds(t, 300)
 	for seed := first; seed < first+count; seed++ {
-		w := play(seed, disabledGuards{})
+		w := runSchedule(seed, disabledGuards{})
 		for _, violation := range w.violations {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
@@ -205,7 +205,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := missing.from; seed < missing.from+3000; seed++ {
-				if w := play(seed, missing.broken); len(w.violations) > 0 {
+				if w := runSchedule(seed, missing.broken); len(w.violations) > 0 {
 					t.Logf("seed %d: %s", seed, w.violations[0])
 					return
 				}
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -164,7 +164,7 @@
 type Score func(core.ModelName) float64
 
 // Load requests an item and reports its state. It is idempotent. After Evicting
-// and Coming, Next returns the orders.
+// and Loading, Next returns the orders.
 func (l *Ledger) Load(now time.Time, w LoadRequest, keep Score) Verdict {
 	if l.superseded {
 		return Superseded
--- a/core/place/balance.go
+++ b/core/place/balance.go
@@ -24,7 +24,7 @@
 
 // balance starts at most one move. After a data centre is lost for a while, all
 // its grants are on the remaining hosts, and without balance the models of an
-// evening would stay crowded on half of the hosts for ever. Only models without
+// evening would remain crowded on half of the hosts. Only models without
 // demand move, since the old holder must release the model before the new one is
 // added. A move must leave the fuller of the two hosts less full than before, so
 // that the moves end.
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -97,7 +97,7 @@
 // Decision is the result of Decide.
 type Decision struct {
 	Action Action
-	// At is the time of the next attempt if Action is Later.
+	// At is the time of the next attempt if Action is RetryLater.
 	At time.Time
 	// Refusal is the answer to the caller if Action is GiveUp.
 	Refusal *core.Refusal
--- a/core/script/script_test.go
+++ b/core/script/script_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// play runs a scenario and returns the first violation, if any, and its line.
-func play(text string) (violation string, line int) {
+// runScenario runs a scenario and returns the first violation, if any, and its line.
+func runScenario(text string) (violation string, line int) {
 	w := newWorld()
 	for i, l := range strings.Split(text, "\n") {
 		w.exec(l)
@@ -32,7 +32,7 @@
 			text, err := os.ReadFile(f)
 			assert.NilError(t, err)
 			assert.Assert(t, strings.HasPrefix(string(text), "# "), "a scenario must start with a description")
-			if violation, line := play(string(text)); violation != "" {
+			if violation, line := runScenario(string(text)); violation != "" {
 				t.Fatalf("%s:%d: %s", f, line, violation)
 			}
 		})
@@ -51,11 +51,11 @@
 			assert.NilError(t, err)
 			want, ok := strings.CutPrefix(strings.SplitN(string(text), "\n", 2)[0], "# sees ")
 			assert.Assert(t, ok, "the first line must name the check")
-			violation, _ := play(string(text))
+			violation, _ := runScenario(string(text))
 			assert.Assert(t, strings.HasPrefix(violation, want+":"), "found %q", violation)
 			// Without the fault, the same scenario must pass the checks.
 			withoutFault := strings.ReplaceAll(string(text), "\nbreak ", "\n# ")
-			violation, _ = play(withoutFault)
+			violation, _ = runScenario(withoutFault)
 			assert.Equal(t, violation, "")
 		})
 	}
--- a/core/script/world_test.go
+++ b/core/script/world_test.go
@@ -28,8 +28,8 @@
 	// host is set for calls to the engine of a host.
 	host *upstreamHost
 	// expires is when an abandoned order to an engine that ignores fencing numbers is
-	// dropped. Such an order arrives within ledger.Settle or never, as the agent
-	// runs on the engine's host.
+	// dropped. Such an order arrives within ledger.MaxOrderDelay or never, as the
+	// agent runs on the engine's host.
 	expires time.Time
 }
 
--- a/core/slots/local.go
+++ b/core/slots/local.go
@@ -27,7 +27,7 @@
 // Local decides when an agent that cannot reach the decider may read from the
 // store. It starts with the agent's equal share of the limits and adapts it to
 // the transfer times that it measures. Usually few hosts load at once, so their
-// shares are far too small; after a wake-up of the whole fleet the shares are
+// shares are far too small; if the whole fleet loads at once, the shares are
 // right. The exported fields are set before the first call. A Local is not safe
 // for concurrent use.
 type Local struct {
--- a/core/slots/pool_test.go
+++ b/core/slots/pool_test.go
@@ -47,7 +47,7 @@
 // A thousand models are requested at once. If all are read at once, each takes
 // as long as all together, and interactive requests wait as long as overnight
 // ones.
-func TestBurstOfWakeUps(t *testing.T) {
+func TestBurstOfLoads(t *testing.T) {
 	unlimited := newSimulation(modelStore(), nil)
 	requestBurst(unlimited, 1000, core.GiB)
 	unlimited.run(20 * time.Minute)
@@ -123,7 +123,7 @@
 	}
 }
 
-// One owner wakes 450 models at once, and ten others two each a little later.
+// One owner requests 450 models at once, and ten others two each a little later.
 // The ten must not wait until the 450 are loaded.
 func TestFewOwnersWithMostLoads(t *testing.T) {
 	p := newSimulation(modelStore(), &Pool{Rate: 4, Parallel: 4})
@@ -247,7 +247,7 @@
 	assert.Assert(t, quantile(waits(limited.done, all), 1) < quantile(waits(unlimited.done, all), 1)*11/10)
 }
 
-// This test compares the queue with a naive one that scans all requests each
+// TestWaitQueueAgainstNaive compares the queue with a naive one that scans all requests each
 // time, over random requests, renewals with other deadlines, and withdrawals.
 func TestWaitQueueAgainstNaive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
--- a/core/slots/wait.go
+++ b/core/slots/wait.go
@@ -19,7 +19,7 @@
 // waitQueue orders the requests that wait for a slot: classes by weight, the
 // owners of a class in turn, and the loads of an owner by deadline.
 //
-// Owners take turns because an owner that wakes hundreds of models at once
+// Owners take turns because an owner that requests hundreds of models at once
 // would otherwise keep all others waiting until they are loaded, if deadlines
 // alone decided.
 type waitQueue struct {
--- a/core/strike/gate.go
+++ b/core/strike/gate.go
@@ -57,7 +57,7 @@
 	nextDrain    time.Time
 }
 
-// MayRun decides whether a request may start beside the running ones, given by
+// MayRun decides whether a request may start while others run, which are given by
 // their fingerprints. trial is set if the entry forwarded it as a suspect.
 //
 // A request that became a suspect in the queue is refused, so that its entry sends
--- a/core/strike/play_test.go
+++ b/core/strike/play_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// wake schedules another look at an agent's queue, with one timer for all waiting
+// wake schedules another check of an agent's queue, with one timer for all waiting
 // requests.
 func (f *fleet) wake(a *upstream, at time.Time) {
 	if !at.After(f.now) || (a.wakeAt.After(f.now) && !at.Before(a.wakeAt)) {
--- a/core/warm/habit.go
+++ b/core/warm/habit.go
@@ -21,7 +21,8 @@
 	dayDecay = 0.8
 	// gapDecay is the factor by which the weight of earlier gaps shrinks with each new one,
 	// so that about the last hundred count. With the last thirty, the few long gaps among
-	// them are too uneven a sample: the treasurers' week cost 6% more.
+	// them are too uneven a sample: the generated trace replay.Evenings of core/replay cost
+	// 6% more.
 	gapDecay = 0.99
 	// priorGaps is the weight of the prior: once so many gaps have been seen, half of the
 	// decision depends on them. Without it, one short gap would make the model be kept as
--- a/core/warm/warm_test.go
+++ b/core/warm/warm_test.go
@@ -152,7 +152,7 @@
 	assertKept(t, p, start.Add(time.Second), 10*time.Minute, 10*time.Minute)
 }
 
-func TestDropForgets(t *testing.T) {
+func TestRemoveForgets(t *testing.T) {
 	p := policyFor(core.Interactive)
 	use(p, start)
 	p.Remove(item)
