--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -200,7 +200,7 @@
 		w.platform(e, "append", out.Write.Object.Name, out.Write, e.journal.WriteDone)
 	}
 	for _, a := range out.Answers {
-		// A previous answer may have led to the entry's death.
+		// The entry may have been restarted because of a previous answer.
 		if answered := e.pending[a.Token]; answered != nil {
 			delete(e.pending, a.Token)
 			answered(a)
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -29,7 +29,7 @@
 	return s
 }
 
-func (s *scenario) answer(name core.HostName, incarnation core.Incarnation) {
+func (s *scenario) respond(name core.HostName, incarnation core.Incarnation) {
 	s.RecordContact(s.now, Contact{Host: name, OK: true, Incarnation: incarnation})
 }
 
@@ -53,26 +53,26 @@
 	sijill core.HostName = "sijill-1"
 )
 
-// TestLeaving covers an agent that stops. It says so in its answers and to its
+// TestLeaving covers an agent that stops. It says so in its responses and to its
 // peers, long before the platform's list shows it. No entry may give it new work.
 // Then its successor starts on the same host and must get work, although the
 // predecessor's mark has not expired.
 func TestLeaving(t *testing.T) {
-	t.Run("said in an answer", func(t *testing.T) {
+	t.Run("said in a response", func(t *testing.T) {
 		s := newScenario(t)
-		s.answer(qalam, 1)
+		s.respond(qalam, 1)
 		s.RecordContact(s.now, Contact{Host: qalam, OK: true, Incarnation: 1, Leaving: true})
 		s.assertState(qalam, Leaving, SaidLeaving)
 		assert.Equal(t, len(s.Choose(s.now, []core.HostName{qalam})), 0)
-		s.answer(qalam, 2)
+		s.respond(qalam, 2)
 		s.assertState(qalam, Live, Unremarkable)
 	})
 	t.Run("marked by peers", func(t *testing.T) {
 		s := newScenario(t)
-		s.answer(qalam, 1)
+		s.respond(qalam, 1)
 		s.MarkLeaving(s.now, qalam, 1, s.now.Add(time.Minute))
 		s.assertState(qalam, Leaving, MarkedLeaving)
-		s.answer(qalam, 2)
+		s.respond(qalam, 2)
 		s.assertState(qalam, Live, Unremarkable)
 		s.MarkLeaving(s.now, qalam, 1, s.now.Add(time.Hour))
 		s.assertState(qalam, Live, Unremarkable)
@@ -85,7 +85,7 @@
 	})
 	t.Run("the successor is found by probing", func(t *testing.T) {
 		s := newScenario(t)
-		s.answer(qalam, 1)
+		s.respond(qalam, 1)
 		s.MarkLeaving(s.now, qalam, 1, s.now.Add(time.Hour))
 		s.assertDue(qalam)
 		s.assertDue()
@@ -94,7 +94,7 @@
 	t.Run("listed as leaving", func(t *testing.T) {
 		s := newScenario(t)
 		s.SetListed(qalam, core.HostLeaving)
-		s.answer(qalam, 2)
+		s.respond(qalam, 2)
 		s.assertState(qalam, Leaving, ListedLeaving)
 		s.assertDue()
 		s.SetListed(qalam, core.HostLive)
@@ -107,7 +107,7 @@
 // host comes back a moment later and must get work after one probe.
 func TestGoneWithoutNotice(t *testing.T) {
 	s := newScenario(t)
-	s.answer(qalam, 1)
+	s.respond(qalam, 1)
 	for range 50 {
 		s.fail(qalam)
 	}
@@ -116,7 +116,7 @@
 	assert.DeepEqual(t, s.Choose(s.now, both), []core.HostName{sijill})
 	s.assertDue()
 	s.advance(minHold).assertDue(qalam)
-	s.answer(qalam, 1)
+	s.respond(qalam, 1)
 	s.assertState(qalam, Live, Unremarkable)
 }
 
@@ -126,7 +126,7 @@
 func TestSilentConnection(t *testing.T) {
 	s := newScenario(t)
 	lastData := s.now
-	s.advance(2*time.Second).answer(qalam, 1)
+	s.advance(2*time.Second).respond(qalam, 1)
 	s.advance(time.Second).RecordContact(s.now, Contact{Host: qalam, Since: lastData})
 	s.assertState(qalam, Live, Unremarkable)
 	s.RecordContact(s.now, Contact{Host: qalam, Since: s.now})
@@ -144,7 +144,7 @@
 		for s.Judge(s.now, qalam).State != Live {
 			s.advance(100 * time.Millisecond)
 			for range s.DueProbes(s.now) {
-				s.answer(qalam, 1)
+				s.respond(qalam, 1)
 			}
 		}
 		return s.now.Sub(from)
@@ -173,16 +173,16 @@
 	crash := func() State {
 		s.advance(100 * time.Millisecond).fail(qalam)
 		incarnation++
-		s.advance(100*time.Millisecond).answer(qalam, incarnation)
+		s.advance(100*time.Millisecond).respond(qalam, incarnation)
 		return s.Judge(s.now, qalam).State
 	}
-	s.answer(qalam, incarnation)
+	s.respond(qalam, incarnation)
 	for range crashLoopLevel - 1 {
 		assert.Equal(t, crash(), Live)
 	}
 	assert.Equal(t, crash(), Suspect)
 	s.assertState(qalam, Suspect, HeldBack)
-	s.answer(qalam, 1)
+	s.respond(qalam, 1)
 	assert.Equal(t, s.hosts[qalam].incarnation, incarnation, "a late answer of an earlier incarnation changes nothing")
 }
 
@@ -200,7 +200,7 @@
 	assert.Assert(t, !s.ProvenGone(qalam))
 	s.SetUnlisted(qalam)
 	assert.Assert(t, s.ProvenGone(qalam))
-	s.answer(qalam, 1)
+	s.respond(qalam, 1)
 	s.assertState(qalam, Gone, NotListed)
 	s.SetListed(qalam, core.HostLive)
 	assert.Assert(t, !s.ProvenGone(qalam))
@@ -217,7 +217,7 @@
 	for i := range 8 {
 		name := core.HostName(fmt.Sprintf("qalam-%d", i))
 		holders = append(holders, name)
-		s.answer(name, 1)
+		s.respond(name, 1)
 	}
 	for range 5 {
 		s.advance(2 * time.Second)
@@ -230,7 +230,7 @@
 	assert.Equal(t, got[0], core.HostName("qalam-7"))
 	s.advance(minHold)
 	for _, name := range s.DueProbes(s.now) {
-		s.answer(name, 1)
+		s.respond(name, 1)
 	}
 	live := 0
 	for _, name := range holders {
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -100,7 +100,7 @@
 
 // A refused caller that retries at the time named in the refusal must be
 // admitted if nothing else arrives in between.
-func TestRetryAtIsHonest(t *testing.T) {
+func TestRetryAtIsAccurate(t *testing.T) {
 	q := &queue.Queue{}
 	now := t0
 	for i := range 40 {
--- a/core/route/option.go
+++ b/core/route/option.go
@@ -135,9 +135,9 @@
 	return time.Duration(ahead / slots * float64(r.meanServiceTime(t)))
 }
 
-// slots returns how many requests a host runs at once: the number it ran when
-// it last reported a queue, or more if it has run more since. If it never
-// reported one, the result is twice the number it runs now.
+// slots estimates how many requests a host runs at once: the number it ran when
+// it last reported a queue, or more if it has run more since. If it has not
+// reported a queue, that is twice the number it runs now.
 func (r *Router) slots(c Candidate) int {
 	known, ok := r.knownSlots.get(c.Host)
 	switch {
--- a/core/route/slow.go
+++ b/core/route/slow.go
@@ -195,7 +195,7 @@
 	h.samples, h.failureRate, h.logRatio = 0, 0, 0
 }
 
-// isSetAside reports whether a host is kept from this request. A host that
+// isSetAside reports whether a host is set aside for this request. A host that
 // returns gets a growing share of the requests, chosen by their IDs.
 func (r *Router) isSetAside(now time.Time, q core.Request, host core.HostName) bool {
 	s, ok := r.hostSets[q.Target.Service]
