--- a/core/admit/check.go
+++ b/core/admit/check.go
@@ -58,8 +58,8 @@
 
 // queueFull reports whether a request of this size has no place in the queue. A
 // request larger than the limit on bytes is admitted if nothing else waits;
-// otherwise it would be refused at each retry and never be admitted. The entry's limit
-// on the body of one request bounds the memory that it can hold.
+// otherwise it would be refused at each retry and never be admitted. The
+// entry's limit on the body of one request bounds the memory that it can hold.
 func (c *record) queueFull(size core.Bytes) bool {
 	if n := c.share.count(c.limits.Queue); n > 0 && c.waiting >= n {
 		return true
--- a/core/admit/choose.go
+++ b/core/admit/choose.go
@@ -9,7 +9,8 @@
 
 const (
 	// minAside is how long an entry is set aside after its first failure to
-	// respond, and maxAside is the longest time after several failures in a row.
+	// respond, and maxAside is the longest time after several failures in a
+	// row.
 	minAside = time.Second
 	maxAside = 8 * time.Second
 )
--- a/core/admit/doc.go
+++ b/core/admit/doc.go
@@ -15,8 +15,8 @@
 // entries.
 //
 // The allowances of a managed platform's customers are counted over all
-// entries. Each entry delegates its shares to one entry, the keeper, which counts
-// them in a Keeper. All entries choose the keeper in the same way (Chooser). An
-// entry that reaches no keeper counts its shares itself. The keeper also gives
-// out the reservations at upstreams that set a rate limit.
+// entries. Each entry delegates its shares to one entry, the keeper, which
+// counts them in a Keeper. All entries choose the keeper in the same way
+// (Chooser). An entry that reaches no keeper counts its shares itself. The
+// keeper also gives out the reservations at upstreams that set a rate limit.
 package admit
--- a/core/admit/sim_test.go
+++ b/core/admit/sim_test.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// Each case has an owner that is bounded by its limits, and a small steady owner.
-// With one FIFO queue and no limits, the steady owner waits behind
-// the work of the other one and gets answers after the deadline.
+// Each case has an owner that is bounded by its limits, and a small steady
+// owner. With one FIFO queue and no limits, the steady owner waits behind the
+// work of the other one and gets answers after the deadline.
 func TestLimitsProtectTheOthers(t *testing.T) {
 	half := core.Limits{Concurrency: 5}
 	for _, c := range []struct {
--- a/core/claims/schedule_test.go
+++ b/core/claims/schedule_test.go
@@ -31,8 +31,8 @@
 	return n
 }
 
-// runSchedule runs one random schedule: requests with two keys through three entries to
-// two agents, with faults at every step for 30 s and none afterwards.
+// runSchedule runs one random schedule: requests with two keys through three
+// entries to two agents, with faults at every step for 30 s and none afterwards.
 func runSchedule(seed uint64, broken disabledGuards) *world {
 	w := newWorld(seed, 3, 2)
 	w.broken = broken
--- a/core/copies/place.go
+++ b/core/copies/place.go
@@ -96,8 +96,8 @@
 	return true
 }
 
-// nearHostIsSooner reports whether a host that has a model's weights near will have loaded it
-// before the given time, though it takes no order yet.
+// nearHostIsSooner reports whether a host that has a model's weights near will have loaded
+// it before the given time, though it takes no order yet.
 //
 // This matters if requests cycle through more models than the hosts can hold, with one
 // request per model every second or two: a load from the weight store occupies a host for
--- a/core/copies/plan_test.go
+++ b/core/copies/plan_test.go
@@ -34,7 +34,8 @@
 
 func name(i int) core.ModelName { return core.ModelName(fmt.Sprintf("m-%02d", i)) }
 
-// host returns a host that takes orders and whose disk has the models that it holds and those in disk.
+// host returns a host that takes orders and whose disk has the models that it holds and
+// those in disk.
 func host(id string, held []core.ModelName, disk ...core.ModelName) *copies.Host {
 	return &copies.Host{
 		ID: core.HostName(id), TakesOrders: true, Held: held, Memory: 145 * gb, OnDisk: slices.Concat(held, disk),
@@ -355,8 +356,8 @@
 }
 
 // Guards against moves that exceed a host's memory, and against models with waiting
-// requests that are never loaded in addition to the busy ones, in a long simulation of moving
-// demand on full hosts.
+// requests that are never loaded in addition to the busy ones, in a long simulation of
+// moving demand on full hosts.
 func TestMovesFit(t *testing.T) {
 	s := service(12)
 	s.LoadsPerSecond = 100
--- a/core/copies/width.go
+++ b/core/copies/width.go
@@ -36,7 +36,7 @@
 	// close.
 	shared bool
 	// full counts the full-speed loads during which about as many loads ran as the width
-	// allows, since the width last changed.
+	// allows. Each call of set starts it again.
 	full  float64
 	loads map[core.HostName]*observedLoad
 	// notedAt is when Note was last called.
--- a/core/digest/table.go
+++ b/core/digest/table.go
@@ -105,8 +105,8 @@
 }
 
 // PutFigures records a host's figures from a relay. It returns false if the rest of the
-// host's report is not from the same relay, in which case the relay has to be polled for the
-// whole report.
+// host's report is not from the same relay, in which case the relay has to be polled for
+// the whole report.
 func (t *Table) PutFigures(source core.HostName, address netip.AddrPort, f Figures) bool {
 	r := t.rows[address]
 	if r == nil || r.source != source {
--- a/core/fleet/incarnation.go
+++ b/core/fleet/incarnation.go
@@ -74,8 +74,8 @@
 }
 
 // Ended returns the IDs of the recently ended incarnations that have no start time, oldest
-// first. An ID that has start times may be in use again, and the start times distinguish its
-// incarnations.
+// first. An ID that has start times may be in use again, and the start times distinguish
+// its incarnations.
 func (t *IncarnationTracker) Ended(now time.Time) []core.HostName {
 	t.forget(now)
 	var out []core.HostName
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -107,12 +107,13 @@
 // seconds after demand has shifted. If they were all queued in the engines, requests would
 // wait until every one is late, and many prompts would be read for callers who have left.
 // Only as many requests are admitted as can be served within their target, which still
-// keeps the engines busy. The others are refused at once with the time at which to retry. The threshold is the
-// target because a later answer is of little use and delays others.
+// keeps the engines busy. The others are refused at once with the time at which to retry.
+// The threshold is the target because a later answer is of little use and delays others.
 func (c Choice) Overloaded(target time.Duration) bool { return exceeds(c.Wait, target) }
 
 // AllBackingOff reports whether all hosts want no requests for longer than a request with
-// the given target waits. Such a request is refused at once with the time at which to retry.
+// the given target waits. Such a request is refused at once with the time at which to
+// retry.
 func (c Choice) AllBackingOff(now time.Time, target time.Duration) bool {
 	return exceeds(c.RetryAt.Sub(now), target)
 }
@@ -252,8 +253,8 @@
 	return q.Parts[:len(q.Parts)-1]
 }
 
-// affinity returns the host's position, at least 0 and below 1, in an order of hosts that is the
-// same in all processes for requests that share a prompt, an adapter or a model.
+// affinity returns the host's position, at least 0 and below 1, in an order of hosts that
+// is the same in all processes for requests that share a prompt, an adapter or a model.
 func (h *Host) affinity(q *Query) float64 {
 	part := ""
 	if shared := q.shared(); len(shared) > 0 {
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -178,10 +178,10 @@
 
 // recordFailure records a failed contact.
 //
-// A connection can stop carrying data while others to the same host work. Such a failure
-// dates from when the connection last carried data, and a later success outweighs
-// it. Without this rule, every connection that was dropped silently would take a
-// healthy host out of service.
+// A connection can stop carrying data while others to the same host work. Such a
+// failure dates from when the connection last carried data, and a later success
+// outweighs it. Without this rule, every connection that was dropped silently would
+// take a healthy host out of service.
 func (t *Table) recordFailure(now time.Time, h *host, c Contact) {
 	since := c.Since
 	if since.IsZero() || since.After(now) {
--- a/core/member/state.go
+++ b/core/member/state.go
@@ -69,7 +69,8 @@
 	// Since is when the host was last known to be up before a failure: when the
 	// failed connection was started or last carried data. Zero means now.
 	Since time.Time
-	// Incarnation is the incarnation of the process that responded, zero if unknown.
+	// Incarnation is the incarnation of the process that responded, zero if
+	// unknown.
 	Incarnation core.Incarnation
 	// Leaving is set if the response said that the process is leaving.
 	Leaving bool
--- a/core/names.go
+++ b/core/names.go
@@ -18,9 +18,9 @@
 // CallerName names one holder of a bearer key, unique within its owner.
 type CallerName string
 
-// HostName names an entry or upstream host in the platform's list of hosts. For an
-// upstream host of a managed platform it is the ID that the host reports, which may
-// change with each incarnation.
+// HostName names an entry or upstream host in the platform's list of hosts. For
+// an upstream host of a managed platform it is the ID in the platform's
+// registry, which may change with each incarnation.
 type HostName string
 
 // DataCentre names a data centre; Region a group of them.
--- a/core/orphan/tracker_test.go
+++ b/core/orphan/tracker_test.go
@@ -71,9 +71,9 @@
 	assert.Assert(t, !b.MustReadRecords(at(time.Minute), true), "its record is known")
 }
 
-// Guards against an engine with two holders when an agent starts on the host of an engine that
-// an entry orders. The agent writes its record and waits. By the end of the wait the entry
-// must have stopped, whatever fails on its way to the store.
+// Guards against an engine with two holders when an agent starts on the host of an engine
+// that an entry orders. The agent writes its record and waits. By the end of the wait the
+// entry must have stopped, whatever fails on its way to the store.
 func TestAgentThatAppearsWaitsLongEnough(t *testing.T) {
 	var b orphan.Tracker
 	see(&b, 0, first)
--- a/core/queue/shed.go
+++ b/core/queue/shed.go
@@ -8,7 +8,7 @@
 
 // scope is the part of the queue to which a bound applies.
 type scope interface {
-	// classLoad returns the number, cost and bytes of a class's waiting items.
+	// classLoad returns the number and the bytes of a class's waiting items.
 	classLoad(c core.Class) load
 	// largestOwner returns the owner with most items waiting in a class, and
 	// their number.
--- a/core/replay/replay_test.go
+++ b/core/replay/replay_test.go
@@ -8,8 +8,8 @@
 )
 
 // deployments are the generated traces with the worth of waiting, relative to the
-// default. The waits of Evenings count four times. Those of WorkingDays count once,
-// as the callers of that deployment own the accelerators.
+// default. The waits of Evenings count four times. Those of WorkingDays count
+// once, as the callers of that deployment own the accelerators.
 var deployments = []struct {
 	trace Trace
 	scale float64
--- a/core/route/option.go
+++ b/core/route/option.go
@@ -10,8 +10,9 @@
 
 const (
 	// maxFreshAge is the age up to which a load report counts in full. Reports
-	// of busy hosts are younger because their answers carry them. Two round trips
-	// between data centres plus the time of a few tokens take about 200 ms.
+	// of busy hosts are younger because their answers carry them. Two round
+	// trips between data centres plus the time of a few tokens take about 200
+	// ms.
 	maxFreshAge = 100 * time.Millisecond
 	// reportHalfLife is the age by which a stale report loses half of its
 	// weight.
--- a/core/route/order.go
+++ b/core/route/order.go
@@ -265,12 +265,12 @@
 	reprobeAge = 10 * time.Second
 )
 
-// hostsToProbe returns the hosts to probe for a plan; Plan.Wait says whether the
-// probes delay the request. If the plan would start a load, these are hosts
-// without a report: one of them may hold the target, and a call costs a
-// thousandth of a load. Otherwise they are those of the first hosts that have
-// stale reports, and hosts that may have come to hold the target through
-// requests of another entry.
+// hostsToProbe returns the hosts to probe for a plan; Plan.Wait says whether
+// the probes delay the request. If the plan would start a load, these are the
+// hosts without a report, if there are any: one of them may hold the target,
+// and a call costs a thousandth of a load. Otherwise they are those of the
+// first hosts that have stale reports, and hosts that may have come to hold the
+// target through requests of another entry.
 func hostsToProbe(list []option, probed []core.HostName) []core.HostName {
 	if list[0].loadTime > 0 {
 		if out := pickHosts(nil, list, probed, option.noReport); len(out) > 0 {
--- a/core/route/slow.go
+++ b/core/route/slow.go
@@ -231,8 +231,8 @@
 
 // OverdueAt returns when a request that was sent at the time from should be
 // reported as Overdue if it has not ended, or zero while the target's speed is
-// unknown. Without
-// such reports a host that hangs is noticed only when its requests end.
+// unknown. Without such reports a host that hangs is noticed only when its
+// requests end.
 func (r *Router) OverdueAt(from time.Time, t core.Target, cost int64) time.Time {
 	known, ok := r.speeds.get(t.Name())
 	if !ok {
--- a/core/script/script_test.go
+++ b/core/script/script_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// runScenario runs a scenario and returns the first violation, if any, and its line.
+// runScenario runs a scenario and returns the first violation, if any, and its
+// line.
 func runScenario(text string) (violation string, line int) {
 	w := newWorld()
 	for i, l := range strings.Split(text, "\n") {
--- a/core/slots/doc.go
+++ b/core/slots/doc.go
@@ -5,7 +5,8 @@
 // number of transfers at full speed; beyond that each transfer is
 // proportionally slower. If all hosts read at once, as at the beginning of an
 // evening with many sessions, every transfer takes as long as all of them
-// together, and almost no request is served until almost all models are loaded.
+// together, and almost no request is served until almost all models are
+// loaded.
 //
 // The decider, which is the entry that makes such decisions for the fleet, has
 // one Pool for models and one for adapters. An agent requests a slot, which is
--- a/core/slots/pool_test.go
+++ b/core/slots/pool_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// One owner requests 450 models at once, and ten others two each a little later.
-// The ten must not wait until the 450 are loaded.
+// One owner requests 450 models at once, and ten others two each a little
+// later. The ten must not wait until the 450 are loaded.
 func TestFewOwnersWithMostLoads(t *testing.T) {
 	p := newSimulation(modelStore(), &Pool{Rate: 4, Parallel: 4})
 	for i := range 450 {
@@ -247,8 +247,9 @@
 	assert.Assert(t, quantile(waits(limited.done, all), 1) < quantile(waits(unlimited.done, all), 1)*11/10)
 }
 
-// TestWaitQueueAgainstNaive compares the queue with a naive one that scans all requests each
-// time, over random requests, renewals with other deadlines, and withdrawals.
+// TestWaitQueueAgainstNaive compares the queue with a naive one that scans all
+// requests each time, over random requests, renewals with other deadlines, and
+// withdrawals.
 func TestWaitQueueAgainstNaive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	var l waitQueue
--- a/core/strike/doc.go
+++ b/core/strike/doc.go
@@ -4,8 +4,9 @@
 // When an engine dies, every request in flight there gets a strike. Requests are
 // identified by fingerprint. A fingerprint with strikes is a suspect: it runs
 // alone on an engine, its trial, so that the outcome distinguishes it from the
-// innocent requests that were in flight with it. A suspect that ends well alone is cleared. A suspect that crashes an
-// engine alone, after an earlier strike, is quarantined and refused everywhere.
+// innocent requests that were in flight with it. A suspect that ends well alone is
+// cleared. A suspect that crashes an engine alone, after an earlier strike, is
+// quarantined and refused everywhere.
 //
 // All entries send a suspect to the same host (TrialHost). So only one engine at a
 // time is at risk, however many callers repeat the request and whichever entries
