--- a/core/admit/choose.go
+++ b/core/admit/choose.go
@@ -41,8 +41,8 @@
 	return ordered[len(ordered)-1]
 }
 
-// RecordAnswer records that an entry responded.
-func (c *Chooser) RecordAnswer(name core.HostName) { delete(c.failed, name) }
+// RecordResponse records that an entry responded.
+func (c *Chooser) RecordResponse(name core.HostName) { delete(c.failed, name) }
 
 // RecordFailure records that an entry did not respond.
 func (c *Chooser) RecordFailure(now time.Time, name core.HostName) {
--- a/core/admit/choose_test.go
+++ b/core/admit/choose_test.go
@@ -25,6 +25,6 @@
 	assert.Equal(t, c.Choose(now, order), core.HostName("a"), "it is tried again after a second")
 	c.RecordFailure(now, "a")
 	assert.Equal(t, c.Choose(now.Add(1100*time.Millisecond), order), core.HostName("b"), "and later after each failure")
-	c.RecordAnswer("a")
+	c.RecordResponse("a")
 	assert.Equal(t, c.Choose(now, order), core.HostName("a"))
 }
--- a/core/admit/keeper_test.go
+++ b/core/admit/keeper_test.go
@@ -99,7 +99,7 @@
 		case j == i:
 			m.keeperIndex = i
 		case f.reaches(i, j):
-			m.chooser.RecordAnswer(f.entries[j].name)
+			m.chooser.RecordResponse(f.entries[j].name)
 			f.entries[j].keeper.Renew(f.now, m.name, f.now.Add(leaseTime))
 			m.keeper.Delegate(f.now, f.now.Add(leaseTime))
 			m.keeperIndex = j
--- a/io/quota/quota.go
+++ b/io/quota/quota.go
@@ -290,7 +290,7 @@
 		events.Fail(events.PeerUnreachable, err, "address", to.Control)
 		q.chooser.RecordFailure(now, to.Name)
 	case err == nil:
-		q.chooser.RecordAnswer(to.Name)
+		q.chooser.RecordResponse(to.Name)
 	}
 	return reply, err
 }
