--- a/core/manage.go
+++ b/core/manage.go
@@ -81,10 +81,10 @@
 	// AfterOrders is the order count that the upstream must have for the order to
 	// apply.
 	AfterOrders int64
-	// Instance is the ID of the incarnation that the order is for.
-	Instance HostName
-	Holder   HostName
-	Fence    Fence
+	// Incarnation is the ID of the incarnation that the order is for.
+	Incarnation HostName
+	Holder      HostName
+	Fence       Fence
 }
 
 // OrderResult is an upstream's response to an order.
@@ -100,8 +100,8 @@
 	OrderConflict
 	// OrderStale: the fencing number is out of date.
 	OrderStale
-	// OrderOtherInstance: another incarnation of the upstream responded.
-	OrderOtherInstance
+	// OrderOtherIncarnation: another incarnation of the upstream responded.
+	OrderOtherIncarnation
 	// OrderRejected: the upstream cannot carry out the order.
 	OrderRejected
 	orderResultCount
--- a/core/proto.go
+++ b/core/proto.go
@@ -38,9 +38,9 @@
 
 // Hop is the metadata that an entry sends to an upstream with a request.
 type Hop struct {
-	// Instance is the ID of the upstream's incarnation that is to run the request;
-	// any other refuses it.
-	Instance HostName
+	// Incarnation is the ID of the upstream's incarnation that is to run the
+	// request; any other refuses it.
+	Incarnation HostName
 	// Remaining is the time remaining for the upstream to run the request.
 	Remaining time.Duration
 	// Priority is the priority among the upstream's requests; zero is served first.
--- a/io/driver/driver_test.go
+++ b/io/driver/driver_test.go
@@ -104,8 +104,8 @@
 
 func (e *fakeUpstream) apply(o core.UpstreamOrder) core.OrderResult {
 	switch {
-	case o.Instance != e.state.ID, e.elsewhere:
-		return core.OrderOtherInstance
+	case o.Incarnation != e.state.ID, e.elsewhere:
+		return core.OrderOtherIncarnation
 	case e.state.Busy || o.AfterOrders != e.state.Orders:
 		e.refused++
 		return core.OrderConflict
--- a/io/driver/order.go
+++ b/io/driver/order.go
@@ -28,7 +28,7 @@
 	switch {
 	case errors.As(err, &fault):
 		// The order may be carried out now or later; the next report shows it.
-	case result == core.OrderOtherInstance:
+	case result == core.OrderOtherIncarnation:
 		// sendOrder has called endLife, which drops the goal.
 	case result == core.OrderStale, result == core.OrderRejected:
 		d.goal, d.loading = nil, loading{}
@@ -100,7 +100,7 @@
 // false if the agent has no fencing number yet. The caller holds mu.
 func (d *Driver) newOrder() (core.UpstreamOrder, bool) {
 	fence, ok := d.Fence()
-	return core.UpstreamOrder{AfterOrders: d.state.Orders, Instance: d.lives.Current(), Holder: d.Self, Fence: fence}, ok
+	return core.UpstreamOrder{AfterOrders: d.state.Orders, Incarnation: d.lives.Current(), Holder: d.Self, Fence: fence}, ok
 }
 
 // sendOrder sends an order and logs its result. If another life of the upstream
@@ -111,7 +111,7 @@
 	if o.Unload {
 		verb = "unload"
 	}
-	pairs := []any{"order", verb, "model", o.Model, "adapter", o.Adapter, "after", o.AfterOrders, "instance", o.Instance, "fence", o.Fence}
+	pairs := []any{"order", verb, "model", o.Model, "adapter", o.Adapter, "after", o.AfterOrders, "instance", o.Incarnation, "fence", o.Fence}
 	if err != nil {
 		events.Fail(events.OrderSent, err, pairs...)
 		return result, err
@@ -120,7 +120,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case result == core.OrderOtherInstance:
+	case result == core.OrderOtherIncarnation:
 		// Another life answered; the registry will name it shortly.
 		d.endLife(d.Clock.Now())
 	case d.Remote && (result == core.OrderAccepted || result == core.OrderDone):
--- a/io/driver/serve.go
+++ b/io/driver/serve.go
@@ -227,7 +227,7 @@
 		return done, reason
 	}
 	result, err := d.sendOrder(ctx, o)
-	if err == nil && (result == core.OrderStale || result == core.OrderOtherInstance || result == core.OrderRejected) {
+	if err == nil && (result == core.OrderStale || result == core.OrderOtherIncarnation || result == core.OrderRejected) {
 		return false, "the upstream's answer to the order is " + result.String()
 	}
 	// The next order needs a report that shows this one.
--- a/io/proxy/send.go
+++ b/io/proxy/send.go
@@ -60,7 +60,7 @@
 func (u *upstreams) send(ctx context.Context, c *call, t *target, lastEventID string) (resp *http.Response, sent bool, err error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
-	hop := core.Hop{Instance: t.id, Remaining: c.deadline.Sub(c.proxy.Clock.Now()), Priority: c.rank, LastEventID: lastEventID}
+	hop := core.Hop{Incarnation: t.id, Remaining: c.deadline.Sub(c.proxy.Clock.Now()), Priority: c.rank, LastEventID: lastEventID}
 	if c.customer != nil {
 		hop.Customer = c.customer.Name
 	}
