--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// LimitAge is how long a rate limit applies after the host last reported it.
-	LimitAge = time.Minute
+	// LimitTTL is how long a rate limit applies after the host last reported it.
+	LimitTTL = time.Minute
 	// minRate is the lowest rate, in requests a second, at which a host is still sent
 	// requests, since only its answers show when a limit has ended.
 	minRate = 0.1
@@ -30,7 +30,7 @@
 
 // Limit returns the rate limit of the host, which is shared by all entries.
 func (r *rateLimit) Limit(now time.Time) core.RateLimit {
-	if now.Sub(r.reportedAt) >= LimitAge {
+	if now.Sub(r.reportedAt) >= LimitTTL {
 		return core.RateLimit{}
 	}
 	return r.limit
--- a/core/fleet/limit_test.go
+++ b/core/fleet/limit_test.go
@@ -33,7 +33,7 @@
 	assert.Assert(t, !v.NoteLimit(inc, at(20), at(20), one))
 	assert.Equal(t, h.Limit(at(50)), core.RateLimit{})
 	assert.Assert(t, v.NoteLimit(inc, at(60), at(70), one))
-	assert.Equal(t, h.Limit(at(70).Add(fleet.LimitAge)), core.RateLimit{}, "the limit has expired")
+	assert.Equal(t, h.Limit(at(70).Add(fleet.LimitTTL)), core.RateLimit{}, "the limit has expired")
 }
 
 func TestLimitIsPerIncarnation(t *testing.T) {
--- a/core/fleet/signal.go
+++ b/core/fleet/signal.go
@@ -6,8 +6,8 @@
 // kept.
 const maxUnlisted = 1024
 
-// LeaveAge is how long a host's signal that it is leaving is kept. By then it has left.
-const LeaveAge = 10 * time.Minute
+// LeavingTTL is how long a host's signal that it is leaving is kept. By then it has left.
+const LeavingTTL = 10 * time.Minute
 
 // signals is the state that one incarnation of a host reports in its answers. It is kept
 // longer than the host's entry in the registry, which lapses during an outage of the store
@@ -44,7 +44,7 @@
 // false if it has not.
 func (s *signals) LeavingFor(now time.Time) (age time.Duration, ok bool) {
 	age = now.Sub(s.leavingSince)
-	if s.leavingSince.IsZero() || age >= LeaveAge {
+	if s.leavingSince.IsZero() || age >= LeavingTTL {
 		return 0, false
 	}
 	return age, true
--- a/io/deploy/signal.go
+++ b/io/deploy/signal.go
@@ -21,7 +21,7 @@
 func (e *entry) broadcastLimit(life fleet.Incarnation, limit core.RateLimit) {
 	e.state.Mark(peer.Mark{
 		Host: life.ID, Incarnation: core.Incarnation(life.Born), Kind: peer.MarkLimited, Rate: limit.Rate,
-		Expires: e.clock.Now().Add(fleet.LimitAge),
+		Expires: e.clock.Now().Add(fleet.LimitTTL),
 	})
 }
 
@@ -29,7 +29,7 @@
 func (e *entry) broadcastLeaving(life fleet.Incarnation) {
 	e.state.Mark(peer.Mark{
 		Host: life.ID, Incarnation: core.Incarnation(life.Born), Kind: peer.MarkLeaving,
-		Expires: e.clock.Now().Add(fleet.LeaveAge),
+		Expires: e.clock.Now().Add(fleet.LeavingTTL),
 	})
 }
 
