--- a/core/fleet/limit_test.go
+++ b/core/fleet/limit_test.go
@@ -33,7 +33,7 @@
 	assert.Assert(t, !v.NoteLimit(inc, at(20), at(20), one))
 	assert.Equal(t, h.Limit(at(50)), core.RateLimit{})
 	assert.Assert(t, v.NoteLimit(inc, at(60), at(70), one))
-	assert.Equal(t, h.Limit(at(70).Add(fleet.LimitAge)), core.RateLimit{}, "the limit has expired")
+	assert.Equal(t, h.Limit(at(70).Add(fleet.LimitTTL)), core.RateLimit{}, "the limit has expired")
 }
 
 func TestLimitIsPerIncarnation(t *testing.T) {
@@ -97,7 +97,7 @@
 		v.Replace(t0, list)
 		assert.Equal(t, v.Host("i-1").Limit(after(time.Second)), one)
 	})
-	t.Run("and not for good", func(t *testing.T) {
+	t.Run("but not without bound", func(t *testing.T) {
 		for i := range 5000 {
 			v.NoteLimit(fleet.Incarnation{ID: "i-9", Born: int64(i)}, t0, t0, one)
 		}
--- a/core/route/option.go
+++ b/core/route/option.go
@@ -10,8 +10,9 @@
 
 const (
 	// maxFreshAge is the age up to which a load report counts in full. Reports
-	// of busy hosts are younger because answers carry them. Two round trips
-	// between data centres plus the time of a few tokens take about 200 ms.
+	// of busy hosts are younger because their answers carry them. Two round
+	// trips between data centres plus the time of a few tokens take about 200
+	// ms.
 	maxFreshAge = 100 * time.Millisecond
 	// reportHalfLife is the age by which a stale report loses half of its
 	// weight.
@@ -135,8 +136,9 @@
 	return time.Duration(ahead / slots * float64(r.meanServiceTime(t)))
 }
 
-// slots returns how many requests a host runs at once: the number it ran when
-// it last reported a queue, or twice the number it runs now if it never did.
+// slots estimates how many requests a host runs at once: the number it ran when
+// it last reported a queue, or more if it has run more since. If it has not
+// reported a queue, that is twice the number it runs now.
 func (r *Router) slots(c Candidate) int {
 	known, ok := r.knownSlots.get(c.Host)
 	switch {
--- a/core/route/slow.go
+++ b/core/route/slow.go
@@ -195,7 +195,7 @@
 	h.samples, h.failureRate, h.logRatio = 0, 0, 0
 }
 
-// isSetAside reports whether a host is kept from this request. A host that
+// isSetAside reports whether a host is set aside for this request. A host that
 // returns gets a growing share of the requests, chosen by their IDs.
 func (r *Router) isSetAside(now time.Time, q core.Request, host core.HostName) bool {
 	s, ok := r.hostSets[q.Target.Service]
@@ -229,9 +229,10 @@
 	return time.Time{}
 }
 
-// OverdueAt returns when a request sent at from should be reported as Overdue
-// if it has not ended, or zero while the target's speed is unknown. Without
-// such reports a host that hangs is noticed only when its requests end.
+// OverdueAt returns when a request that was sent at the time from should be
+// reported as Overdue if it has not ended, or zero while the target's speed is
+// unknown. Without such reports a host that hangs is noticed only when its
+// requests end.
 func (r *Router) OverdueAt(from time.Time, t core.Target, cost int64) time.Time {
 	known, ok := r.speeds.get(t.Name())
 	if !ok {
