--- a/io/peer/bench_test.go
+++ b/io/peer/bench_test.go
@@ -158,14 +158,14 @@
 		if o, err = platform.Update(context.Background(), o); err != nil {
 			b.Fatal(err)
 		}
-		begun := time.Now()
+		start := time.Now()
 		for _, p := range all {
 			p.until(func() bool {
 				got, _ := p.Get(core.KindModel, "qalam")
 				return got.Version >= o.Version
 			})
 		}
-		took = append(took, time.Since(begun))
+		took = append(took, time.Since(start))
 	}
 	slices.Sort(took)
 	b.ReportMetric(float64(took[len(took)/2].Milliseconds()), "p50-ms")
--- a/io/peer/calls.go
+++ b/io/peer/calls.go
@@ -50,7 +50,7 @@
 	return call[wire.Empty](ctx, c, to, "Demand", in)
 }
 
-// Upstream asks an agent for the state of its upstream.
+// Upstream polls an agent for the state of its upstream.
 func (c *Client) Upstream(ctx context.Context, to Target, in *wire.UpstreamCall) (*wire.UpstreamReply, error) {
 	return call[wire.UpstreamReply](ctx, c, to, "Upstream", in)
 }
@@ -71,7 +71,7 @@
 	return call[wire.PlanReply](ctx, c, to, "Plan", in)
 }
 
-// Digest asks a relay for the state of the hosts that it knows.
+// Digest polls a relay for the state of the upstream hosts that it knows.
 func (c *Client) Digest(ctx context.Context, to Target, in *wire.DigestCall) (*wire.DigestReply, error) {
 	return call[wire.DigestReply](ctx, c, to, "Digest", in)
 }
@@ -82,7 +82,7 @@
 	return call[wire.AllowanceReply](ctx, c, to, "Allow", in)
 }
 
-// Ping checks that a process answers calls.
+// Ping checks that a process responds to calls.
 func (c *Client) Ping(ctx context.Context, to Target) error {
 	_, err := call[wire.Empty](ctx, c, to, "Ping", &wire.Empty{})
 	return err
--- a/io/peer/calls_test.go
+++ b/io/peer/calls_test.go
@@ -50,7 +50,7 @@
 		var refused rpc.ServerError
 		assert.Assert(t, errors.As(err, &refused), "%v", err)
 	})
-	t.Run("after a refusal the connection goes on", func(t *testing.T) {
+	t.Run("after a refusal the connection stays usable", func(t *testing.T) {
 		_, err := c.Probe(t.Context(), to, &wire.ProbeCall{Names: []string{"beta"}})
 		assert.NilError(t, err)
 	})
@@ -113,8 +113,8 @@
 
 // TestSilentShortCalls: an entry probes a host now and then with a timeout of 50 ms, and
 // the connection has gone silent. Each probe times out before the connection is pinged;
-// if the client did no more, the host would look dead for good although new connections
-// work.
+// if the client did no more, the host would look dead permanently although new
+// connections work.
 func TestSilentShortCalls(t *testing.T) {
 	to, _ := serveCalls(t, &Handler{Probe: func(*wire.ProbeCall) (*wire.HostLoad, error) { return &wire.HostLoad{}, nil }})
 	proxyAddr, goSilent := startMidbox(t, to.Address)
@@ -130,14 +130,14 @@
 	assert.NilError(t, probe())
 	goSilent()
 	assert.Assert(t, probe() != nil)
-	// The timeouts of the probes pace the loop. It ends when one is answered.
+	// The timeouts of the probes pace the loop. It ends when one succeeds.
 	for probe() != nil {
 	}
 }
 
 // TestStopAnswers: an entry shuts down while it records a claim for another entry. The
-// claim must be answered; otherwise its caller would have to report that the request may
-// have run.
+// call must get its response; otherwise the other entry would have to report that the
+// request may have run.
 func TestStopAnswers(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	to, stop := serveCalls(t, &Handler{Claim: func(*wire.ClaimCall) (*wire.ClaimReply, error) {
@@ -147,14 +147,14 @@
 	}})
 	c := &Client{}
 	defer c.Close()
-	type answer struct {
+	type response struct {
 		reply *wire.ClaimReply
 		err   error
 	}
-	answers := make(chan answer, 1)
+	responses := make(chan response, 1)
 	go func() {
 		reply, err := c.Claim(t.Context(), to, &wire.ClaimCall{})
-		answers <- answer{reply, err}
+		responses <- response{reply, err}
 	}()
 	<-begun
 	stopped := make(chan struct{})
@@ -170,7 +170,7 @@
 		return err != nil
 	})
 	close(finish)
-	got := <-answers
+	got := <-responses
 	assert.NilError(t, got.err)
 	assert.Assert(t, got.reply.GetWon())
 	<-stopped
--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -35,7 +35,7 @@
 	idlePingTimeout = 500 * time.Millisecond
 )
 
-// CallError reports a call without an answer.
+// CallError reports a call that got no response.
 type CallError struct {
 	Method string
 	// Sent is set if the other side may have served the call.
@@ -73,8 +73,8 @@
 	// OnSilent, if set, is called for each connection that is closed because it went
 	// silent.
 	OnSilent func(Target)
-	// OnCall, if set, is called after each call with the method's name and whether it was
-	// answered.
+	// OnCall, if set, is called after each call with the method's name and whether it
+	// succeeded.
 	OnCall func(method string, ok bool)
 
 	mu      sync.Mutex
@@ -100,7 +100,7 @@
 }
 
 // call makes one call, bounded by the context's deadline. Its error is a CallError, or an
-// rpc.ServerError if the other side answered with an error.
+// rpc.ServerError if the other side responded with an error.
 func call[A any, P interface {
 	*A
 	proto.Message
@@ -183,7 +183,7 @@
 	return errors.As(err, &refused)
 }
 
-// ping pings the other side and waits for the answer. Its error is a SilentError on
+// ping pings the other side and waits for the response. Its error is a SilentError on
 // timeout, or the error that ended the connection. It is nil if ctx ends first.
 func (conn *clientConn) ping(ctx context.Context, timeout time.Duration) error {
 	pending := conn.rpc.Go(serviceName+".Ping", &wire.Empty{}, &wire.Empty{}, make(chan *rpc.Call, 1))
--- a/io/peer/conn.go
+++ b/io/peer/conn.go
@@ -32,7 +32,7 @@
 	// bytesRead counts the bytes read.
 	bytesRead atomic.Int64
 	// readsStopped makes reads fail while writes still work, so that a server that shuts
-	// down can answer the calls it has read.
+	// down can still respond to the calls that it has read.
 	readsStopped atomic.Bool
 }
 
--- a/io/peer/fetch.go
+++ b/io/peer/fetch.go
@@ -19,10 +19,11 @@
 )
 
 // Large payloads are downloaded outside exchanges: once each, in parts, and from one peer
-// at a time as long as that peer answers.
+// at a time as long as that peer responds.
 const (
-	// hedgeDelay is the time without an answer after which a second peer is asked for the
-	// same part. The first call stays open: its answer may be in transit on a slow link.
+	// hedgeDelay is the time without a response after which another peer is asked for the
+	// same part. The first call stays open: its response may be in transit on a slow
+	// link.
 	hedgeDelay = 600 * time.Millisecond
 	// partTimeout bounds all calls for one part together.
 	partTimeout = 5 * time.Second
@@ -220,38 +221,38 @@
 // data.
 func (s *Store) downloadPart(ctx context.Context, d *download) {
 	offset := uint64(len(d.data))
-	a := s.requestPart(ctx, d, &wire.FetchCall{
+	r := s.requestPart(ctx, d, &wire.FetchCall{
 		Kind: string(d.id.kind), Name: d.id.name, Version: uint64(d.id.version), Offset: offset,
 	})
-	if a.part == nil {
+	if r.part == nil {
 		return
 	}
-	s.moveToFront(d, a.from)
-	if !d.addPart(offset, a.part) {
+	s.moveToFront(d, r.from)
+	if !d.addPart(offset, r.part) {
 		return
 	}
-	if err := s.complete(d, a.from, a.part.GetUnpacked()); err != nil {
+	if err := s.complete(d, r.from, r.part.GetUnpacked()); err != nil {
 		d.data, d.total = nil, 0
-		s.removeSources(d, a.from)
+		s.removeSources(d, r.from)
 		if s.OnError != nil {
 			s.OnError(&CorruptError{Kind: d.id.kind, Name: d.id.name, Cause: err})
 		}
 	}
 }
 
-// partAnswer is a peer's answer to a request for a part; part is nil if the peer had
-// none.
-type partAnswer struct {
+// partResponse is a peer's response to a request for a part; part is nil if the peer had
+// none or did not respond.
+type partResponse struct {
 	from Target
 	part *wire.FetchReply
 }
 
 // requestPart asks the sources of a download, one after the other, until one returns the
 // part. Peers without it are removed from the sources.
-func (s *Store) requestPart(ctx context.Context, d *download, call *wire.FetchCall) partAnswer {
+func (s *Store) requestPart(ctx context.Context, d *download, call *wire.FetchCall) partResponse {
 	ctx, stop := context.WithTimeout(ctx, partTimeout)
 	defer stop()
-	answers := make(chan partAnswer, maxSources)
+	responses := make(chan partResponse, maxSources)
 	next := time.NewTimer(0)
 	defer next.Stop()
 	var asked []Target
@@ -264,20 +265,20 @@
 			case ok && len(asked) < maxSources:
 				asked = append(asked, from)
 				pending++
-				go func() { answers <- s.requestPartFrom(ctx, call, from) }()
+				go func() { responses <- s.requestPartFrom(ctx, call, from) }()
 			case pending == 0:
-				return partAnswer{}
+				return partResponse{}
 			case rounds > len(asked)+1 && s.othersPending(d):
 				s.removeSources(d, asked...)
-				return partAnswer{}
+				return partResponse{}
 			}
 			next.Reset(hedgeDelay)
-		case a := <-answers:
-			if a.part != nil {
-				return a
+		case r := <-responses:
+			if r.part != nil {
+				return r
 			}
 			pending--
-			s.removeSources(d, a.from)
+			s.removeSources(d, r.from)
 			next.Reset(0)
 		}
 	}
@@ -307,18 +308,18 @@
 }
 
 // requestPartFrom asks one peer for a part.
-func (s *Store) requestPartFrom(ctx context.Context, call *wire.FetchCall, from Target) partAnswer {
+func (s *Store) requestPartFrom(ctx context.Context, call *wire.FetchCall, from Target) partResponse {
 	part, err := s.Client.Fetch(ctx, from, call)
 	switch {
 	case err != nil:
 		if s.OnError != nil && !errors.Is(context.Cause(ctx), context.Canceled) {
 			s.OnError(err)
 		}
-		return partAnswer{from: from}
+		return partResponse{from: from}
 	case len(part.GetData()) == 0 || max(part.GetSize(), part.GetUnpacked()) > maxPayload:
-		return partAnswer{from: from}
+		return partResponse{from: from}
 	}
-	return partAnswer{from: from, part: part}
+	return partResponse{from: from, part: part}
 }
 
 // complete joins a payload of which all parts have arrived. Its error is one of package
--- a/io/peer/fetch_test.go
+++ b/io/peer/fetch_test.go
@@ -19,16 +19,16 @@
 	offsets []uint64
 }
 
-// startPartSource starts a peer that returns the parts of p for which answers reports
+// startPartSource starts a peer that returns the parts of p for which responds reports
 // true, and empty replies for the others.
-func startPartSource(t *testing.T, p *payload, answers func(*wire.FetchCall) bool) *partSource {
+func startPartSource(t *testing.T, p *payload, responds func(*wire.FetchCall) bool) *partSource {
 	t.Helper()
 	s := &partSource{}
 	s.Target, _ = serveCalls(t, &Handler{Fetch: func(c *wire.FetchCall) (*wire.FetchReply, error) {
 		s.mu.Lock()
 		s.offsets = append(s.offsets, c.GetOffset())
 		s.mu.Unlock()
-		if !answers(c) {
+		if !responds(c) {
 			return &wire.FetchReply{}, nil
 		}
 		total := uint64(len(p.data))
@@ -70,8 +70,8 @@
 	return s
 }
 
-// fetchWithSilentSource has a store download version 7 from a peer that does not answer,
-// while another peer names a version and answers.
+// fetchWithSilentSource has a store download version 7 from a peer that does not respond,
+// while another peer names a version and responds.
 func fetchWithSilentSource(t *testing.T, p *payload, named uint64) *Store {
 	t.Helper()
 	silent := make(chan struct{})
@@ -123,7 +123,7 @@
 		defer close(silent)
 		first, second := startPartSource(t, p, func(*wire.FetchCall) bool { <-silent; return false }), startPartSource(t, p, always)
 		assert.Equal(t, heldSpec(fetchFrom(t, len(spec), first, second)), string(spec))
-		assert.Equal(t, len(first.requestedOffsets()), 1, "first peer asked again although another answers")
+		assert.Equal(t, len(first.requestedOffsets()), 1, "first peer asked again although another responds")
 	})
 	t.Run("asks a peer that names the object while another is silent", func(t *testing.T) {
 		assert.Equal(t, heldSpec(fetchWithSilentSource(t, p, 7)), string(spec))
@@ -141,8 +141,8 @@
 		assert.DeepEqual(t, second.requestedOffsets()[:2], []uint64{partSize, 0})
 	})
 	t.Run("skips a peer that sends a corrupt payload", func(t *testing.T) {
-		spoilt := &payload{data: p.data, size: p.size - 1, sum: p.sum}
-		first, second := startPartSource(t, spoilt, always), startPartSource(t, p, always)
+		corrupt := &payload{data: p.data, size: p.size - 1, sum: p.sum}
+		first, second := startPartSource(t, corrupt, always), startPartSource(t, p, always)
 		assert.Equal(t, heldSpec(fetchFrom(t, len(spec), first, second)), string(spec))
 	})
 }
--- a/io/peer/large_test.go
+++ b/io/peer/large_test.go
@@ -139,7 +139,7 @@
 	near := f.start(nil)
 	near.until(func() bool { return near.has("qalam")() && near.hasGrant("first")() })
 	far := f.startRemoteProcess(400 << 10)
-	far.wait("what was there", func() bool { return far.has("qalam")() && far.hasGrant("first")() })
+	far.wait("the existing objects", func() bool { return far.has("qalam")() && far.hasGrant("first")() })
 
 	ctx := context.Background()
 	large, ok := near.Get(core.KindModel, "qalam")
--- a/io/peer/payload.go
+++ b/io/peer/payload.go
@@ -15,14 +15,14 @@
 	"radishwell/wire"
 )
 
-// Large payloads are omitted from exchanges, so that these stay short, and served to peers in
-// compressed parts.
+// Large payloads are omitted from exchanges, so that these stay short, and served to
+// peers in compressed parts.
 const (
 	// largeSpec is the size in bytes from which a specification is omitted, and
 	// largeDelta the size from which all items of a delta are.
 	largeSpec  = 16 << 10
 	largeDelta = 64 << 10
-	// partSize bounds the compressed bytes in one answer.
+	// partSize bounds the compressed bytes in one reply.
 	partSize = 32 << 10
 	// maxCachedPayloads bounds the cached payloads. Peers may still be downloading older
 	// versions.
@@ -55,7 +55,7 @@
 	p.data, p.sum = out.Bytes(), xxhash.Sum64(out.Bytes())
 }
 
-// ServeFetch answers a peer's request for a part. It is the handler of Fetch.
+// ServeFetch serves a peer's request for a part. It is the handler of Fetch.
 func (s *Store) ServeFetch(call *wire.FetchCall) (*wire.FetchReply, error) {
 	s.init()
 	id := payloadID{kind: core.Kind(call.GetKind()), name: call.GetName(), version: core.Version(call.GetVersion())}
--- a/io/peer/reflector.go
+++ b/io/peer/reflector.go
@@ -28,8 +28,8 @@
 	// effect within eight seconds.
 	fallbackDelay = 5 * time.Second
 	// fallbackWatchTime is how long such a process then watches: long enough that
-	// fallbackDelay is small beside it, short enough that a fleet that lost its watchers
-	// returns to a few of them within a minute.
+	// fallbackDelay is small compared with it, short enough that a fleet that lost its
+	// watchers returns to a few of them within a minute.
 	fallbackWatchTime = 30 * time.Second
 	// checkPeriod is how often a process checks whether it has to watch.
 	checkPeriod = time.Second
@@ -149,8 +149,8 @@
 }
 
 // mayBeStalled reports whether a watch ended with no reason given by the platform. All
-// watches may be stalled then while lists are still answered: when the kind was only
-// watched again, an edit took effect only once the watches had recovered.
+// watches may then be stalled while lists still work, so the kind is listed again: with a
+// new watch alone, an edit took effect only once the watches had recovered.
 func mayBeStalled(err error) bool {
 	var failed *core.PlatformError
 	return errors.As(err, &failed) && failed.Fault == core.Unknown
@@ -176,8 +176,8 @@
 	return r.isWatcherLocked(r.kind)
 }
 
-// isWatcherLocked reports whether this process is a watcher of a kind, which are those
-// with the smallest hashes of kind and host name. The caller holds mu.
+// isWatcherLocked reports whether this process is a watcher of a kind. The watchers are
+// the processes with the smallest hashes of kind and host name. The caller holds mu.
 func (s *Store) isWatcherLocked(kind core.Kind) bool {
 	own := rankHash(kind, s.Self.Host)
 	rank := 0
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -15,8 +15,8 @@
 // serviceName is the name under which the methods are registered with net/rpc.
 const serviceName = "Peer"
 
-// Handler holds the functions that answer the calls of other processes. A call whose
-// field is nil is answered with an UnsupportedError.
+// Handler holds the functions that serve the calls of other processes. A call whose field
+// is nil fails with an UnsupportedError.
 type Handler struct {
 	Sync    func(*wire.SyncCall) (*wire.SyncReply, error)
 	Fetch   func(*wire.FetchCall) (*wire.FetchReply, error)
@@ -36,7 +36,7 @@
 	Allow    func(*wire.AllowanceCall) (*wire.AllowanceReply, error)
 }
 
-// UnsupportedError is the answer to a call that this process's role does not serve.
+// UnsupportedError is the response to a call that this process's role does not serve.
 type UnsupportedError struct{ Method string }
 
 // Error implements error.
@@ -47,81 +47,83 @@
 type service struct{ handler *Handler }
 
 // Sync serves an exchange of replica digests and soft state.
-func (m *service) Sync(c *wire.SyncCall, out *wire.SyncReply) error {
-	return answer("Sync", m.handler.Sync, c, out)
+func (s *service) Sync(c *wire.SyncCall, out *wire.SyncReply) error {
+	return handle("Sync", s.handler.Sync, c, out)
 }
 
 // Fetch serves a part of a payload.
-func (m *service) Fetch(c *wire.FetchCall, out *wire.FetchReply) error {
-	return answer("Fetch", m.handler.Fetch, c, out)
+func (s *service) Fetch(c *wire.FetchCall, out *wire.FetchReply) error {
+	return handle("Fetch", s.handler.Fetch, c, out)
 }
 
-// Probe serves this host's load.
-func (m *service) Probe(c *wire.ProbeCall, out *wire.HostLoad) error {
-	return answer("Probe", m.handler.Probe, c, out)
+// Probe serves a request for this host's load.
+func (s *service) Probe(c *wire.ProbeCall, out *wire.HostLoad) error {
+	return handle("Probe", s.handler.Probe, c, out)
 }
 
 // Slot serves a request for a slot to read from the weight store.
-func (m *service) Slot(c *wire.SlotCall, out *wire.SlotReply) error {
-	return answer("Slot", m.handler.Slot, c, out)
+func (s *service) Slot(c *wire.SlotCall, out *wire.SlotReply) error {
+	return handle("Slot", s.handler.Slot, c, out)
 }
 
 // Claim serves a request to record a claim.
-func (m *service) Claim(c *wire.ClaimCall, out *wire.ClaimReply) error {
-	return answer("Claim", m.handler.Claim, c, out)
+func (s *service) Claim(c *wire.ClaimCall, out *wire.ClaimReply) error {
+	return handle("Claim", s.handler.Claim, c, out)
 }
 
 // Seal serves a request for the state of an attempt, which forbids the attempt if it has
 // not arrived yet.
-func (m *service) Seal(c *wire.SealCall, out *wire.SealReply) error {
-	return answer("Seal", m.handler.Seal, c, out)
+func (s *service) Seal(c *wire.SealCall, out *wire.SealReply) error {
+	return handle("Seal", s.handler.Seal, c, out)
 }
 
 // Explain serves an operator's request for an explanation.
-func (m *service) Explain(c *wire.ExplainCall, out *wire.ExplainReply) error {
-	return answer("Explain", m.handler.Explain, c, out)
+func (s *service) Explain(c *wire.ExplainCall, out *wire.ExplainReply) error {
+	return handle("Explain", s.handler.Explain, c, out)
 }
 
 // Demand serves an entry's report of its demand by model.
-func (m *service) Demand(c *wire.DemandCall, out *wire.Empty) error {
-	return answer("Demand", m.handler.Demand, c, out)
+func (s *service) Demand(c *wire.DemandCall, out *wire.Empty) error {
+	return handle("Demand", s.handler.Demand, c, out)
 }
 
-// Upstream serves the state of an agent's upstream.
-func (m *service) Upstream(c *wire.UpstreamCall, out *wire.UpstreamReply) error {
-	return answer("Upstream", m.handler.Upstream, c, out)
+// Upstream serves an entry's poll for the state of this agent's upstream.
+func (s *service) Upstream(c *wire.UpstreamCall, out *wire.UpstreamReply) error {
+	return handle("Upstream", s.handler.Upstream, c, out)
 }
 
-// Goal serves a new goal for an agent's upstream.
-func (m *service) Goal(c *wire.GoalCall, out *wire.GoalReply) error {
-	return answer("Goal", m.handler.Goal, c, out)
+// Goal serves the planner's request to carry out a goal, which names the models that this
+// agent's upstream should hold.
+func (s *service) Goal(c *wire.GoalCall, out *wire.GoalReply) error {
+	return handle("Goal", s.handler.Goal, c, out)
 }
 
 // Adapter serves a request to load an adapter.
-func (m *service) Adapter(c *wire.AdapterCall, out *wire.AdapterReply) error {
-	return answer("Adapter", m.handler.Adapter, c, out)
+func (s *service) Adapter(c *wire.AdapterCall, out *wire.AdapterReply) error {
+	return handle("Adapter", s.handler.Adapter, c, out)
 }
 
 // Plan serves another entry's report of its demand for models.
-func (m *service) Plan(c *wire.PlanCall, out *wire.PlanReply) error {
-	return answer("Plan", m.handler.Plan, c, out)
+func (s *service) Plan(c *wire.PlanCall, out *wire.PlanReply) error {
+	return handle("Plan", s.handler.Plan, c, out)
 }
 
-// Digest serves another entry's request for the hosts that this entry knows.
-func (m *service) Digest(c *wire.DigestCall, out *wire.DigestReply) error {
-	return answer("Digest", m.handler.Digest, c, out)
+// Digest serves another entry's poll of this relay for the state of the upstream hosts.
+func (s *service) Digest(c *wire.DigestCall, out *wire.DigestReply) error {
+	return handle("Digest", s.handler.Digest, c, out)
 }
 
 // Allow serves another entry's report of the use of customers' allowances and its request
 // for further units.
-func (m *service) Allow(c *wire.AllowanceCall, out *wire.AllowanceReply) error {
-	return answer("Allow", m.handler.Allow, c, out)
+func (s *service) Allow(c *wire.AllowanceCall, out *wire.AllowanceReply) error {
+	return handle("Allow", s.handler.Allow, c, out)
 }
 
-// Ping answers at once. Clients call it to tell a silent connection from a slow call.
-func (m *service) Ping(*wire.Empty, *wire.Empty) error { return nil }
+// Ping returns at once. Clients call it to distinguish a silent connection from a slow
+// call.
+func (s *service) Ping(*wire.Empty, *wire.Empty) error { return nil }
 
-func answer[Q, A any](name string, serve func(*Q) (*A, error), call *Q, out *A) error {
+func handle[Q, A any](name string, serve func(*Q) (*A, error), call *Q, out *A) error {
 	if serve == nil {
 		return &UnsupportedError{Method: name}
 	}
@@ -171,11 +173,11 @@
 // no connection.
 const handshakeTimeout = 2 * time.Second
 
-// drainTimeout bounds the answering of calls in progress at shutdown.
+// drainTimeout bounds the time at shutdown for calls in progress.
 const drainTimeout = 2 * time.Second
 
-// Run serves until the context ends. It then answers the calls that it has already read,
-// within drainTimeout.
+// Run serves until the context ends. It then completes the calls that it has already
+// read, within drainTimeout.
 func (s *Server) Run(ctx context.Context) error {
 	ended := make(chan error, 1)
 	go func() { ended <- s.accept(ctx) }()
@@ -207,7 +209,7 @@
 	}
 }
 
-// serve answers the calls on one connection until it ends.
+// serve serves the calls on one connection until it ends.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	if s.TLS != nil {
 		tlsConn, err := s.handshake(ctx, conn)
@@ -219,12 +221,12 @@
 		}
 		conn = tlsConn
 	}
-	l := &meteredConn{Conn: conn, traffic: &s.traffic, readTimeout: serverIdleTimeout}
-	if !s.track(l) {
+	metered := &meteredConn{Conn: conn, traffic: &s.traffic, readTimeout: serverIdleTimeout}
+	if !s.track(metered) {
 		return
 	}
-	defer s.untrack(l)
-	s.rpc.ServeCodec(serverCodec{newCodec(l)})
+	defer s.untrack(metered)
+	s.rpc.ServeCodec(serverCodec{newCodec(metered)})
 }
 
 func (s *Server) handshake(ctx context.Context, conn net.Conn) (net.Conn, error) {
@@ -235,19 +237,19 @@
 }
 
 // track adds an open connection. It reports false if the server is shutting down.
-func (s *Server) track(l *meteredConn) bool {
+func (s *Server) track(c *meteredConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.stopping {
-		s.conns[l] = true
+		s.conns[c] = true
 	}
 	return !s.stopping
 }
 
-func (s *Server) untrack(l *meteredConn) {
+func (s *Server) untrack(c *meteredConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.conns, l)
+	delete(s.conns, c)
 }
 
 // stop stops accepting connections and reading calls.
@@ -256,8 +258,8 @@
 	defer s.mu.Unlock()
 	s.stopping = true
 	s.listener.Close()
-	for l := range s.conns {
-		l.stopReads()
+	for c := range s.conns {
+		c.stopReads()
 	}
 }
 
@@ -265,8 +267,8 @@
 func (s *Server) closeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for l := range s.conns {
-		l.Close()
+	for c := range s.conns {
+		c.Close()
 	}
 }
 
--- a/io/peer/soft.go
+++ b/io/peer/soft.go
@@ -10,7 +10,7 @@
 	"radishwell/wire"
 )
 
-// Kinds of marks.
+// Kinds of marks. The processes may use further ones.
 const (
 	// MarkLeaving is set for a host that is shutting down.
 	MarkLeaving = "leaving"
@@ -44,7 +44,8 @@
 // or ends that, so its loss is harmless.
 type Mark struct {
 	Host core.HostName
-	// Kind is MarkLeaving, MarkSlow or MarkLimited.
+	// Kind is MarkLeaving, MarkSlow, MarkLimited or another kind that the processes have
+	// agreed on. The Store treats all kinds alike.
 	Kind string
 	// Incarnation identifies the run of the host's process to which the mark applies.
 	Incarnation core.Incarnation
--- a/io/peer/store_test.go
+++ b/io/peer/store_test.go
@@ -180,7 +180,7 @@
 	spin(func() bool { return countWatchers(all) == 1 })
 }
 
-// countWatchers counts the processes that take themselves for watchers of the models. The
+// countWatchers counts the processes that consider themselves watchers of the models. The
 // count is one once all processes have updated their lists of peers.
 func countWatchers(all []*process) int {
 	n := 0
--- a/io/peer/sync.go
+++ b/io/peer/sync.go
@@ -194,8 +194,9 @@
 	}
 }
 
-// ServeSync answers a peer's exchange with the changes that the peer lacks. It is the handler
-// of Sync. If the peer has newer objects, an exchange with it follows at once.
+// ServeSync serves a peer's exchange and returns the changes that the peer lacks. It is
+// the handler of Sync. If the peer has newer objects, an exchange with it follows at
+// once.
 func (s *Store) ServeSync(call *wire.SyncCall) (*wire.SyncReply, error) {
 	s.init()
 	s.joinSoft(call.GetMarks(), call.GetStrikes())
--- a/io/peer/view.go
+++ b/io/peer/view.go
@@ -13,7 +13,7 @@
 	// rotatePeriod is how often one of these peers is replaced, so that no part of the
 	// fleet stays cut off by chance for long.
 	rotatePeriod = 10 * time.Second
-	// farPeers is how many of them may be in any data centre.
+	// farPeers is how many of them are chosen without regard to their data centre.
 	farPeers = 1
 )
 
@@ -80,7 +80,7 @@
 	return near
 }
 
-// drop removes a peer that did not answer.
+// drop removes a peer that did not respond.
 func (v *peerView) drop(p Target) {
 	v.active = slices.DeleteFunc(v.active, func(q Target) bool { return p == q })
 }
--- a/io/peer/view_test.go
+++ b/io/peer/view_test.go
@@ -30,7 +30,7 @@
 		v.update(targets(3), now)
 		assert.Equal(t, len(v.pick(8)), 3)
 	})
-	t.Run("a peer that does not answer is replaced", func(t *testing.T) {
+	t.Run("a peer that does not respond is replaced", func(t *testing.T) {
 		v := newView()
 		v.update(targets(100), now)
 		lost := v.active[0]
