--- a/io/feed/bench_test.go
+++ b/io/feed/bench_test.go
@@ -71,7 +71,7 @@
 			entry.choice = follow.Choice{Scope: follow.None}
 			r := &relay{member: f.Self}
 			entry.relays[f.Self.Name] = r
-			call := &wire.DigestCall{Entry: "asker"}
+			call := &wire.DigestCall{Entry: "poller"}
 			f.recordCall(call)
 			bytes := 0
 			for i := 0; b.Loop(); i++ {
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -27,17 +27,18 @@
 	// progress is ignored.
 	maxUseAge = 1500 * time.Millisecond
 	// applyAllInterval is how often all hosts are applied to the view, even unchanged
-	// ones, because the registry may list a new run of a host's process since.
+	// ones, because the registry may list a new incarnation of a host since.
 	applyAllInterval = 400 * time.Millisecond
 	// forecastTolerance is by how much a forecast may move without counting as changed.
 	forecastTolerance = 150 * time.Millisecond
 )
 
-// Feed is the exchange of one entry. Its exported fields must be set before Start; its
-// methods may be called from several goroutines.
+// Feed polls relays for one entry and serves the polls of other entries. Its exported
+// fields must be set before Start; its methods may be called from several goroutines.
 type Feed struct {
 	Self follow.Member
-	// MaxDirect is the largest number of agents that an entry follows itself.
+	// MaxDirect is the largest number of agents in the fleet at which each entry follows
+	// all of them. With more, entries poll relays, and a relay may follow more agents.
 	MaxDirect int
 	Clock     core.Clock
 	// Proxy holds the view of the hosts and the requests of callers.
@@ -49,12 +50,12 @@
 	// the registry that have agents, with their data centres.
 	Members func() follow.Ranked
 	Engines func() map[netip.AddrPort]core.DataCentre
-	// OnPlanner, if set, is called when another entry becomes the planner, which is the
-	// entry that places models.
+	// OnPlanner, if set, is called when the planner, which is the entry that places
+	// models, has changed. Each call has its own goroutine.
 	OnPlanner func()
 
 	// epoch distinguishes the change numbers of this process from those of its previous
-	// run.
+	// incarnation.
 	epoch uint64
 
 	mu      sync.Mutex
@@ -70,8 +71,8 @@
 	uses map[core.HostName]use
 	// planner is the current planner; the zero Member if none is known.
 	planner follow.Member
-	// ready holds, by model, when its next copy should be loaded; readyChange numbers the
-	// last change.
+	// ready holds, by model, when its next copy is expected to be loaded; readyChange
+	// numbers the last change.
 	ready       map[core.ModelName]time.Time
 	readyChange uint64
 	// lastApplyAll is when all hosts were last applied to the view, lastExtraPoll when
@@ -177,21 +178,21 @@
 	}
 }
 
-// Direct reports whether this entry follows all agents itself.
+// Direct reports whether this entry follows all agents.
 func (f *Feed) Direct() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.choice.Scope == follow.All
 }
 
-// Follows reports whether this entry follows the agents of a data centre itself.
+// Follows reports whether this entry follows the agents of a data centre.
 func (f *Feed) Follows(dc core.DataCentre) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.choice.Follows(dc)
 }
 
-// Put records the state of a host that its agent reported to this entry directly.
+// Put records the state of a host that its agent reported to this entry itself.
 func (f *Feed) Put(h digest.Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -202,7 +203,7 @@
 	f.notifyWaiters()
 }
 
-// notifyWaiters wakes the calls that wait for news. The caller holds mu.
+// notifyWaiters wakes the polls that wait for news. The caller holds mu.
 func (f *Feed) notifyWaiters() {
 	urgent := f.table.LastUrgent() != f.notifiedUrgent || f.readyChange != f.notifiedReady
 	if urgent {
@@ -219,8 +220,8 @@
 
 func (f *Feed) wakeChoose() { loop.Wake(f.chooseWake) }
 
-// RegistryChanged is called when the registry has changed. The first list decides whether this
-// entry follows agents.
+// RegistryChanged must be called when the registry has changed. An entry that follows no
+// agent and polls no relay yet then chooses at once.
 func (f *Feed) RegistryChanged() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/io/feed/feed_test.go
+++ b/io/feed/feed_test.go
@@ -27,10 +27,10 @@
 
 func (clock) Now() time.Time { return time.Now() }
 
-// noAnswerError ends a call to a silent entry.
-type noAnswerError struct{}
+// noResponseError ends a call to a silent entry.
+type noResponseError struct{}
 
-func (noAnswerError) Error() string { return "no answer" }
+func (noResponseError) Error() string { return "no response" }
 
 // cluster is a set of entries whose calls reach each other in a millisecond, or never.
 type cluster struct {
@@ -46,7 +46,8 @@
 	secondGone atomic.Bool
 }
 
-// engines are the upstream hosts, one more than an entry may follow directly here.
+// engines are the upstream hosts: one more than MaxDirect here, so that entries use
+// relays.
 var engines = map[netip.AddrPort]core.DataCentre{hostAt(0): "dc-0", hostAt(1): "dc-1"}
 
 // newCluster runs entries that alternate between two data centres.
@@ -91,7 +92,7 @@
 		Members: func() follow.Ranked { return follow.Rank(others) },
 		Engines: func() map[netip.AddrPort]core.DataCentre { return c.listed() },
 		Digest: func(ctx context.Context, to peer.Target, in *wire.DigestCall) (*wire.DigestReply, error) {
-			return c.ask(ctx, m.Name, to.Host, in)
+			return c.poll(ctx, m.Name, to.Host, in)
 		},
 		Ping: func(ctx context.Context, to peer.Target) error { return c.ping(ctx, to.Host) },
 	}
@@ -113,17 +114,17 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(i)}), 80)
 }
 
-func (c *cluster) ask(ctx context.Context, from, to core.HostName, in *wire.DigestCall) (*wire.DigestReply, error) {
+func (c *cluster) poll(ctx context.Context, from, to core.HostName, in *wire.DigestCall) (*wire.DigestReply, error) {
 	c.calls.Add(1)
 	time.Sleep(time.Millisecond)
 	if c.isSilent(from) || c.isSilent(to) {
 		<-ctx.Done()
-		return nil, noAnswerError{}
+		return nil, noResponseError{}
 	}
 	out, err := c.feeds[to].Serve(in)
 	if c.isSilent(from) || c.isSilent(to) {
 		<-ctx.Done()
-		return nil, noAnswerError{}
+		return nil, noResponseError{}
 	}
 	return out, err
 }
@@ -136,7 +137,7 @@
 func (c *cluster) ping(ctx context.Context, to core.HostName) error {
 	if c.isSilent(to) {
 		<-ctx.Done()
-		return noAnswerError{}
+		return noResponseError{}
 	}
 	return nil
 }
@@ -219,7 +220,7 @@
 func TestDemandReachesPlanner(t *testing.T) {
 	run(t, 4, func(c *cluster) {
 		call := &wire.DigestCall{
-			Entry: "asker", Arrivals: []*wire.ModelArrivals{{Model: "m", Count: 3, Work: 0.5}},
+			Entry: "poller", Arrivals: []*wire.ModelArrivals{{Model: "m", Count: 3, Work: 0.5}},
 			Waiting: []*wire.ModelActive{{Model: "m", Count: 1}}, Wait: int64(time.Second),
 		}
 		_, err := c.feeds["e-1"].Serve(call)
@@ -252,7 +253,7 @@
 		time.Sleep(500 * time.Millisecond)
 		at, err := hostAt(0).MarshalBinary()
 		assert.NilError(t, err)
-		for _, name := range []string{"asker-1", "asker-2"} {
+		for _, name := range []string{"poller-1", "poller-2"} {
 			_, err := c.feeds["e-1"].Serve(&wire.DigestCall{
 				Entry: name, Uses: []*wire.HostUse{{Address: at, Active: []*wire.ModelActive{{Model: "m", Count: 2}}, Used: []string{"m/a1"}}},
 			})
@@ -264,15 +265,15 @@
 	})
 }
 
-// TestHostThatLeftIsForgotten: a host is removed for good. Every later reply used to name
-// it as stale, together with all others that had ever left.
+// TestHostThatLeftIsForgotten: a host is removed permanently. Every later reply used to
+// name it as stale, together with all others that had ever left.
 func TestHostThatLeftIsForgotten(t *testing.T) {
 	run(t, 4, func(c *cluster) {
 		c.report("e-0", 0, 0, "e-0")
 		c.report("e-1", 1, 0, "e-0")
 		time.Sleep(3 * time.Second)
 		stale := func() int {
-			reply, err := c.feeds["e-1"].Serve(&wire.DigestCall{Entry: "asker"})
+			reply, err := c.feeds["e-1"].Serve(&wire.DigestCall{Entry: "poller"})
 			assert.NilError(t, err)
 			return len(reply.GetStale())
 		}
--- a/io/feed/plan.go
+++ b/io/feed/plan.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// CurrentPlanner returns the planner as this entry sees it; the zero Member if it sees none.
+// CurrentPlanner returns the planner as this entry sees it; the zero Member if it sees
+// none.
 func (f *Feed) CurrentPlanner() follow.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,8 +47,8 @@
 	return f.demand.All(now)
 }
 
-// Followers returns the upstream hosts whose agents follow this entry's plans, according
-// to reports younger than age.
+// Followers returns the upstream hosts whose agents follow this entry as the planner,
+// according to reports younger than age.
 func (f *Feed) Followers(age time.Duration) map[netip.AddrPort]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/io/feed/ask.go
+++ b/io/feed/poll.go
@@ -35,9 +35,9 @@
 type relay struct {
 	member follow.Member
 	stop   context.CancelFunc
-	// epoch identifies the run of the relay's process to which the change numbers seen
-	// and seenReady belong. asRelay is whether this entry was a relay itself at the last
-	// call; replies to relays hold more.
+	// epoch identifies the incarnation of the relay to which the change numbers seen and
+	// seenReady belong. asRelay is set if this entry was a relay itself at the last call;
+	// replies to relays hold more.
 	epoch, seen, seenReady uint64
 	asRelay                bool
 	// pending are arrivals that were not sent to the relay yet, used the adapters for
@@ -65,7 +65,7 @@
 	}
 }
 
-// pollOnce makes one call to a relay and reports whether it was answered.
+// pollOnce polls a relay once and reports whether the relay responded.
 func (f *Feed) pollOnce(ctx context.Context, r *relay, wait time.Duration) bool {
 	in, sent := f.newCall(r, wait)
 	call, stop := context.WithTimeout(ctx, wait+pollMargin)
@@ -89,7 +89,7 @@
 	return true
 }
 
-// newCall returns a call to a relay and the arrivals in it.
+// newCall returns the call that polls a relay, and the arrivals in it.
 func (f *Feed) newCall(r *relay, wait time.Duration) (in *wire.DigestCall, sent map[core.ModelName]demand.Arrivals) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -165,7 +165,7 @@
 			continue
 		}
 		if !f.applyHost(now, source, address, s) {
-			r.seen = 0 // requests complete reports
+			r.seen = 0 // the next reply then holds whole reports
 			continue
 		}
 		if h, ok := f.table.Host(address); ok {
@@ -221,11 +221,11 @@
 	for _, m := range reply.GetReady() {
 		ready[core.ModelName(m.GetModel())] = now.Add(time.Duration(m.GetLeft()))
 	}
-	asked := make([]core.ModelName, 0, len(in.GetWaiting()))
+	requested := make([]core.ModelName, 0, len(in.GetWaiting()))
 	changed := false
 	for _, w := range in.GetWaiting() {
 		name := core.ModelName(w.GetModel())
-		asked = append(asked, name)
+		requested = append(requested, name)
 		at, ok := ready[name]
 		before, known := f.ready[name]
 		changed = changed || ok != known || at.Sub(before).Abs() >= forecastTolerance
@@ -235,15 +235,15 @@
 			delete(f.ready, name)
 		}
 	}
-	if len(asked) > 0 {
-		f.Proxy.UpdateForecasts(asked, ready)
+	if len(requested) > 0 {
+		f.Proxy.UpdateForecasts(requested, ready)
 	}
 	if changed {
 		f.noteReadyChange()
 	}
 }
 
-// ping checks whether a member that was set aside answers again.
+// ping probes a member that is avoided because it did not respond.
 func (f *Feed) ping(ctx context.Context, m follow.Member) {
 	ctx, stop := context.WithTimeout(ctx, pingTimeout)
 	defer stop()
--- a/io/feed/serve.go
+++ b/io/feed/serve.go
@@ -27,12 +27,12 @@
 // poller is an entry that polls this one. Feed.mu guards its fields.
 type poller struct {
 	relay bool
-	// lastAnswer is when the entry was last answered.
-	lastAnswer time.Time
+	// lastReply is when the entry's last call was replied to.
+	lastReply time.Time
 }
 
-// Serve answers another entry's poll once there is news for it. It is the handler of
-// Digest.
+// Serve serves another entry's poll. It returns once there is news for the entry, or
+// after the wait in the call, up to maxWait. It is the handler of Digest.
 func (f *Feed) Serve(c *wire.DigestCall) (*wire.DigestReply, error) {
 	f.recordCall(c)
 	f.awaitNews(c)
@@ -107,7 +107,7 @@
 	}
 }
 
-// replyDue reports whether a poller is to be answered now, because there is news or the
+// replyDue reports whether a poller is to be replied to now, because there is news or the
 // call's wait is over. Otherwise it returns when to check again and a channel that is
 // closed if there is reason to check sooner.
 func (f *Feed) replyDue(c *wire.DigestCall, end time.Time) (due bool, next time.Time, wake chan struct{}) {
@@ -115,7 +115,7 @@
 	defer f.mu.Unlock()
 	at := f.Clock.Now()
 	seen := f.seenBy(c)
-	last := f.pollers[core.HostName(c.GetEntry())].lastAnswer
+	last := f.pollers[core.HostName(c.GetEntry())].lastReply
 	urgentAt, figuresAt := last.Add(minUrgentGap), last.Add(f.figuresGap())
 	urgent := f.table.LastUrgent() > seen || len(c.GetWaiting()) > 0 && f.readyChange != c.GetSeenReady()
 	switch {
@@ -146,8 +146,8 @@
 	return min(maxFiguresGap, max(minFiguresGap, time.Duration(f.table.Len())*gapPerHost))
 }
 
-// seenBy returns the change number of this process's last reply to a poller. The caller
-// holds mu.
+// seenBy returns the change number of the last reply that a poller has from this
+// incarnation of the process; zero if it has none. The caller holds mu.
 func (f *Feed) seenBy(c *wire.DigestCall) uint64 {
 	if c.GetEpoch() != f.epoch {
 		return 0
@@ -159,7 +159,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Clock.Now()
-	f.pollers[core.HostName(c.GetEntry())].lastAnswer = now
+	f.pollers[core.HostName(c.GetEntry())].lastReply = now
 	at, stale := f.table.Freshness(now, c.GetRelay())
 	out := &wire.DigestReply{
 		Epoch: f.epoch, Change: f.table.LastChange(), ReadyChange: f.readyChange,
--- a/io/feed/use.go
+++ b/io/feed/use.go
@@ -8,7 +8,7 @@
 	"radishwell/core/fleet"
 )
 
-// use is one entry's report of its requests in progress by host and model.
+// use is one entry's report of its requests in progress, by host and model.
 type use struct {
 	taken time.Time
 	// fromRelay is set if the entry is a relay. Its report is not forwarded to other
@@ -49,7 +49,8 @@
 	f.uses[f.Self.Name] = own
 }
 
-// RecordAdapterUse records that a request for an adapter, as MODEL/NAME, was sent to a host.
+// RecordAdapterUse records that a request for an adapter, given as MODEL/NAME, was sent
+// to a host.
 func (f *Feed) RecordAdapterUse(address netip.AddrPort, adapter string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,8 +76,8 @@
 	}
 }
 
-// TakeUsedAdapters returns the adapters for which requests were sent to a host since the last
-// call.
+// TakeUsedAdapters returns the adapters for which requests were sent to a host since the
+// last call.
 func (f *Feed) TakeUsedAdapters(address netip.AddrPort) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
