--- a/io/relay/frame.go
+++ b/io/relay/frame.go
@@ -188,7 +188,7 @@
 	return piece, m >= 0 && n+m == len(frame)
 }
 
-// EndOf returns the end frame for a refusal, or for a complete answer if r is nil.
+// EndOf returns the end frame for a refusal; a nil refusal stands for a complete answer.
 func EndOf(r *core.Refusal) *wire.End {
 	if r == nil {
 		return &wire.End{Outcome: uint32(core.Done)}
--- a/io/stale/stale.go
+++ b/io/stale/stale.go
@@ -29,8 +29,8 @@
 		"platform-word-age", ageOf(l.FreshAt, now))
 }
 
-// LogFailure logs a failed call to a peer. A call that failed while its reply was arriving
-// has a separate event.
+// LogFailure logs a failed call to a peer. If data arrived on the connection during the
+// call, the reply may have been cut off, which has a separate event.
 func LogFailure(err error) {
 	var callErr *peer.CallError
 	if errors.As(err, &callErr) && callErr.Read > 0 {
--- a/io/stall/doc.go
+++ b/io/stall/doc.go
@@ -1,3 +1,3 @@
 // Package stall bounds calls by inactivity instead of by total duration. A fixed total
-// would end every attempt to read a long answer over a slow link at the same point.
+// would end every attempt to read a long response over a slow link at the same point.
 package stall
--- a/io/stall/stall.go
+++ b/io/stall/stall.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// maxDuration bounds the time for reading an answer, on top of the time until it begins.
+// maxDuration bounds the time for reading a response, on top of the time until it begins.
 const maxDuration = 15 * time.Second
 
-// SilenceError reports an answer that did not begin in time, or during which nothing
+// SilenceError reports a response that did not begin in time, or during which nothing
 // arrived for too long.
 type SilenceError struct{}
 
@@ -27,7 +27,8 @@
 	timer  *time.Timer
 }
 
-// Start begins a call whose answer must begin within timeout. The caller must call Stop.
+// Start begins a call whose response must begin within timeout. The caller must call
+// Stop.
 func Start(ctx context.Context, timeout time.Duration) *Call {
 	c := &Call{}
 	ctx, c.stop = context.WithTimeout(ctx, timeout+maxDuration)
@@ -43,7 +44,7 @@
 	c.stop()
 }
 
-// ReadAll reads the answer. Its error is a SilenceError if nothing arrives for longer
+// ReadAll reads the response. Its error is a SilenceError if nothing arrives for longer
 // than timeout.
 func (c *Call) ReadAll(from io.Reader, timeout time.Duration) ([]byte, error) {
 	c.timer.Reset(timeout)
--- a/io/stall/stall_test.go
+++ b/io/stall/stall_test.go
@@ -57,10 +57,10 @@
 		closes   bool
 		complete bool
 	}{
-		{"an answer that arrives steadily is read", 10, timeout / 2, true, true},
-		{"an answer that stops is abandoned", 3, timeout / 2, false, false},
-		{"an answer with a long pause is abandoned", 3, 2 * timeout, true, false},
-		{"an answer without an end is abandoned", 1000, timeout / 2, true, false},
+		{"a response that arrives steadily is read", 10, timeout / 2, true, true},
+		{"a response that stops is abandoned", 3, timeout / 2, false, false},
+		{"a response with a long pause is abandoned", 3, 2 * timeout, true, false},
+		{"a response without an end is abandoned", 1000, timeout / 2, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
