--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -41,7 +41,7 @@
 	Service core.ServiceName
 	// Plain is set if the upstream is a plain service, which takes no orders.
 	Plain bool
-	// Incarnation distinguishes this process from earlier ones of the same host.
+	// Incarnation identifies this run of the agent's process.
 	Incarnation core.Incarnation
 	Engine      core.Engine
 	Clock       core.Clock
@@ -60,8 +60,8 @@
 	Revoked func() []core.ModelName
 	// BroadcastStrikes sends strikes to peers without waiting for the next exchange.
 	BroadcastStrikes func([]strike.Record)
-	// Slot asks the deciding entry for a slot, the permission to read from the
-	// weight store. Store holds the store's limits; Agents returns the number of
+	// Slot asks the decider for a slot, the permission to read from the weight
+	// store. Store holds the store's limits; Agents returns the number of
 	// agents that share them, 0 if it is not known.
 	Slot   func(context.Context, *wire.SlotCall) (*wire.SlotReply, error)
 	Store  Store
@@ -93,7 +93,7 @@
 	// active counts the requests sent to the upstream that have not ended.
 	active int
 	state  core.EngineState
-	// reachable is set if the upstream answered the last state call;
+	// reachable is set if the upstream responded to the last state call;
 	// crashedEpoch is the epoch of the engine at its last crash.
 	reachable    bool
 	crashedEpoch uint64
@@ -102,7 +102,7 @@
 	warm         warm.Policy
 	slots        map[core.ModelName]*slot
 	// localModels and localAdapters are this agent's shares of the store's
-	// limits, which it uses while the decider does not answer.
+	// limits, which it uses while the decider does not respond.
 	localModels   slots.Local
 	localAdapters slots.Local
 	lastReview    time.Time
@@ -152,7 +152,8 @@
 	Adapters int
 }
 
-// Ready returns a channel that is closed once the upstream has answered.
+// Ready returns a channel that is closed once the upstream has responded to a
+// state call.
 func (a *Agent) Ready() <-chan struct{} { return a.ready }
 
 // Run drives the upstream until ctx ends. It returns a FencedError if another
--- a/io/agent/drive.go
+++ b/io/agent/drive.go
@@ -94,7 +94,7 @@
 	a.schedule(now)
 }
 
-// setReachable records whether the upstream answered a state call.
+// setReachable records whether the upstream responded to a state call.
 func (a *Agent) setReachable(err error) {
 	reached := err == nil
 	if reached {
@@ -111,10 +111,10 @@
 	a.markUnreachable(err)
 }
 
-// markUnreachable records that the upstream does not answer and refuses waiting
-// requests, so that entries try other hosts. Otherwise the requests queued behind
-// a crash would be sent to a dead engine one after the other, and each would get
-// a strike for the failure of the next.
+// markUnreachable records that the upstream does not respond and refuses
+// waiting requests, so that entries try other hosts. Otherwise the requests
+// queued behind a crash would be sent to a dead engine one after the other, and
+// each would get a strike for the failure of the next.
 func (a *Agent) markUnreachable(err error) {
 	if a.reachable {
 		events.Fail(events.EngineUnreachable, err, "host", a.Host)
--- a/io/agent/load.go
+++ b/io/agent/load.go
@@ -36,8 +36,8 @@
 	return out
 }
 
-// HostLoad returns this host's load with the items that it holds and those in names.
-// It answers probes.
+// HostLoad returns this host's load with the items that it holds and those in
+// names. It serves probes.
 func (a *Agent) HostLoad(names []core.ModelName) *wire.HostLoad {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/io/agent/run.go
+++ b/io/agent/run.go
@@ -28,8 +28,9 @@
 	// stallTimeout is how long no byte of an answer may arrive while the engine
 	// reports progress before its connection counts as silent.
 	stallTimeout = time.Second
-	// maxResumeTries bounds the failed attempts in a row to connect again for the
-	// rest of an answer, and the new connections in a row that bring no data.
+	// maxResumeTries bounds the consecutive failed attempts to connect again
+	// for the rest of an answer, and the consecutive new connections without
+	// data.
 	maxResumeTries = 5
 	resumeDelay    = 200 * time.Millisecond
 	readBufferSize = 32 << 10
--- a/io/agent/slots.go
+++ b/io/agent/slots.go
@@ -35,10 +35,11 @@
 	// limits because the decider could not be reached.
 	local bool
 	// grantedAt is when the slot was granted, lastRenewal when the decider was
-	// last asked to renew it, whether it answered or was unreachable.
+	// last asked to renew it, whether it responded or not.
 	grantedAt   time.Time
 	lastRenewal time.Time
-	// nextAsk is when the decider is asked again; asking is set during a call.
+	// nextAsk is when the decider is asked again while the slot is not granted;
+	// asking is set during a call.
 	nextAsk time.Time
 	asking  bool
 	// lastWanted is when a load last asked for the slot.
@@ -155,8 +156,8 @@
 	return due, len(a.slots) > 0
 }
 
-// askSlot asks the decider once. If the decider does not answer, the agent uses
-// its own share of the limits.
+// askSlot asks the decider once. If the decider does not respond, the agent
+// uses its own share of the limits.
 func (a *Agent) askSlot(ctx context.Context, s *slot) {
 	ctx, stop := context.WithTimeout(ctx, slotTimeout)
 	defer stop()
--- a/io/agent/take.go
+++ b/io/agent/take.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// recordGrace is how long the record of a request without a key is kept after
-	// its deadline. An entry that loses contact asks for the outcome within
-	// seconds.
+	// recordGrace is how long the record of a request without a key is kept
+	// after its deadline. An entry that loses contact with the agent asks for
+	// the outcome within seconds.
 	recordGrace = time.Minute
 	// endedRetention is how long the answer of a request without a key can be
 	// resumed after its end.
