--- a/io/engine/client.go
+++ b/io/engine/client.go
@@ -80,15 +80,15 @@
 	if c.Plain {
 		return st, c.dial(ctx)
 	}
-	answer, err := c.do(ctx, http.MethodGet, "/state", nil, nil)
+	resp, err := c.do(ctx, http.MethodGet, "/state", nil, nil)
 	if err != nil {
 		return st, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return st, &core.EngineError{Fault: core.EngineRejected, Status: answer.StatusCode}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return st, &core.EngineError{Fault: core.EngineRejected, Status: resp.StatusCode}
 	}
-	if err := json.NewDecoder(answer.Body).Decode(&st); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&st); err != nil {
 		return st, &core.EngineError{Fault: core.EngineLost, Cause: err}
 	}
 	return st, nil
@@ -123,13 +123,13 @@
 	if err != nil {
 		return &core.EngineError{Fault: core.EngineRejected, Cause: err}
 	}
-	answer, err := c.do(ctx, http.MethodPost, path, http.Header{"Content-Type": {"application/json"}}, body)
+	resp, err := c.do(ctx, http.MethodPost, path, http.Header{"Content-Type": {"application/json"}}, body)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	_, _ = io.Copy(io.Discard, answer.Body)
-	return orderError(answer.StatusCode)
+	defer resp.Body.Close()
+	_, _ = io.Copy(io.Discard, resp.Body)
+	return orderError(resp.StatusCode)
 }
 
 func orderError(status int) error {
@@ -170,11 +170,12 @@
 	return answer, err
 }
 
-func (c *Client) answer(answer *http.Response, err error) (core.Answer, error) {
+// answer returns the upstream's answer in an HTTP response.
+func (c *Client) answer(resp *http.Response, err error) (core.Answer, error) {
 	if err != nil {
 		return core.Answer{}, err
 	}
-	return core.Answer{Status: answer.StatusCode, Header: answer.Header, Body: answer.Body}, nil
+	return core.Answer{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
 
 // do sends a request once. Its error is an EngineError. The fault is
@@ -196,9 +197,9 @@
 	}
 	req.Body = oneShotBody{bytes.NewReader(body)}
 	req.ContentLength = int64(len(body))
-	answer, err := c.transport.RoundTrip(req)
+	resp, err := c.transport.RoundTrip(req)
 	if err == nil {
-		return answer, nil
+		return resp, nil
 	}
 	if !sent.Load() {
 		return nil, &core.EngineError{Fault: core.EngineUnreached, Cause: err}
--- a/io/engine/client_test.go
+++ b/io/engine/client_test.go
@@ -30,10 +30,10 @@
 	assert.Equal(t, fault.Fault, want)
 }
 
-// Guards against requests that run twice. If the server closes a reused
-// connection just as a request is written to it, net/http gets no answer and,
-// because of the Idempotency-Key, sends the request again on a new connection,
-// although the first one may have run.
+// TestNeverRepeats guards against requests that run twice. If the server closes
+// a reused connection just as a request is written to it, net/http gets no
+// response and, because of the Idempotency-Key, sends the request again on a
+// new connection, although the first one may have run.
 func TestNeverRepeats(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet} {
 		t.Run(method, func(t *testing.T) {
@@ -94,8 +94,8 @@
 	}
 }
 
-// A plain service must not be asked for a state report: any request to it is a
-// call that it carries out.
+// TestPlainIsOnlyDialled: a plain service must not be sent a request for a
+// state report: it would carry out any request as a call.
 func TestPlainIsOnlyDialled(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
