--- a/io/node/agent.go
+++ b/io/node/agent.go
@@ -58,10 +58,10 @@
 	return nil
 }
 
-// leaveDelay is how long a stopping agent continues to answer that it is leaving,
-// the time its mark takes to reach the fleet. A request that meets a closed port
-// instead costs its entry a second; on the other hand, a service with one host is
-// unavailable during the delay.
+// leaveDelay is how long a stopping agent keeps its port open and refuses requests
+// because it is leaving: the time that its mark takes to reach the fleet. A request that
+// meets a closed port instead costs its entry a second; on the other hand, a service with
+// one host is unavailable during the delay.
 const leaveDelay = time.Second
 
 func modelNames(list []string) []core.ModelName {
@@ -125,9 +125,8 @@
 	}
 	o, err := n.Platform.Update(ctx, core.Object{Kind: core.KindGrant, Name: string(name), Version: g.version, Spec: text})
 	if err != nil {
-		// If only the answer was lost, the watch brings the new version without
-		// this host. Otherwise the grant is still revoked and the release is tried
-		// again.
+		// If only the response was lost, the watch brings the new version without this
+		// host. Otherwise the grant is still revoked and the release is tried again.
 		return err
 	}
 	n.store.Learn(o)
--- a/io/node/component.go
+++ b/io/node/component.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// begin starts the component. Run calls it before the servers start, so that the
-// replicas fill before requests are served.
+// start starts the component. Run calls it before the servers start, so that the replicas
+// fill before requests are served.
 func (c *component) start(ctx context.Context) {
 	ctx, c.stop = context.WithCancel(ctx)
 	c.ended = make(chan error, 1)
--- a/io/node/entry.go
+++ b/io/node/entry.go
@@ -148,9 +148,9 @@
 
 // newIDs returns a generator of request ids. An id consists of the host, its
 // incarnation and a counter, so that it is unique in the fleet.
-func newIDs(host core.HostName, life core.Incarnation) func() core.RequestID {
+func newIDs(host core.HostName, incarnation core.Incarnation) func() core.RequestID {
 	var count atomic.Uint64
-	prefix := string(host) + "-" + strconv.FormatUint(uint64(life), 36) + "-"
+	prefix := string(host) + "-" + strconv.FormatUint(uint64(incarnation), 36) + "-"
 	return func() core.RequestID {
 		return core.RequestID(prefix + strconv.FormatUint(count.Add(1), 36))
 	}
--- a/io/node/failover_test.go
+++ b/io/node/failover_test.go
@@ -9,7 +9,7 @@
 	"radishwell/core"
 )
 
-// fakePlatform accepts every update or, if fails is set, answers it with fault.
+// fakePlatform accepts every update or, if fails is set, returns fault for it.
 type fakePlatform struct {
 	core.Platform
 	fault core.PlatformFault
@@ -36,12 +36,12 @@
 		assert.Equal(t, dead.calls, 1)
 		assert.Equal(t, good.calls, 3)
 	})
-	// If the answer to a write is lost after the write took effect, sending it again
-	// to another address would conflict with the version that it has itself
-	// written, or carry it out twice.
+	// If the response to a write is lost after the write took effect, sending it again to
+	// another address would conflict with the version that it has itself written, or
+	// carry it out twice.
 	t.Run("a write that may have taken effect is not sent again", func(t *testing.T) {
-		unsure, other := &fakePlatform{fails: true, fault: core.Unknown}, &fakePlatform{}
-		c := &failoverPlatform{clients: []core.Platform{unsure, other}}
+		uncertain, other := &fakePlatform{fails: true, fault: core.Unknown}, &fakePlatform{}
+		c := &failoverPlatform{clients: []core.Platform{uncertain, other}}
 		_, err := c.Update(t.Context(), core.Object{})
 		assert.Equal(t, faultOf(err), core.Unknown)
 		assert.Equal(t, other.calls, 0)
--- a/io/node/fleet_test.go
+++ b/io/node/fleet_test.go
@@ -133,7 +133,7 @@
 	f.t.Cleanup(func() {
 		stop()
 		err := <-ended
-		assert.Check(f.t, err == nil, "the stand-in ended with %v", err)
+		assert.Check(f.t, err == nil, "a fake server ended with %v", err)
 	})
 }
 
@@ -229,9 +229,9 @@
 	}
 }
 
-// An edit of a catalogue entry takes effect at every entry host. An invalid edit gets
-// its reason in the status of the catalogue entry, and the previous version stays in
-// force.
+// TestEditsInForce: an edit of a catalogue entry takes effect at every entry host. An
+// invalid edit gets its reason in the status of the catalogue entry, and the previous
+// version stays in force.
 func TestEditsInForce(t *testing.T) {
 	f := startFleet(t)
 	f.edit(core.KindModel, "beta", func(spec []byte) []byte { return bytes.Replace(spec, []byte(`"1GiB"`), []byte(`"512MiB"`), 1) })
@@ -250,9 +250,9 @@
 	assert.Equal(t, f.sendRequest("entry-2", "beta"), http.StatusOK)
 }
 
-// During an outage of the platform, cold models with grants are still loaded and
-// served. An entry that is restarted gets the catalogue from its peers and serves
-// within seconds; a restarted agent serves the models that its engine holds.
+// TestPlatformOutage: during an outage of the platform, cold models with grants are still
+// loaded and served. An entry that is restarted gets the catalogue from its peers and
+// serves within seconds; a restarted agent serves the models that its engine holds.
 func TestPlatformOutage(t *testing.T) {
 	f := startFleet(t)
 	f.await("entry-2 serves", func() bool { return f.sendRequest("entry-2", "alpha") == http.StatusOK })
@@ -270,8 +270,9 @@
 	f.await("after the outage", func() bool { return f.sendRequest("entry-2", "beta") == http.StatusOK })
 }
 
-// The platform lists a host as leaving that holds the only replica of a model. Its
-// agent releases the grant, and another host gets it and serves the model.
+// TestLeavingHostHandsOver: the platform lists a host as leaving that holds the only
+// replica of a model. Its agent releases the grant, and another host gets it and serves
+// the model.
 func TestLeavingHostHandsOver(t *testing.T) {
 	f := startFleet(t)
 	assert.Equal(t, f.sendRequest("entry-1", "alpha"), http.StatusOK)
@@ -303,9 +304,9 @@
 	return string(text)
 }
 
-// Guards against metrics that are declared but never set, so that an alarm on them
-// never fires; there were ten. After one request all metrics are present but those
-// that count faults or keyed calls.
+// TestMetricsAreExported guards against metrics that are declared but never set, so that
+// an alarm on them never fires; there were ten. After one request all metrics are present
+// but those that count faults or keyed calls.
 func TestMetricsAreExported(t *testing.T) {
 	f := startFleet(t)
 	f.await("an answer", func() bool { return f.sendRequest("entry-1", "alpha") == http.StatusOK })
--- a/io/node/grants.go
+++ b/io/node/grants.go
@@ -9,14 +9,16 @@
 	"radishwell/io/events"
 )
 
+// writeAll makes the writes, at most maxConcurrentWrites at a time, and waits for their
+// ends.
 func (d *decider) writeAll(ctx context.Context, writes []place.Write) {
-	slots := make(chan struct{}, maxConcurrentWrites)
+	semaphore := make(chan struct{}, maxConcurrentWrites)
 	ended := make(chan struct{}, len(writes))
 	for _, w := range writes {
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		go func() {
 			d.write(ctx, w)
-			<-slots
+			<-semaphore
 			ended <- struct{}{}
 		}()
 	}
@@ -26,8 +28,9 @@
 }
 
 // write writes one grant. It checks the lease again right before, since a process that
-// was paused after the round may no longer be the decider. A write that is sent in
-// spite of that fails on the condition on the object's version.
+// was paused after the round may no longer be the decider. A write that is sent after the
+// lease was lost nevertheless can't overwrite one of the next decider, because it is
+// conditional on the object's version.
 func (d *decider) write(ctx context.Context, w place.Write) {
 	d.mu.Lock()
 	_, decides := d.lease.Decides(d.clock.Now())
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -38,9 +38,11 @@
 	// Ready, if not nil, is called once when the process is ready to serve.
 	Ready func()
 
-	clock        core.Clock
-	incarnation  core.Incarnation
-	rand         *rand.Rand
+	clock       core.Clock
+	incarnation core.Incarnation
+	rand        *rand.Rand
+	// keeper holds the certificate for connections between processes of the fleet,
+	// callers that of the callers' interface. Each is nil if the settings name no files.
 	keeper       *certs.Keeper
 	callers      *certs.Keeper
 	meter        *meter.Meter
@@ -286,6 +288,6 @@
 	}
 }
 
-// Operators returns the address that the operators' interface listens on. It serves
-// settings that leave the choice of the port to the system.
+// Operators returns the address that the operators' interface listens on. It is needed if
+// the settings leave the choice of the port to the operating system.
 func (n *Node) Operators() netip.AddrPort { return n.servers[len(n.servers)-1].Address }
--- a/io/node/outage.go
+++ b/io/node/outage.go
@@ -10,15 +10,15 @@
 	"radishwell/io/objapi"
 )
 
-// outageThreshold is how long calls to the platform have to fail without an answer
+// outageThreshold is how long calls to the platform have to fail without a response
 // before it is logged as unreachable: a single lost call is no outage.
 const outageThreshold = 3 * time.Second
 
-// outageDetector logs when the platform stops and resumes answering this process.
+// outageDetector logs when the platform stops and resumes responding to this process.
 type outageDetector struct {
 	mu sync.Mutex
-	// since is when the first of the unanswered calls ended, zero after an answer;
-	// logged is set once the outage has been logged.
+	// since is when the first of the calls without a response ended, zero after a
+	// response; logged is set once the outage has been logged.
 	since  time.Time
 	logged bool
 }
--- a/io/node/outage_test.go
+++ b/io/node/outage_test.go
@@ -10,9 +10,9 @@
 	"radishwell/io/objapi"
 )
 
-// Guards against an outage of the platform that is not logged. One lost call is no
-// outage, a refused update is an answer, and a call over the process's own budget
-// shows nothing about the platform.
+// TestOutageDetector guards against an outage of the platform that is not logged. One
+// lost call is no outage, a refused update is a response, and a call over the process's
+// own budget shows nothing about the platform.
 func TestOutageDetector(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	at := func(seconds int) time.Time { return t0.Add(time.Duration(seconds) * time.Second) }
@@ -24,7 +24,7 @@
 	}{
 		{"one lost call", func(d *outageDetector) { d.record(at(0), lost) }, false},
 		{"an outage", func(d *outageDetector) { d.record(at(0), lost); d.record(at(4), lost) }, true},
-		{"an answer between", func(d *outageDetector) { d.record(at(0), lost); d.record(at(2), nil); d.record(at(4), lost) }, false},
+		{"a response between", func(d *outageDetector) { d.record(at(0), lost); d.record(at(2), nil); d.record(at(4), lost) }, false},
 		{"a conflict between", func(d *outageDetector) {
 			d.record(at(0), lost)
 			d.record(at(2), &core.PlatformError{Fault: core.Conflict})
--- a/io/node/slots.go
+++ b/io/node/slots.go
@@ -42,9 +42,9 @@
 	s.adapters = slots.Pool{Parallel: s.limits.Adapters, DeciderSince: begins}
 }
 
-// serve answers an agent's request for a slot, its renewal or its release. If the
-// pool grants slots to other requests in the same step, their agents learn of it
-// when they ask again.
+// serve serves an agent's request for a slot, its renewal or its release. If the pool
+// grants slots to other requests in the same step, their agents learn of it when they ask
+// again.
 func (s *slotServer) serve(c *wire.SlotCall) *wire.SlotReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
