--- a/io/deploy/watch.go
+++ b/io/deploy/watch.go
@@ -37,7 +37,7 @@
 		// with peers: after all processes have been killed, no peer answers.
 		Kinds: kinds, Confirm: kinds, Platform: e.store, Client: e.client, Clock: e.clock,
 		Peers: e.members.peers, Near: e.members.isNear, Watchers: watchers, Seed: rand.Uint64(), MaxRetry: maxStoreRetry,
-		OnChange: e.applyChanges, OnAnswer: e.storeReached, OnError: e.readFailed,
+		OnChange: e.applyChanges, OnReceived: e.storeReached, OnError: e.readFailed,
 	}
 	stale.Export(e.meter, e.state)
 	e.handler.Sync, e.handler.Fetch = e.state.ServeSync, e.state.ServeFetch
--- a/io/peer/reflector.go
+++ b/io/peer/reflector.go
@@ -159,8 +159,8 @@
 // apply joins a delta that the platform itself has sent.
 func (r *reflector) apply(d replic.Delta) {
 	r.received = true
-	if r.OnAnswer != nil {
-		r.OnAnswer()
+	if r.OnReceived != nil {
+		r.OnReceived()
 	}
 	r.join(r.kind, d)
 	r.mu.Lock()
--- a/io/peer/store.go
+++ b/io/peer/store.go
@@ -56,9 +56,9 @@
 	// called from several goroutines.
 	Strikes     func() []*wire.Strike
 	JoinStrikes func([]*wire.Strike) bool
-	// OnAnswer, if set, is called for each list and each change of a watch that this
+	// OnReceived, if set, is called for each list and each change of a watch that this
 	// process receives from the platform.
-	OnAnswer func()
+	OnReceived func()
 	// OnError, if set, is called for each failed call with a PlatformError or an error of
 	// Client, and for each payload that arrived corrupt with a CorruptError.
 	OnError func(error)
