--- a/core/catlog/file_test.go
+++ b/core/catlog/file_test.go
@@ -17,8 +17,8 @@
 // differences are to be reviewed before they are committed.
 var update = flag.Bool("update-checks", false, "write the problems found into testdata/checks")
 
-// Each check has a file that fails it and, if possible, no other check. The second
-// part of the file lists all expected problems.
+// TestEachCheck checks that each check has a file that fails it and, if possible, no
+// other check. The second part of the file lists all expected problems.
 func TestEachCheck(t *testing.T) {
 	for _, check := range catlog.Checks() {
 		if check.ID == catlog.CheckKeyTaken {
--- a/core/catlog/fleet_test.go
+++ b/core/catlog/fleet_test.go
@@ -64,12 +64,12 @@
 	}
 }
 
-// Guards against processes that permanently serve different catalogues after
-// concurrent edits of entries with the same names, some of them invalid or with
+// TestFleetAgrees guards against processes that permanently serve different catalogues
+// after concurrent edits of entries with the same names, some of them invalid or with
 // another owner's digest. The deciding process receives every version, others receive
-// only some of them, late and in another order, and one process starts at the end.
-// Once all have received the statuses they must serve the same entries, and the
-// number of status writes must be bounded.
+// only some of them, late and in another order, and one process starts at the end. Once
+// all have received the statuses they must serve the same entries, and the number of
+// status writes must be bounded.
 func TestFleetAgrees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &platform{objects: map[string]core.Object{}}
--- a/core/catlog/naive_test.go
+++ b/core/catlog/naive_test.go
@@ -87,9 +87,9 @@
 	return e.Version
 }
 
-// Guards against a result that depends on the order, repetition or batching of the
-// objects received: the newest version of an entry must be in force whenever the
-// entries it refers to are, and no entry may go back to an older version.
+// TestAgainstNaive guards against a result that depends on the order, repetition or
+// batching of the objects received: the newest version of an entry must be in force
+// whenever the entries it refers to are, and no entry may go back to an older version.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := schedule(t)
--- a/core/catlog/page_test.go
+++ b/core/catlog/page_test.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// Guards against a page that lists limits that check RC1015 refuses, or omits limits
-// that it accepts.
+// TestPageListsLimitsInForce guards against a page that lists limits that check RC1015
+// refuses, or omits limits that it accepts.
 func TestPageListsLimitsInForce(t *testing.T) {
 	specs := map[core.Kind]string{
 		core.KindModel:   `"owner":"o","service":"s","class":"evening","memory":"1GiB"`,
--- a/core/catlog/view_test.go
+++ b/core/catlog/view_test.go
@@ -97,9 +97,10 @@
 	assert.Equal(t, got, want)
 }
 
-// Guards against a model that goes out of service because of an invalid edit, here a
-// wrong unit. Its last valid version must stay in force, also in a process that starts
-// after the edit and can find that version only in the status.
+// TestInvalidEditKeepsLastGood guards against a model that goes out of service because
+// of an invalid edit, here a wrong unit. Its last valid version must stay in force,
+// also in a process that starts after the edit and can find that version only in the
+// status.
 func TestInvalidEditKeepsLastGood(t *testing.T) {
 	v := applied(small()...)
 	statuses := v.DueStatuses()
@@ -131,9 +132,9 @@
 	return core.Object{}
 }
 
-// Guards against an edit with a misspelt owner taking effect: the entry alone is
-// valid, but nobody could be charged for its requests. The previous version must stay
-// in force until the owner exists.
+// TestEditWithMissingReferenceKeepsLastServed guards against an edit with a misspelt
+// owner taking effect: the entry alone is valid, but nobody could be charged for its
+// requests. The previous version must stay in force until the owner exists.
 func TestEditWithMissingReferenceKeepsLastServed(t *testing.T) {
 	v := applied(small()...)
 	v.Apply(object(core.KindModel, "ledger", 5, modelAstray))
@@ -146,9 +147,9 @@
 	assertServed(t, v, "ledger", 0)
 }
 
-// Guards against adapters that stay in force after their base model was deleted:
-// without their base they would give the answers of another model. They must be
-// unknown until the base is created again under the same name.
+// TestAdapterFollowsItsBase guards against adapters that stay in force after their base
+// model was deleted: without their base they would give the answers of another model.
+// They must be unknown until the base is created again under the same name.
 func TestAdapterFollowsItsBase(t *testing.T) {
 	v := applied(small()...)
 	reports := v.Apply(tombstone(core.KindModel, "ledger", 5))
@@ -162,8 +163,8 @@
 	assertServed(t, v, "ledger-tunis", 4)
 }
 
-// Guards against an old version that comes back into force because a slow watch or a
-// peer delivers it after a newer one or after the deletion.
+// TestOlderVersionsAreIgnored guards against an old version that comes back into force
+// because a slow watch or a peer delivers it after a newer one or after the deletion.
 func TestOlderVersionsAreIgnored(t *testing.T) {
 	t.Run("edit", func(t *testing.T) {
 		v := applied(append(small(), object(core.KindModel, "ledger", 9, modelWider))...)
@@ -175,7 +176,7 @@
 		assert.Equal(t, len(v.Apply(small()[2])), 0)
 		assertServed(t, v, "ledger", 0)
 	})
-	t.Run("good version of a former life", func(t *testing.T) {
+	t.Run("valid version of a deleted object of the same name", func(t *testing.T) {
 		v := applied(small()...)
 		again := object(core.KindModel, "ledger", 9, modelBad)
 		again.UID = "two"
@@ -185,9 +186,9 @@
 	})
 }
 
-// Guards against a key changing its owner because the operator of a second owner lists
-// it by mistake. Requests with the key must never run on behalf of the second owner,
-// and the first one must not lose it.
+// TestDigestOfAnother guards against a key changing its owner because the operator of a
+// second owner lists it by mistake. Requests with the key must never run on behalf of
+// the second owner, and the first one must not lose it.
 func TestDigestOfAnother(t *testing.T) {
 	other := object(core.KindOwner, "kopa", 5, ownerText)
 	t.Run("edit", func(t *testing.T) {
@@ -210,9 +211,10 @@
 	})
 }
 
-// Guards against processes that permanently disagree on which of two entries has a
-// name, after both were created at the same time and arrived in different orders. The
-// status written by the deciding process resolves the conflict.
+// TestNameRaceIsSettledByStatus guards against processes that permanently disagree on
+// which of two entries has a name, after both were created at the same time and arrived
+// in different orders. The status written by the deciding process resolves the
+// conflict.
 func TestNameRaceIsSettledByStatus(t *testing.T) {
 	model := object(core.KindModel, "portal", 5, modelText)
 	service := object(core.KindService, "portal", 6, serviceText)
@@ -231,9 +233,9 @@
 	assertState(t, other, core.KindService, "portal", catlog.Pending, catlog.CheckNameTaken)
 }
 
-// Guards against a name that stays reserved after its entry was deleted. A model with a
-// pending edit is deleted and a service of its name created; the name must be free,
-// although a status named the model as served under it.
+// TestDeletedEntryFreesItsName guards against a name that stays reserved after its
+// entry was deleted. A model with a pending edit is deleted and a service of its name
+// created; the name must be free, although a status named the model as served under it.
 func TestDeletedEntryFreesItsName(t *testing.T) {
 	v := applied(small()...)
 	v.Apply(statusWritten(v.DueStatuses(), core.KindModel, 5))
@@ -312,9 +314,9 @@
 	})
 }
 
-// Guards against readers that see a partial update while the catalogue changes: in each
-// snapshot, every served model must have its owner.
-func TestReadersBesideWriter(t *testing.T) {
+// TestConcurrentReaders guards against readers that see a partial update while the
+// catalogue changes: in each snapshot, every served model must have its owner.
+func TestConcurrentReaders(t *testing.T) {
 	v := applied(small()...)
 	done := make(chan error, 4)
 	stop := make(chan struct{})
--- a/core/strict/decode_test.go
+++ b/core/strict/decode_test.go
@@ -117,8 +117,8 @@
 	assert.Equal(t, all[0].Name+strconv.Itoa(all[0].Count), "x4")
 }
 
-// Guards against JSON that is decoded to other values than the JSON library encoded:
-// specs come from the platform as JSON and from files as YAML.
+// TestAgainstJSON guards against JSON that is decoded to other values than the JSON
+// library encoded: specs come from the platform as JSON and from files as YAML.
 func TestAgainstJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := jsonExample{
--- a/io/certs/certs_test.go
+++ b/io/certs/certs_test.go
@@ -166,8 +166,8 @@
 	return &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{pair}}
 }
 
-// A request is sent over HTTP/2 with certificates on both sides, as between entry and
-// agent.
+// TestHTTP2 checks that a request can be sent over HTTP/2 with certificates on both
+// sides, as between entry and agent.
 func TestHTTP2(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1")
@@ -192,9 +192,9 @@
 	assert.Equal(t, string(text), "HTTP/2.0 radishwell://entry/entry-1")
 }
 
-// Guards against a host that stays refused after its expired certificate was renewed.
-// Other processes refuse the host while the certificate is expired, and accept it once
-// the files are renewed, without a restart.
+// TestExpired guards against a host that stays refused after its expired certificate
+// was renewed. Other processes refuse the host while the certificate is expired, and
+// accept it once the files are renewed, without a restart.
 func TestExpired(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1")
@@ -210,9 +210,9 @@
 	assert.NilError(t, errors.Join(srvErr, cliErr))
 }
 
-// Guards against a reload that closes open connections. Certificates are replaced while
-// an answer is streamed; the stream must continue on its connection, and new connections
-// must use the new files.
+// TestReloadCutsNothing guards against a reload that closes open connections.
+// Certificates are replaced while an answer is streamed; the stream must continue on
+// its connection, and new connections must use the new files.
 func TestReloadCutsNothing(t *testing.T) {
 	c, dir := newClock(), t.TempDir()
 	makeKeys(t, dir, c, "entry-1=entry@127.0.0.1", "agent-1=agent@127.0.0.1")
@@ -234,9 +234,9 @@
 	assert.Equal(t, string(got), "token")
 }
 
-// Guards against files that are only partly replaced, as when a deployment fails after
-// it wrote the certificate and before it wrote the key. The process must continue with
-// the pair it has.
+// TestHalfWrittenFiles guards against files that are only partly replaced, as when a
+// deployment fails after it wrote the certificate and before it wrote the key. The
+// process must continue with the pair it has.
 func TestHalfWrittenFiles(t *testing.T) {
 	c, dir, other := newClock(), t.TempDir(), t.TempDir()
 	makeKeys(t, dir, c, "agent-1=agent@127.0.0.1", "entry-1=entry@127.0.0.1")
--- a/io/config/settings.go
+++ b/io/config/settings.go
@@ -39,7 +39,8 @@
 	Upstream   netip.AddrPort `yaml:"upstream" doc:"Address of the upstream beside the agent. Agent only."`
 	Cores      int            `yaml:"cores" default:"1" min:"1" max:"1024" doc:"Number of processors that the process may use."`
 	Share      float64        `yaml:"share" default:"1" min:"0.001" max:"1" doc:"Fraction of each of these processors that the process may use. Entries with a larger share are preferred for tasks that one entry does for others."`
-	// DirectAgents is the size up to which a fleet counts as small.
+	// DirectAgents is the number of agents up to which a fleet counts as small. An entry
+	// follows an agent if it polls the agent itself.
 	DirectAgents int           `yaml:"direct-agents" default:"64" min:"0" max:"100000" doc:"Number of agents up to which each entry follows all of them. In a larger fleet, one entry of each data centre follows the agents there and reports to the others. Entry only."`
 	Memory       core.Bytes    `yaml:"memory" default:"256MiB" min:"32MiB" max:"1TiB" doc:"Memory limit, above which the platform ends the process."`
 	StopGrace    time.Duration `yaml:"stop-grace" default:"8s" min:"1s" max:"24h" doc:"Time from the stop signal until the platform ends the process."`
@@ -66,7 +67,7 @@
 	CA        string   `yaml:"ca" doc:"File with the authority certificates for verifying the object API's certificate. Required with https."`
 }
 
-// Engine describes the upstream beside an agent.
+// Engine describes the upstream on the same host as an agent.
 type Engine struct {
 	Address Origin           `yaml:"address" doc:"Base address of the upstream, as in http://127.0.0.1:9000. Agent only, required there."`
 	Type    core.ServiceType `yaml:"type" default:"engine" doc:"Either engine, which loads models when ordered to, or plain, a service without models. Agent only."`
--- a/io/config/types.go
+++ b/io/config/types.go
@@ -9,7 +9,7 @@
 )
 
 // Role is the role of a process in the fleet. An entry takes callers' requests; an
-// agent runs beside an upstream.
+// agent runs on the same host as an upstream.
 type Role string
 
 // Roles of processes.
--- a/io/events/async.go
+++ b/io/events/async.go
@@ -24,10 +24,10 @@
 	stopTimeout = 200 * time.Millisecond
 )
 
-// AsyncWriter is a buffered writer for log lines that never blocks the goroutine that logs. If
-// the reader of the process's output stops reading, writes to the output block, and all
-// requests that log would be blocked too. Lines that exceed the buffer are dropped and
-// counted. The exported fields must be set before Run.
+// AsyncWriter is a buffered writer for log lines that never blocks the goroutine that
+// logs. If the reader of the process's output stops reading, writes to the output block,
+// and all requests that log would be blocked too. Lines that exceed the buffer are dropped
+// and counted. The exported fields must be set before Run.
 type AsyncWriter struct {
 	Out io.Writer
 	// DroppedEvent is the event that is written with the number of dropped lines.
--- a/io/events/async_test.go
+++ b/io/events/async_test.go
@@ -33,9 +33,9 @@
 	assert.Equal(t, lines+left, written)
 }
 
-// Guards against requests that block when the reader of the process's output stops
-// reading: once the pipe is full, the next request that logs would wait until the reader
-// continues.
+// TestStoppedReaderHoldsUpNobody guards against requests that block when the reader of
+// the process's output stops reading: once the pipe is full, the next request that logs
+// would wait until the reader continues.
 func TestStoppedReaderHoldsUpNobody(t *testing.T) {
 	const written = 5000
 	line := []byte(strings.Repeat("x", 999) + "\n")
--- a/io/events/events_test.go
+++ b/io/events/events_test.go
@@ -112,8 +112,8 @@
 	assert.NilError(t, events.SetVerbosity(0))
 }
 
-// Guards against a flood of log lines when many peers connect without a certificate. Of
-// ten thousand events at once, only some must be written.
+// TestFloodIsSampled guards against a flood of log lines when many peers connect
+// without a certificate. Of ten thousand events at once, only some must be written.
 func TestFloodIsSampled(t *testing.T) {
 	text := logged(t, "0", func() {
 		for range 10_000 {
--- a/io/events/used_test.go
+++ b/io/events/used_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against events that are documented but never written. There were once eleven of
-// them, one for an outage of the platform. Each event must be used in the code of another
-// package.
+// TestEventsAreLogged guards against events that are documented but never written.
+// There were once eleven of them, one for an outage of the platform. Each event must be
+// used in the code of another package.
 func TestEventsAreLogged(t *testing.T) {
 	var code strings.Builder
 	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -195,9 +195,9 @@
 	})
 }
 
-// If a stream breaks off midway, the caller must not take the part that it has
-// for the whole answer: the last event reports the failure, and the trailer
-// carries the outcome.
+// TestStreamFailsMidway guards against callers that take the part of a stream that broke
+// off midway for the whole answer: the last event must report the failure, and the trailer
+// must carry the outcome.
 func TestStreamFailsMidway(t *testing.T) {
 	url := serveWith(t, func(c *front.Call) {
 		c.Answer.Head(http.StatusOK, http.Header{"Content-Type": {"text/event-stream"}})
@@ -282,9 +282,9 @@
 	})
 }
 
-// The client library retries any 5xx on its own unless X-Should-Retry forbids
-// it. A request that may have run must not be repeated unless its caller decides
-// so.
+// TestClientLibraryDoesNotRepeat guards against requests that run twice. The client
+// library retries any 5xx on its own unless X-Should-Retry forbids it. A request that
+// may have run must not be repeated unless its caller decides so.
 func TestClientLibraryDoesNotRepeat(t *testing.T) {
 	calls := 0
 	url := serveWith(t, func(c *front.Call) {
--- a/io/meter/meter_test.go
+++ b/io/meter/meter_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Guards against metrics that are served but missing in the table, or listed but never
-// served, or that have other labels than listed.
+// TestTableIsComplete guards against metrics that are served but missing in the table,
+// or listed but never served, or that have other labels than listed.
 func TestTableIsComplete(t *testing.T) {
 	series := regexp.MustCompile(`(?m)^(radishwell_\w+?)(_bucket|_sum|_count)?(?:\{(.*)\})? `)
 	label := regexp.MustCompile(`(\w+)="`)
@@ -150,8 +150,8 @@
 	assert.Equal(t, text(two), "")
 }
 
-// Guards against negative values if times are out of order, as with a caller whose clock
-// is ahead.
+// TestNegativeTimesAreLeftOut guards against negative values if times are out of order,
+// as with a caller whose clock is ahead.
 func TestNegativeTimesAreLeftOut(t *testing.T) {
 	m := meter.New()
 	m.Accelerators(1, true, after(time.Second), began)
--- a/io/objapi/cond.go
+++ b/io/objapi/cond.go
@@ -51,7 +51,7 @@
 // lease or claim that it holds; a writer that assumes success may be wrong too. Reading
 // the object back resolves this: updates are conditional on a version, so at most one
 // write can follow that version, and the object then contains either the writer's mark
-// or another writer'w.
+// or another writer's.
 type ConditionalWriter struct{ Platform core.Platform }
 
 // maxWriteAttempts bounds how often a write is sent and read back before its state is
--- a/io/objapi/cond_test.go
+++ b/io/objapi/cond_test.go
@@ -166,7 +166,7 @@
 		{name: "request lost", faults: []fault{requestLost}, writes: 2},
 		{name: "request delayed", faults: []fault{delayed}, writes: 2},
 		{name: "a rival came first", faults: []fault{rivalBefore}, failed: true, fault: core.Conflict, spec: theirs, writes: 1},
-		{name: "created anew after", faults: []fault{rivalAfter}, spec: theirs, writes: 1},
+		{name: "a rival created it again", faults: []fault{rivalAfter}, spec: theirs, writes: 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/io/spans/spans_test.go
+++ b/io/spans/spans_test.go
@@ -110,8 +110,8 @@
 	assert.Equal(t, perRun, 0.0)
 }
 
-// Guards against requests that wait for a collector which accepts connections and never
-// responds. Stop must return when its context ends.
+// TestSilentCollector guards against requests that wait for a collector which accepts
+// connections and never responds. Stop must return when its context ends.
 func TestSilentCollector(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
