--- a/io/bench/page.go
+++ b/io/bench/page.go
@@ -41,7 +41,7 @@
 <p>Cold: no engine had the model loaded when the request was due, as seen five times a second.</p>
 <h2>What ran</h2>
 <p>{{with .Report.Audit}}calls of services {{.Calls}}, ran {{.Ran}}, ran twice {{.RanTwice}}, ran though refused {{.RanThoughRefused}}, done without a run {{.DoneWithoutRun}}; model requests that one engine started again {{.Reruns}}. Services asked: {{.Services}}; engines asked: {{.Engines}}.{{range .Examples}}<br>{{.}}{{end}}{{end}}</p>
-{{if .Report.Held.Looks}}<p>Models were loaded for {{printf "%.0f" .Report.Held.LoadedSeconds}} s in all, of that idle for {{printf "%.0f" .Report.Held.IdleSeconds}} s ({{printf "%.0f" .Report.Held.LoadedGiBSeconds}} and {{printf "%.0f" .Report.Held.IdleGiBSeconds}} GiB s).</p>{{end}}
+{{if .Report.Held.Polls}}<p>Models were loaded for {{printf "%.0f" .Report.Held.LoadedSeconds}} s in all, of that idle for {{printf "%.0f" .Report.Held.IdleSeconds}} s ({{printf "%.0f" .Report.Held.LoadedGiBSeconds}} and {{printf "%.0f" .Report.Held.IdleGiBSeconds}} GiB s).</p>{{end}}
 {{end}}
 {{with .Report.Pair}}<h2>Warm first byte of {{.Model}}, {{.Requests}} pairs, ms</h2>
 <table><tr><th></th><th>p50</th><th>p90</th><th>p99</th><th>p99.9</th><th>max</th></tr>
--- a/io/bench/page_test.go
+++ b/io/bench/page_test.go
@@ -16,8 +16,8 @@
 	tableHead     = "| key | default | range | meaning |\n| --- | --- | --- | --- |\n"
 )
 
-// The page for operators lists all keys of an experiment, as the tags of the fields
-// describe them.
+// TestPage checks that the page for operators lists all keys of an experiment, as the
+// tags of the fields describe them.
 func TestPage(t *testing.T) {
 	old, err := os.ReadFile(operatorsPage)
 	assert.NilError(t, err)
@@ -39,7 +39,7 @@
 	golden.Assert(t, b.String(), "../"+operatorsPage)
 }
 
-// The example experiments of the repository are valid.
+// TestExamples checks that the example experiments of the repository are valid.
 func TestExamples(t *testing.T) {
 	for _, name := range []string{"mixed", "evening", "site", "pair", "soak", "rolling"} {
 		t.Run(name, func(t *testing.T) {
--- a/io/bench/plan_test.go
+++ b/io/bench/plan_test.go
@@ -56,7 +56,8 @@
 	return all
 }
 
-// Equal seeds give equal requests at equal times, so that two runs can be compared.
+// TestArrivalsRepeat checks that equal seeds give equal requests at equal times, so
+// that two runs can be compared.
 func TestArrivalsRepeat(t *testing.T) {
 	a, b := pullAll(mustParse(t, goodPlan), "r"), pullAll(mustParse(t, goodPlan), "r")
 	assert.Equal(t, len(a), len(b))
--- a/io/bench/poll.go
+++ b/io/bench/poll.go
@@ -18,8 +18,8 @@
 // Held reports for how long the accelerators of the engines held models during a
 // run.
 type Held struct {
-	// Looks is the number of times that the engines were polled.
-	Looks int `json:"looks"`
+	// Polls is the number of times that the engines were polled.
+	Polls int `json:"looks"`
 	// LoadedSeconds is the time for which models were loaded, summed over models
 	// and engines. IdleSeconds is the part of it during which the engine ran no
 	// request to the model or one of its adapters.
@@ -82,7 +82,7 @@
 		since = 0
 	}
 	l.polled, l.last, l.loaded = true, now, map[core.ModelName]bool{}
-	l.held.Looks++
+	l.held.Polls++
 	for _, s := range states {
 		l.updateEngine(s, since)
 	}
--- a/io/bench/print.go
+++ b/io/bench/print.go
@@ -56,7 +56,7 @@
 
 func (r *Report) printAudit(w io.Writer) {
 	a := r.Audit
-	if r.Held.Looks > 0 {
+	if r.Held.Polls > 0 {
 		fmt.Fprintf(w, "\nmodels loaded %.0f s, of that idle %.0f s (%.0f and %.0f GiB s)\n", r.Held.LoadedSeconds, r.Held.IdleSeconds, r.Held.LoadedGiBSeconds, r.Held.IdleGiBSeconds)
 	}
 	if a.Services {
--- a/io/bench/run_test.go
+++ b/io/bench/run_test.go
@@ -146,9 +146,10 @@
 	assert.NilError(t, Compare(&text, r, again))
 }
 
-// If an entry is killed while it has requests in flight, their connections break.
-// Such a break is attributed to the kill, but one of a connection to another entry,
-// or one before or long after the kill, isn't.
+// TestKills checks to which kill a broken connection is attributed. If an entry is
+// killed while it has requests in flight, their connections break. Such a break is
+// attributed to the kill, but one of a connection to another entry, or one before or
+// long after the kill, isn't.
 func TestKills(t *testing.T) {
 	call := &Call{Name: "c"}
 	at := func(s int) time.Time { return testStart.Add(time.Duration(s) * time.Second) }
@@ -163,8 +164,8 @@
 	assert.Equal(t, tally.lines[lineKey{call: "c"}].fates[killed], 1)
 }
 
-// As long as no entry accepts connections, nothing is sent. The request is reported
-// as unreached at its deadline.
+// TestUnreached checks requests that reach no entry. As long as no entry accepts
+// connections, nothing is sent. The request is reported as unreached at its deadline.
 func TestUnreached(t *testing.T) {
 	gone := httptest.NewServer(http.NotFoundHandler())
 	gone.Close()
--- a/io/cmds/capacity_test.go
+++ b/io/cmds/capacity_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The tables of the page match the raw figures. To regenerate them, run
-// go run ./cmd/standin capacity.
+// TestCapacityPage checks that the tables of the page match the raw figures. To
+// regenerate them, run go run ./cmd/standin capacity.
 func TestCapacityPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	assert.NilError(t, err)
--- a/io/fakes/apisrv/run_test.go
+++ b/io/fakes/apisrv/run_test.go
@@ -22,8 +22,9 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// While the fault "refuse" is set, connections to the API are refused. Once the fault is
-// removed over the control address, calls work again without a restart.
+// TestRunRefuses checks that, while the fault "refuse" is set, connections to the API
+// are refused. Once the fault is removed over the control address, calls work again
+// without a restart.
 func TestRunRefuses(t *testing.T) {
 	srv := &Server{Listen: freePort(t), Control: freePort(t)}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/io/fakes/apisrv/server_test.go
+++ b/io/fakes/apisrv/server_test.go
@@ -111,7 +111,7 @@
 		body := `{"preconditions":{"resourceVersion":"2"}}`
 		a.do("DELETE", base+"models/qalam", body, http.StatusConflict, nil)
 	})
-	t.Run("delete and create anew", func(t *testing.T) {
+	t.Run("delete and create again", func(t *testing.T) {
 		a.do("DELETE", base+"models/qalam", `{"preconditions":{"resourceVersion":"3"}}`, http.StatusOK, nil)
 		a.do("GET", base+"models/qalam", "", http.StatusNotFound, nil)
 		o := a.object("POST", base+"models", qalam, http.StatusCreated)
--- a/io/fakes/llmsrv/server.go
+++ b/io/fakes/llmsrv/server.go
@@ -46,7 +46,7 @@
 
 	mu     sync.Mutex
 	faults Faults
-	// epoch identifies the current start of the engine.
+	// epoch identifies the current incarnation of the engine.
 	epoch uint64
 	// fence is the highest fencing number of an order in this epoch.
 	fence  core.Fence
--- a/io/fakes/midbox/box.go
+++ b/io/fakes/midbox/box.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// Silence makes all open connections silent for good, without closing them.
+// Silence makes all open connections silent permanently, without closing them.
 func (b *Box) Silence() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/io/fakes/midbox/box_test.go
+++ b/io/fakes/midbox/box_test.go
@@ -86,7 +86,7 @@
 			readLine(t, c, "a")
 		})
 	}
-	t.Run("a hushed connection carries nothing, a new one does", func(t *testing.T) {
+	t.Run("a silenced connection carries nothing, a new one does", func(t *testing.T) {
 		l, c := echo(t)
 		writeLine(t, c, "a")
 		readLine(t, c, "a")
--- a/io/soak/check.go
+++ b/io/soak/check.go
@@ -46,7 +46,7 @@
 	{"a repeatable request reaches two upstreams at most", func(r *Result, ran int) bool {
 		return r.Route != Again || ran <= 2
 	}},
-	{"a refusal is true", func(r *Result, ran int) bool { return !isRefusal(r.Status) || ran == 0 }},
+	{"a refused request did not run", func(r *Result, ran int) bool { return !isRefusal(r.Status) || ran == 0 }},
 	{"a success was run", func(r *Result, ran int) bool { return r.Status != http.StatusOK || ran > 0 }},
 	{"a success is signed", func(r *Result, _ int) bool {
 		return r.Status != http.StatusOK || strings.HasPrefix(r.Signer, "signed-by-")
@@ -67,7 +67,7 @@
 		}
 		return n == streamEvents && rest == 0
 	}},
-	{"a key in no table is refused, one that is there is not", func(r *Result, ran int) bool {
+	{"a key in no table is refused, a key in a table is not", func(r *Result, ran int) bool {
 		if r.Customer == "" {
 			return ran == 0 && r.Status != http.StatusOK
 		}
--- a/io/soak/check_test.go
+++ b/io/soak/check_test.go
@@ -20,7 +20,8 @@
 	return []byte(b.String())
 }
 
-// Each promise is violated by results that break it and by no others.
+// TestCheck checks that each promise is violated by results that break it and by no
+// others.
 func TestCheck(t *testing.T) {
 	good := Result{ID: "q", Customer: "free", Route: Once, Status: 200, Signer: "signed-by-i-1", Body: []byte("answer of i-1"), Complete: true}
 	with := func(change func(r *Result)) Result {
@@ -39,7 +40,7 @@
 		{"run twice", good, 2, "runs once"},
 		{"a lookup may run twice", with(func(r *Result) { r.Route = Again }), 2, ""},
 		{"but not three times", with(func(r *Result) { r.Route = Again }), 3, "two upstreams"},
-		{"a refusal that had run", Result{Customer: "free", Route: Once, Status: 503}, 1, "refusal is true"},
+		{"a refusal that had run", Result{Customer: "free", Route: Once, Status: 503}, 1, "refused request did not run"},
 		{"a refusal that had not", Result{Customer: "free", Route: Once, Status: 503}, 0, ""},
 		{"a failure may have run", Result{Customer: "free", Route: Once, Status: 502}, 1, ""},
 		{"a success from nowhere", good, 0, "was run"},
@@ -122,13 +123,13 @@
 		seen   stand.ReceivedRequest
 		broken int
 	}{
-		"in its customer's name":  {seen("q", "free", ""), 0},
-		"in another's":            {seen("q", "limited", ""), 1},
-		"in nobody's":             {seen("q", "", ""), 1},
-		"with the key":            {seen("q", "free", "Bearer k"), 1},
-		"a probe, whose is known": {seen("probe-1", "free", ""), 0},
-		"one without key or name": {seen("n", "", ""), 0},
-		"one that took on a name": {seen("n", "free", ""), 1},
+		"in its customer's name":                  {seen("q", "free", ""), 0},
+		"in another's":                            {seen("q", "limited", ""), 1},
+		"in nobody's":                             {seen("q", "", ""), 1},
+		"with the key":                            {seen("q", "free", "Bearer k"), 1},
+		"a probe, which no caller sent":           {seen("probe-1", "free", ""), 0},
+		"one without key or name":                 {seen("n", "", ""), 0},
+		"a name for a request without a customer": {seen("n", "free", ""), 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, len(misattributed(results, []stand.ReceivedRequest{c.seen})), c.broken)
--- a/io/soak/inject.go
+++ b/io/soak/inject.go
@@ -12,7 +12,7 @@
 // duration.
 func (w *testbed) inject(s Step) (end func()) {
 	entry, agent := w.entries[s.Target%len(w.entries)], w.agents[s.Target%len(w.agents)]
-	link := w.storeLinks[s.Target%len(w.storeLinks)]
+	storeBox := w.storeBoxes[s.Target%len(w.storeBoxes)]
 	engine, host := w.upstreams[s.Target%engines], w.upstreams[s.Target%len(w.upstreams)]
 	switch s.Kind {
 	case KillEntry:
@@ -36,18 +36,18 @@
 			p.Signal(syscall.SIGHUP)
 		}
 	case CutStore:
-		return cut(link, s.Variant)
+		return cut(storeBox, s.Variant)
 	case CutAgent:
-		return cut(engine.agentLink, s.Variant)
+		return cut(engine.agentBox, s.Variant)
 	case CutUpstream:
-		return cut(host.link, s.Variant)
+		return cut(host.box, s.Variant)
 	case DelayUpstream:
-		host.link.Delay(time.Duration(20+s.Variant%200) * time.Millisecond)
-		return host.link.Heal
+		host.box.Delay(time.Duration(20+s.Variant%200) * time.Millisecond)
+		return host.box.Heal
 	case ResetAll:
-		w.eachLink((*midbox.Box).Reset)
+		w.eachBox((*midbox.Box).Reset)
 	case SilenceAll:
-		w.eachLink((*midbox.Box).Silence)
+		w.eachBox((*midbox.Box).Silence)
 	case StoreDown:
 		return w.failStore(stand.Down)
 	case StoreSilent:
@@ -57,15 +57,15 @@
 	case StoreCompact:
 		w.store.Compact()
 	case SpoilAnswers:
-		return trick(host, []stand.WorkerFault{stand.WrongID, stand.Unsigned, stand.Truncated, stand.ExtraResponse, stand.HeaderOnly}[s.Variant%5])
+		return injectFault(host, []stand.WorkerFault{stand.WrongID, stand.Unsigned, stand.Truncated, stand.ExtraResponse, stand.HeaderOnly}[s.Variant%5])
 	case LoseAnswers:
-		return trick(host, stand.NoResponse)
+		return injectFault(host, stand.NoResponse)
 	case FailAnswers:
-		return trick(host, []stand.WorkerFault{stand.ServerError, stand.Ambiguous}[s.Variant%2])
+		return injectFault(host, []stand.WorkerFault{stand.ServerError, stand.Ambiguous}[s.Variant%2])
 	case ShedRequests:
-		return trick(host, stand.Shed)
+		return injectFault(host, stand.Shed)
 	case HangRequests:
-		return trick(host, stand.Hang)
+		return injectFault(host, stand.Hang)
 	case RestartUpstream:
 		w.restart(host)
 	case NewTable:
@@ -79,26 +79,26 @@
 		return func() { w.restart(host) }
 	case BackoffUpstream:
 		host.SetBackoff(time.Duration(500+s.Variant%2500) * time.Millisecond)
-		return trick(host, stand.Shed)
+		return injectFault(host, stand.Shed)
 	case ResizeTable:
 		w.resizeTable()
 	case NarrowStore:
-		link.Limit(midbox.ToClient, &midbox.Link{Rate: float64(int(100+s.Variant%300) << 10)})
-		return func() { link.Limit(midbox.ToClient, nil) }
+		storeBox.Limit(midbox.ToClient, &midbox.Link{Rate: float64(int(100+s.Variant%300) << 10)})
+		return func() { storeBox.Limit(midbox.ToClient, nil) }
 	}
 	return nil
 }
 
 func (w *testbed) procs() []*Proc { return append(append([]*Proc{}, w.entries...), w.agents...) }
 
-func (w *testbed) eachLink(do func(*midbox.Box)) {
-	for _, l := range w.storeLinks {
-		do(l)
+func (w *testbed) eachBox(do func(*midbox.Box)) {
+	for _, b := range w.storeBoxes {
+		do(b)
 	}
 	for _, u := range w.upstreams {
-		do(u.link)
-		if u.agentLink != nil {
-			do(u.agentLink)
+		do(u.box)
+		if u.agentBox != nil {
+			do(u.agentBox)
 		}
 	}
 }
@@ -110,9 +110,9 @@
 
 // restart starts a new incarnation of an upstream under the same id, without any state.
 func (w *testbed) restart(u *upstream) {
-	u.link.Reset()
-	u.born++
-	u.Restart(u.born)
+	u.box.Reset()
+	u.started++
+	u.Restart(u.started)
 	w.register(u)
 }
 
@@ -122,17 +122,17 @@
 }
 
 // cut cuts one direction, the other, or both.
-func cut(l *midbox.Box, variant int) func() {
+func cut(b *midbox.Box, variant int) func() {
 	if variant%3 != 1 {
-		l.Cut(midbox.ToServer)
+		b.Cut(midbox.ToServer)
 	}
 	if variant%3 != 0 {
-		l.Cut(midbox.ToClient)
+		b.Cut(midbox.ToClient)
 	}
-	return l.Heal
+	return b.Heal
 }
 
-func trick(u *upstream, t stand.WorkerFault) func() {
+func injectFault(u *upstream, t stand.WorkerFault) func() {
 	u.SetFault(t)
 	return func() { u.SetFault(stand.NoFault) }
 }
--- a/io/soak/plan.go
+++ b/io/soak/plan.go
@@ -105,7 +105,7 @@
 	// Begin and End are times from the start of the run. They are equal if the fault has
 	// no duration.
 	Begin, End time.Duration
-	// Target selects the process, relay or upstream, modulo their number. Variant selects
+	// Target selects the process, box or upstream, modulo their number. Variant selects
 	// among the variants of the fault.
 	Target, Variant int
 }
--- a/io/soak/proc.go
+++ b/io/soak/proc.go
@@ -13,7 +13,8 @@
 // platforms do.
 const restartPause = 200 * time.Millisecond
 
-// StartError reports a part of the soak test that couldn't be started.
+// StartError reports a part of the soak test that couldn't be started, or logs that
+// couldn't be read.
 type StartError struct {
 	What  string
 	Cause error
--- a/io/soak/proc_test.go
+++ b/io/soak/proc_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// If Close was called between the end of a process and its restart, the process was
-// started once more after Close had looked for one to kill, and Close waited for it
-// forever.
+// TestCloseBetweenStarts guards against a Close that never returns. If Close was called
+// between the end of a process and its restart, the process was started once more after
+// Close had looked for one to kill, and Close waited for it forever.
 func TestCloseBetweenStarts(t *testing.T) {
 	self, err := os.Executable()
 	assert.NilError(t, err)
--- a/io/soak/run.go
+++ b/io/soak/run.go
@@ -52,8 +52,9 @@
 // informs the other, as in a large fleet.
 const allDirect = 64
 
-// Execute runs the schedule of the seed and returns the results. Its error means that
-// the run itself failed, as a StartError, not that it found something.
+// Execute runs the schedule of the seed and returns the results. Its error is a
+// StartError and means that the run could not be started or its logs not be read, not that
+// it found violations; those are in the Report.
 func (r *Run) Execute() (*Report, error) {
 	steps := Draw(r.Seed, r.Length)
 	if err := os.WriteFile(filepath.Join(r.Dir, "schedule.txt"), []byte(lines(steps)), 0o644); err != nil {
--- a/io/soak/signal_test.go
+++ b/io/soak/signal_test.go
@@ -33,7 +33,8 @@
 
 func (h *scenario) breaches() int { return len(h.check("i-1", h.seen)) }
 
-// Each promise is violated by requests that break it and by no others.
+// TestSignals checks that each promise is violated by requests that break it and by no
+// others.
 func TestSignals(t *testing.T) {
 	leaves := stand.Signals{Leaving: true}
 	one := 1.0
@@ -42,30 +43,30 @@
 		build  func(h *scenario)
 		broken int
 	}{
-		"a new request after it was told": {func(h *scenario) {
+		"a new request after the entry knew that the upstream leaves": {func(h *scenario) {
 			h.add(0, time.Second, leaves)
 			h.add(0, 3500*time.Millisecond, leaves)
 		}, 1},
-		"one soon after": {func(h *scenario) {
+		"a request within the grace period": {func(h *scenario) {
 			h.add(0, time.Second, leaves)
 			h.add(0, 2500*time.Millisecond, leaves)
 		}, 0},
-		"one of an entry that was not told": {func(h *scenario) {
+		"a request from an entry that did not receive the signal": {func(h *scenario) {
 			h.add(0, time.Second, leaves)
 			h.add(1, 3500*time.Millisecond, leaves)
 		}, 0},
-		"one of an entry that has started again": {func(h *scenario) {
+		"a request from an entry that was restarted": {func(h *scenario) {
 			h.steps = []Step{{Kind: KillEntry, Target: 0, Begin: 2 * time.Second, End: 2 * time.Second}}
 			h.add(0, time.Second, leaves)
 			h.add(0, 3500*time.Millisecond, leaves)
 		}, 0},
-		"three that were not wanted": {func(h *scenario) {
+		"three requests during the backoff": {func(h *scenario) {
 			h.add(0, time.Second, stand.Signals{RetryAt: h.start.Add(4 * time.Second)})
 			for i := range 3 {
 				h.add(0, time.Duration(1600+i)*time.Millisecond, stand.Signals{})
 			}
 		}, 1},
-		"two that were not, and others after the time or of another entry": {func(h *scenario) {
+		"two requests during the backoff, others after it or from another entry": {func(h *scenario) {
 			h.add(0, time.Second, stand.Signals{RetryAt: h.start.Add(4 * time.Second)})
 			for i := range 2 {
 				h.add(0, time.Duration(1600+i)*time.Millisecond, stand.Signals{})
@@ -80,14 +81,14 @@
 				h.add(i%2, time.Duration(2000+300*i)*time.Millisecond, limited)
 			}
 		}, 1},
-		"as much over a longer time": {func(h *scenario) {
+		"as many over a longer time": {func(h *scenario) {
 			h.add(0, time.Second, limited)
 			h.add(1, time.Second, limited)
 			for i := range 12 {
 				h.add(i%2, time.Duration(2000+400*i)*time.Millisecond, limited)
 			}
 		}, 0},
-		"as much of which half came before it was named again": {func(h *scenario) {
+		"as many, of which half came before the limit was signalled again": {func(h *scenario) {
 			h.add(0, time.Second, limited)
 			for i := range 12 {
 				given := limited
--- a/io/soak/testbed.go
+++ b/io/soak/testbed.go
@@ -41,20 +41,20 @@
 	loadTime = 200 * time.Millisecond
 )
 
-// upstream is a stand-in of an upstream host, with the relays in front of it.
+// upstream is a stand-in of an upstream host, with the boxes in front of it.
 type upstream struct {
 	*stand.Worker
 
 	ip string
 	// at is the address at which the host itself listens. The registry has the address
-	// of link instead.
-	at   netip.AddrPort
-	link *midbox.Box
-	// born is the start of the current incarnation, as in the registry.
-	born int64
-	// agentLink is the relay through which entries reach the agent. It is nil for a plain
+	// of box instead.
+	at  netip.AddrPort
+	box *midbox.Box
+	// started is the start time of the current incarnation, as in the registry.
+	started int64
+	// agentBox is the box through which entries reach the agent. It is nil for a plain
 	// service.
-	agentLink *midbox.Box
+	agentBox *midbox.Box
 }
 
 // testbed holds all parts of a run: the store, upstreams, entries and agents.
@@ -69,9 +69,9 @@
 	upstreams []*upstream
 	entries   []*Proc
 	agents    []*Proc
-	// storeLinks holds the relays of the processes to the store, in the order in which
-	// the processes were started.
-	storeLinks []*midbox.Box
+	// storeBoxes holds the boxes between the processes and the store, in the order in
+	// which the processes were started.
+	storeBoxes []*midbox.Box
 	// entryAddrs holds the addresses of the entries for callers.
 	entryAddrs []netip.AddrPort
 
@@ -100,14 +100,14 @@
 	return lis.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// newLink starts a relay between two processes.
-func (w *testbed) newLink(on, to netip.AddrPort) (*midbox.Box, error) {
-	l, err := midbox.NewOn(on, to)
+// newBox starts a box that relays connections between two processes.
+func (w *testbed) newBox(on, to netip.AddrPort) (*midbox.Box, error) {
+	b, err := midbox.NewOn(on, to)
 	if err != nil {
-		return nil, &StartError{What: "a link on " + on.String(), Cause: err}
+		return nil, &StartError{What: "a box on " + on.String(), Cause: err}
 	}
-	w.closers = append(w.closers, l.Close)
-	return l, nil
+	w.closers = append(w.closers, b.Close)
+	return b, nil
 }
 
 // build starts all parts.
@@ -121,7 +121,7 @@
 	if err != nil {
 		return &StartError{What: "the test bed", Cause: err}
 	}
-	agent := agentPorts{link: free[0].Port(), own: free[1].Port(), operators: free[2].Port()}
+	agent := agentPorts{box: free[0].Port(), own: free[1].Port(), operators: free[2].Port()}
 	w.writeTable()
 	for i := range engines + services {
 		if err := w.addUpstream(i, agent); err != nil {
@@ -133,7 +133,7 @@
 		seeds = append(seeds, free[3+4*i].String())
 	}
 	for i := range entries {
-		if err := w.addEntry(i, free[3+4*i:7+4*i], agent.link, seeds); err != nil {
+		if err := w.addEntry(i, free[3+4*i:7+4*i], agent.box, seeds); err != nil {
 			return err
 		}
 	}
@@ -180,13 +180,13 @@
 }
 
 // agentPorts holds the ports of an agent, which are the same on all hosts: that of the
-// relay through which entries reach it, that at which it listens itself, and that for
+// box through which entries reach it, that at which it listens itself, and that for
 // operators.
-type agentPorts struct{ link, own, operators uint16 }
+type agentPorts struct{ box, own, operators uint16 }
 
 func (w *testbed) addUpstream(i int, agent agentPorts) error {
-	u := &upstream{Worker: &stand.Worker{ID: fmt.Sprintf("i-%d", i), LoadTime: loadTime, Plain: i >= engines}, ip: ports.Host(i + 1).String(), born: 1}
-	u.Restart(u.born)
+	u := &upstream{Worker: &stand.Worker{ID: fmt.Sprintf("i-%d", i), LoadTime: loadTime, Plain: i >= engines}, ip: ports.Host(i + 1).String(), started: 1}
+	u.Restart(u.started)
 	if !u.Plain {
 		u.Events, u.Gap = streamEvents, eventGap
 		u.SetModels(stand.Held{Name: fmt.Sprintf("m-%d", 1+i%2), Version: 1})
@@ -195,7 +195,7 @@
 	if u.at, err = w.serve(u.ip+":0", u.Worker); err != nil {
 		return err
 	}
-	if u.link, err = w.newLink(netip.AddrPortFrom(u.at.Addr(), 0), u.at); err != nil {
+	if u.box, err = w.newBox(netip.AddrPortFrom(u.at.Addr(), 0), u.at); err != nil {
 		return err
 	}
 	w.upstreams = append(w.upstreams, u)
@@ -204,10 +204,10 @@
 		return nil
 	}
 	own := netip.AddrPortFrom(u.at.Addr(), agent.own)
-	if u.agentLink, err = w.newLink(netip.AddrPortFrom(u.at.Addr(), agent.link), own); err != nil {
+	if u.agentBox, err = w.newBox(netip.AddrPortFrom(u.at.Addr(), agent.box), own); err != nil {
 		return err
 	}
-	store, err := w.newStoreLink()
+	store, err := w.newStoreBox()
 	if err != nil {
 		return err
 	}
@@ -226,11 +226,11 @@
 	if u.Plain {
 		service = "plain"
 	}
-	w.store.Put("servers", u.ID, fmt.Sprintf(`{"service":%q,"address":%q,"zone":"dc-1","slots":64,"state":"ready","sequence":0,"born":%d}`, service, u.link.At(), u.born))
+	w.store.Put("servers", u.ID, fmt.Sprintf(`{"service":%q,"address":%q,"zone":"dc-1","slots":64,"state":"ready","sequence":0,"born":%d}`, service, u.box.At(), u.started))
 }
 
 func (w *testbed) addEntry(i int, at []netip.AddrPort, agentPort uint16, seeds []string) error {
-	store, err := w.newStoreLink()
+	store, err := w.newStoreBox()
 	if err != nil {
 		return err
 	}
@@ -245,13 +245,13 @@
 	return err
 }
 
-func (w *testbed) newStoreLink() (netip.AddrPort, error) {
-	l, err := w.newLink(netip.AddrPortFrom(w.storeAt.Addr(), 0), w.storeAt)
+func (w *testbed) newStoreBox() (netip.AddrPort, error) {
+	b, err := w.newBox(netip.AddrPortFrom(w.storeAt.Addr(), 0), w.storeAt)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	w.storeLinks = append(w.storeLinks, l)
-	return l.At(), nil
+	w.storeBoxes = append(w.storeBoxes, b)
+	return b.At(), nil
 }
 
 // settings holds the settings of a process. They are written as JSON, which is valid
