--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -32,7 +32,7 @@
 	waited bool
 }
 
-// Serve answers a call; it implements front.Front's Serve.
+// Serve answers a call; it is the Serve function of front.Handler.
 func (e *Entry) Serve(ctx context.Context, c *front.Call) {
 	j := &job{e: e, call: c, span: e.Tracer.Request(c.Trace, c.Request, c.Request.Arrived)}
 	ctx, stop := context.WithDeadline(ctx, c.Request.Deadline)
--- a/io/node/entry.go
+++ b/io/node/entry.go
@@ -159,7 +159,7 @@
 // tlsToAgent returns a function that makes the TLS configuration for requests to an
 // agent, or nil without TLS.
 func (n *Node) tlsToAgent() func(core.HostName) *tls.Config {
-	if n.keeper == nil {
+	if n.peerCerts == nil {
 		return nil
 	}
 	return func(host core.HostName) *tls.Config { return n.tlsTo(certs.Agent, host, "h2") }
--- a/io/node/mesh.go
+++ b/io/node/mesh.go
@@ -131,14 +131,14 @@
 // tlsToPeer returns a function that makes the TLS configuration for calls to a
 // process of the fleet, or nil without TLS.
 func (n *Node) tlsToPeer() func(core.HostName) *tls.Config {
-	if n.keeper == nil {
+	if n.peerCerts == nil {
 		return nil
 	}
 	return func(host core.HostName) *tls.Config {
 		h, ok := n.fleet.host(host)
 		switch {
 		case !ok:
-			return n.keeper.AnyClient(nil)
+			return n.peerCerts.AnyClient(nil)
 		case h.spec.Role == core.EntryHost:
 			return n.tlsTo(certs.Entry, host)
 		default:
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -41,9 +41,9 @@
 	clock       core.Clock
 	incarnation core.Incarnation
 	rand        *rand.Rand
-	// keeper holds the certificate for connections between processes of the fleet,
+	// peerCerts holds the certificate for connections between processes of the fleet,
 	// callers that of the callers' interface. Each is nil if the settings name no files.
-	keeper       *certs.Reloader
+	peerCerts    *certs.Reloader
 	callers      *certs.Reloader
 	meter        *meter.Meter
 	tracer       *spans.Tracer
@@ -163,11 +163,11 @@
 	t := n.Settings.TLS
 	if t.Cert != "" {
 		self := certs.Identity{Role: certs.Role(n.Settings.Role), Host: n.Settings.Name}
-		n.keeper = &certs.Reloader{Files: certs.Files{CA: t.CA, Cert: t.Cert, Key: t.Key}, Self: self, Clock: n.clock}
-		if err := n.keeper.Load(); err != nil {
+		n.peerCerts = &certs.Reloader{Files: certs.Files{CA: t.CA, Cert: t.Cert, Key: t.Key}, Self: self, Clock: n.clock}
+		if err := n.peerCerts.Load(); err != nil {
 			return oops.In("node").Wrapf(err, "load TLS files")
 		}
-		n.addComponent("tls", n.keeper.Run)
+		n.addComponent("tls", n.peerCerts.Run)
 	}
 	if t.Callers.Cert != "" {
 		n.callers = &certs.Reloader{Files: certs.Files{Cert: t.Callers.Cert, Key: t.Callers.Key}, Clock: n.clock}
@@ -182,19 +182,19 @@
 // tlsTo returns the TLS configuration for connections to a process of the fleet in
 // the given role, or nil without TLS.
 func (n *Node) tlsTo(role certs.Role, host core.HostName, protocols ...string) *tls.Config {
-	if n.keeper == nil {
+	if n.peerCerts == nil {
 		return nil
 	}
-	return n.keeper.Client(protocols, role, host)
+	return n.peerCerts.Client(protocols, role, host)
 }
 
 // tlsOf returns the TLS configuration of a listener that accepts processes of the
 // fleet in the given roles, or nil without TLS.
 func (n *Node) tlsOf(protocols []string, roles ...certs.Role) *tls.Config {
-	if n.keeper == nil {
+	if n.peerCerts == nil {
 		return nil
 	}
-	return n.keeper.Server(protocols, roles...)
+	return n.peerCerts.Server(protocols, roles...)
 }
 
 // prepareControl sets up the server for calls from other processes.
