--- a/io/bench/pair.go
+++ b/io/bench/pair.go
@@ -119,14 +119,14 @@
 	through, at, added := newHistogram(), newHistogram(), newHistogram()
 	out := &Paired{Model: p.plan.Model, Direct: p.direct, Requests: p.plan.Requests}
 	for range p.plan.Requests {
-		long, short, err := p.measureOne(ctx, r.IntN(2) == 0)
+		viaEntry, atEngine, err := p.measureOne(ctx, r.IntN(2) == 0)
 		if err != nil {
 			return nil, err
 		}
-		record(through, long)
-		record(at, short)
-		record(added, long-short)
-		if long < short {
+		record(through, viaEntry)
+		record(at, atEngine)
+		record(added, viaEntry-atEngine)
+		if viaEntry < atEngine {
 			out.Negative++
 		}
 	}
--- a/io/bench/poll.go
+++ b/io/bench/poll.go
@@ -44,11 +44,11 @@
 }
 
 // watch polls until ctx ends.
-func (l *enginePoller) watch(ctx context.Context) {
+func (p *enginePoller) watch(ctx context.Context) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	for ctx.Err() == nil && len(l.engines) > 0 {
-		l.poll(ctx)
+	for ctx.Err() == nil && len(p.engines) > 0 {
+		p.poll(ctx)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -56,39 +56,39 @@
 	}
 }
 
-func (l *enginePoller) poll(ctx context.Context) {
+func (p *enginePoller) poll(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, pollTimeout)
 	defer stop()
-	states := make([]core.EngineState, len(l.engines))
+	states := make([]core.EngineState, len(p.engines))
 	got := make(chan struct{})
-	for i, at := range l.engines {
+	for i, at := range p.engines {
 		go func() {
 			// An engine that is down holds no models, so its state stays empty.
 			_ = getJSON(ctx, at.String()+"/state", &states[i])
 			got <- struct{}{}
 		}()
 	}
-	for range l.engines {
+	for range p.engines {
 		<-got
 	}
-	l.update(time.Now(), states)
+	p.update(time.Now(), states)
 }
 
-func (l *enginePoller) update(now time.Time, states []core.EngineState) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	since := now.Sub(l.last).Seconds()
-	if !l.polled {
+func (p *enginePoller) update(now time.Time, states []core.EngineState) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	since := now.Sub(p.last).Seconds()
+	if !p.polled {
 		since = 0
 	}
-	l.polled, l.last, l.loaded = true, now, map[core.ModelName]bool{}
-	l.held.Polls++
+	p.polled, p.last, p.loaded = true, now, map[core.ModelName]bool{}
+	p.held.Polls++
 	for _, s := range states {
-		l.updateEngine(s, since)
+		p.updateEngine(s, since)
 	}
 }
 
-func (l *enginePoller) updateEngine(s core.EngineState, since float64) {
+func (p *enginePoller) updateEngine(s core.EngineState, since float64) {
 	busy := map[core.ModelName]bool{}
 	for _, r := range s.Runs {
 		busy[r.Model] = true
@@ -100,31 +100,31 @@
 	}
 	for _, item := range s.Items {
 		if item.State == core.Loaded {
-			l.loaded[item.Name] = true
+			p.loaded[item.Name] = true
 		}
 		if item.Base != "" {
 			continue
 		}
 		memory := float64(item.Bytes) * float64(max(len(item.Accelerators), 1)) / float64(core.GiB)
-		l.held.LoadedSeconds += since
-		l.held.LoadedGiBSeconds += since * memory
+		p.held.LoadedSeconds += since
+		p.held.LoadedGiBSeconds += since * memory
 		if !busy[item.Name] {
-			l.held.IdleSeconds += since
-			l.held.IdleGiBSeconds += since * memory
+			p.held.IdleSeconds += since
+			p.held.IdleGiBSeconds += since * memory
 		}
 	}
 }
 
 // cold reports whether no engine had a model loaded at the last poll. known is
 // false if the engines haven't been polled or the request has no model.
-func (l *enginePoller) cold(m core.ModelName) (cold, known bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.loaded[m], l.polled && m != ""
+func (p *enginePoller) cold(m core.ModelName) (cold, known bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return !p.loaded[m], p.polled && m != ""
 }
 
-func (l *enginePoller) total() Held {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.held
+func (p *enginePoller) total() Held {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.held
 }
--- a/io/soak/caller.go
+++ b/io/soak/caller.go
@@ -95,10 +95,10 @@
 	defer transport.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
 		entry := (i + rng.IntN(2)*rng.IntN(len(c.entryAddrs))) % len(c.entryAddrs)
-		who := customers[rng.IntN(len(customers))]
+		customer := customers[rng.IntN(len(customers))]
 		r := c.send(transport, Result{
 			ID: fmt.Sprintf("%d-%d-%d", i, n, rng.Uint32()), Route: Route(rng.IntN(int(routeCount))), Entry: entry,
-			Key: who.key, Customer: who.name,
+			Key: customer.key, Customer: customer.name,
 		}, "m-"+strconv.Itoa(1+rng.IntN(2)))
 		c.mu.Lock()
 		c.results = append(c.results, r)
--- a/io/soak/inject.go
+++ b/io/soak/inject.go
@@ -10,17 +10,17 @@
 
 // inject starts a step. It returns a function that ends it, or nil if the step has no
 // duration.
-func (w *testbed) inject(s Step) (end func()) {
-	entry, agent := w.entries[s.Target%len(w.entries)], w.agents[s.Target%len(w.agents)]
-	storeBox := w.storeBoxes[s.Target%len(w.storeBoxes)]
-	engine, host := w.upstreams[s.Target%engines], w.upstreams[s.Target%len(w.upstreams)]
+func (t *testbed) inject(s Step) (end func()) {
+	entry, agent := t.entries[s.Target%len(t.entries)], t.agents[s.Target%len(t.agents)]
+	storeBox := t.storeBoxes[s.Target%len(t.storeBoxes)]
+	engine, host := t.upstreams[s.Target%engines], t.upstreams[s.Target%len(t.upstreams)]
 	switch s.Kind {
 	case KillEntry:
 		entry.Signal(syscall.SIGKILL)
 	case KillAgent:
 		agent.Signal(syscall.SIGKILL)
 	case KillAll:
-		for _, p := range w.procs() {
+		for _, p := range t.procs() {
 			p.Signal(syscall.SIGKILL)
 		}
 	case StopEntry:
@@ -32,7 +32,7 @@
 	case PauseAgent:
 		return pause(agent)
 	case Reload:
-		for _, p := range w.procs() {
+		for _, p := range t.procs() {
 			p.Signal(syscall.SIGHUP)
 		}
 	case CutStore:
@@ -45,17 +45,17 @@
 		host.box.Delay(time.Duration(20+s.Variant%200) * time.Millisecond)
 		return host.box.Heal
 	case ResetAll:
-		w.eachBox((*midbox.Box).Reset)
+		t.eachBox((*midbox.Box).Reset)
 	case SilenceAll:
-		w.eachBox((*midbox.Box).Silence)
+		t.eachBox((*midbox.Box).Silence)
 	case StoreDown:
-		return w.failStore(stand.Down)
+		return t.failStore(stand.Down)
 	case StoreSilent:
-		return w.failStore(stand.Silent)
+		return t.failStore(stand.Silent)
 	case StoreLossy:
-		return w.failStore(stand.Lossy)
+		return t.failStore(stand.Lossy)
 	case StoreCompact:
-		w.store.Compact()
+		t.store.Compact()
 	case SpoilAnswers:
 		return injectFault(host, []stand.WorkerFault{stand.WrongID, stand.Unsigned, stand.Truncated, stand.ExtraResponse, stand.HeaderOnly}[s.Variant%5])
 	case LoseAnswers:
@@ -67,21 +67,21 @@
 	case HangRequests:
 		return injectFault(host, stand.Hang)
 	case RestartUpstream:
-		w.restart(host)
+		t.restart(host)
 	case NewTable:
-		w.writeTable()
+		t.writeTable()
 	case LimitUpstream:
 		rate := []float64{0.5, 1, 2, 4}[s.Variant%4]
 		host.SetRateLimit(&rate)
 		return func() { host.SetRateLimit(nil) }
 	case LeaveUpstream:
 		host.AnnounceLeaving()
-		return func() { w.restart(host) }
+		return func() { t.restart(host) }
 	case BackoffUpstream:
 		host.SetBackoff(time.Duration(500+s.Variant%2500) * time.Millisecond)
 		return injectFault(host, stand.Shed)
 	case ResizeTable:
-		w.resizeTable()
+		t.resizeTable()
 	case NarrowStore:
 		storeBox.Limit(midbox.ToClient, &midbox.Link{Rate: float64(int(100+s.Variant%300) << 10)})
 		return func() { storeBox.Limit(midbox.ToClient, nil) }
@@ -89,13 +89,13 @@
 	return nil
 }
 
-func (w *testbed) procs() []*Proc { return append(append([]*Proc{}, w.entries...), w.agents...) }
+func (t *testbed) procs() []*Proc { return append(append([]*Proc{}, t.entries...), t.agents...) }
 
-func (w *testbed) eachBox(do func(*midbox.Box)) {
-	for _, b := range w.storeBoxes {
+func (t *testbed) eachBox(do func(*midbox.Box)) {
+	for _, b := range t.storeBoxes {
 		do(b)
 	}
-	for _, u := range w.upstreams {
+	for _, u := range t.upstreams {
 		do(u.box)
 		if u.agentBox != nil {
 			do(u.agentBox)
@@ -103,17 +103,17 @@
 	}
 }
 
-func (w *testbed) failStore(f stand.Fault) func() {
-	w.store.SetFault(f)
-	return func() { w.store.SetFault(stand.Fine) }
+func (t *testbed) failStore(f stand.Fault) func() {
+	t.store.SetFault(f)
+	return func() { t.store.SetFault(stand.Fine) }
 }
 
 // restart starts a new incarnation of an upstream under the same id, without any state.
-func (w *testbed) restart(u *upstream) {
+func (t *testbed) restart(u *upstream) {
 	u.box.Reset()
 	u.started++
 	u.Restart(u.started)
-	w.register(u)
+	t.register(u)
 }
 
 func pause(p *Proc) func() {
@@ -132,7 +132,7 @@
 	return b.Heal
 }
 
-func injectFault(u *upstream, t stand.WorkerFault) func() {
-	u.SetFault(t)
+func injectFault(u *upstream, f stand.WorkerFault) func() {
+	u.SetFault(f)
 	return func() { u.SetFault(stand.NoFault) }
 }
--- a/io/soak/run.go
+++ b/io/soak/run.go
@@ -60,24 +60,24 @@
 	if err := os.WriteFile(filepath.Join(r.Dir, "schedule.txt"), []byte(lines(steps)), 0o644); err != nil {
 		return nil, &StartError{What: "the run", Cause: err}
 	}
-	w := &testbed{dir: r.Dir, program: r.Program, maxDirect: allDirect}
+	t := &testbed{dir: r.Dir, program: r.Program, maxDirect: allDirect}
 	if r.Seed%2 == 1 {
-		w.maxDirect = 0
+		t.maxDirect = 0
 	}
-	defer w.close()
-	if err := w.build(); err != nil {
+	defer t.close()
+	if err := t.build(); err != nil {
 		return nil, err
 	}
-	c := &callers{entryAddrs: w.entryAddrs, start: time.Now()}
+	c := &callers{entryAddrs: t.entryAddrs, start: time.Now()}
 	ctx, stop := context.WithCancel(context.Background())
 	c.run(ctx, callerCount, r.Seed)
-	w.runSteps(c.start, steps)
-	report := &Report{Seed: r.Seed, Steps: steps, Unserved: unserved(c, r.Seed, w.newestPath())}
+	t.runSteps(c.start, steps)
+	report := &Report{Seed: r.Seed, Steps: steps, Unserved: unserved(c, r.Seed, t.newestPath())}
 	stop()
 	c.wait.Wait()
 	ran := func(id string) int {
 		n := 0
-		for _, u := range w.upstreams {
+		for _, u := range t.upstreams {
 			n += u.Ran(id)
 		}
 		return n
@@ -94,7 +94,7 @@
 	for i := range c.results {
 		checker.results[c.results[i].ID] = &c.results[i]
 	}
-	for _, u := range w.upstreams {
+	for _, u := range t.upstreams {
 		report.Breaches = append(report.Breaches, misattributed(c.results, u.Requests())...)
 		report.Breaches = append(report.Breaches, checker.check(u.ID, u.Requests())...)
 	}
@@ -112,11 +112,11 @@
 }
 
 // runSteps starts and ends the steps at their times. It returns when all have ended.
-func (w *testbed) runSteps(start time.Time, steps []Step) {
+func (t *testbed) runSteps(start time.Time, steps []Step) {
 	var lasting sync.WaitGroup
 	for _, s := range steps {
 		time.Sleep(time.Until(start.Add(s.Begin)))
-		end := w.inject(s)
+		end := t.inject(s)
 		if end == nil {
 			continue
 		}
--- a/io/soak/signal.go
+++ b/io/soak/signal.go
@@ -46,22 +46,22 @@
 
 // check returns the violations of the signals of one upstream by requests that it
 // received.
-func (w *signalChecker) check(upstream string, seen []stand.ReceivedRequest) []Breach {
+func (c *signalChecker) check(upstream string, seen []stand.ReceivedRequest) []Breach {
 	incarnations := map[int64][]*arrival{}
 	for i := range seen {
 		s := &seen[i]
 		id, _, _ := plat.Origin(s.Header)
-		if r := w.results[string(id)]; r != nil {
-			incarnations[s.Born] = append(incarnations[s.Born], w.arrival(upstream, s, r))
+		if r := c.results[string(id)]; r != nil {
+			incarnations[s.Born] = append(incarnations[s.Born], c.arrival(upstream, s, r))
 		}
 	}
 	var out []Breach
 	for _, incarnation := range incarnations {
 		slices.SortFunc(incarnation, func(a, b *arrival) int { return cmp.Compare(a.at, b.at) })
-		out = append(out, w.leaving(incarnation)...)
-		out = append(out, w.inBackoff(incarnation)...)
+		out = append(out, c.leaving(incarnation)...)
+		out = append(out, c.inBackoff(incarnation)...)
 		for _, span := range limitedSpans(incarnation) {
-			out = append(out, w.limited(span)...)
+			out = append(out, c.limited(span)...)
 		}
 	}
 	return out
@@ -84,8 +84,8 @@
 	return out
 }
 
-func (w *signalChecker) arrival(upstream string, s *stand.ReceivedRequest, r *Result) *arrival {
-	a := &arrival{ReceivedRequest: s, result: r, at: s.At.Sub(w.start), knownAt: -1}
+func (c *signalChecker) arrival(upstream string, s *stand.ReceivedRequest, r *Result) *arrival {
+	a := &arrival{ReceivedRequest: s, result: r, at: s.At.Sub(c.start), knownAt: -1}
 	if r.Status == 200 && r.Complete && r.Signer == "signed-by-"+upstream {
 		a.knownAt = r.Ended
 	}
@@ -93,11 +93,11 @@
 }
 
 // leaving finds requests to an upstream that had signalled that it leaves.
-func (w *signalChecker) leaving(incarnation []*arrival) (out []Breach) {
-	knownAt := w.firstKnown(incarnation, func(s stand.Signals) bool { return s.Leaving })
+func (c *signalChecker) leaving(incarnation []*arrival) (out []Breach) {
+	knownAt := c.firstKnown(incarnation, func(s stand.Signals) bool { return s.Leaving })
 	for _, a := range incarnation {
 		at, ok := knownAt[a.result.Entry]
-		if ok && a.result.Began > at+leaveGrace && !w.excused(a.result.Entry, at, a.at) {
+		if ok && a.result.Began > at+leaveGrace && !c.excused(a.result.Entry, at, a.at) {
 			out = append(out, Breach{Promise: "an upstream that leaves gets no new requests", Result: *a.result})
 		}
 	}
@@ -106,7 +106,7 @@
 
 // firstKnown returns the time at which each entry first certainly knew a signal for
 // which match returns true.
-func (w *signalChecker) firstKnown(incarnation []*arrival, match func(stand.Signals) bool) map[int]time.Duration {
+func (c *signalChecker) firstKnown(incarnation []*arrival, match func(stand.Signals) bool) map[int]time.Duration {
 	knownAt := map[int]time.Duration{}
 	for _, a := range incarnation {
 		if a.knownAt < 0 || !match(a.Signals) {
@@ -121,15 +121,15 @@
 
 // inBackoff finds requests from an entry to an upstream that had shed one of its
 // requests and signalled until when it wants no more.
-func (w *signalChecker) inBackoff(incarnation []*arrival) (out []Breach) {
+func (c *signalChecker) inBackoff(incarnation []*arrival) (out []Breach) {
 	for _, first := range incarnation {
-		if first.Signals.RetryAt.IsZero() || w.disturbed(first.at, first.at+signalDelay) {
+		if first.Signals.RetryAt.IsZero() || c.disturbed(first.at, first.at+signalDelay) {
 			continue
 		}
-		entry, from, till := first.result.Entry, first.at+signalDelay, first.Signals.RetryAt.Sub(w.start)
+		entry, from, till := first.result.Entry, first.at+signalDelay, first.Signals.RetryAt.Sub(c.start)
 		n := 0
 		for _, a := range incarnation {
-			if a.result.Entry == entry && a.at >= from && a.at < till && !w.excused(entry, first.at, a.at) {
+			if a.result.Entry == entry && a.at >= from && a.at < till && !c.excused(entry, first.at, a.at) {
 				n++
 			}
 		}
@@ -142,12 +142,12 @@
 
 // limited finds a window in which an upstream received more than its rate limit from
 // entries that knew the limit.
-func (w *signalChecker) limited(span []*arrival) []Breach {
-	knownAt := w.firstKnown(span, func(s stand.Signals) bool { return s.Limit != nil })
+func (c *signalChecker) limited(span []*arrival) []Breach {
+	knownAt := c.firstKnown(span, func(s stand.Signals) bool { return s.Limit != nil })
 	var sent []*arrival
 	for _, a := range span {
 		at, ok := knownAt[a.result.Entry]
-		if ok && a.at >= at+signalDelay && !w.excused(a.result.Entry, at, a.at) {
+		if ok && a.at >= at+signalDelay && !c.excused(a.result.Entry, at, a.at) {
 			sent = append(sent, a)
 		}
 	}
@@ -169,8 +169,8 @@
 
 // excused reports whether an entry may have lost a signal or been unable to act on it
 // in a span of time, because it was restarted or paused.
-func (w *signalChecker) excused(entry int, from, to time.Duration) bool {
-	return slices.ContainsFunc(w.steps, func(s Step) bool {
+func (c *signalChecker) excused(entry int, from, to time.Duration) bool {
+	return slices.ContainsFunc(c.steps, func(s Step) bool {
 		switch s.Kind {
 		case KillEntry, StopEntry, PauseEntry:
 			return s.Target%entries == entry && s.Begin < to && s.End+settleTime > from
@@ -182,8 +182,8 @@
 }
 
 // disturbed reports whether answers of upstreams may have been lost in a span of time.
-func (w *signalChecker) disturbed(from, to time.Duration) bool {
-	return slices.ContainsFunc(w.steps, func(s Step) bool {
+func (c *signalChecker) disturbed(from, to time.Duration) bool {
+	return slices.ContainsFunc(c.steps, func(s Step) bool {
 		switch s.Kind {
 		case CutUpstream, DelayUpstream, ResetAll, SilenceAll, RestartUpstream, LeaveUpstream:
 			return s.Begin < to && s.End+signalDelay > from
--- a/io/soak/testbed.go
+++ b/io/soak/testbed.go
@@ -83,38 +83,38 @@
 }
 
 // close stops all parts, in the reverse order of their start.
-func (w *testbed) close() {
-	for i := len(w.closers) - 1; i >= 0; i-- {
-		w.closers[i]()
+func (t *testbed) close() {
+	for i := len(t.closers) - 1; i >= 0; i-- {
+		t.closers[i]()
 	}
 }
 
-func (w *testbed) serve(on string, h http.Handler) (netip.AddrPort, error) {
+func (t *testbed) serve(on string, h http.Handler) (netip.AddrPort, error) {
 	lis, err := net.Listen("tcp", on)
 	if err != nil {
 		return netip.AddrPort{}, &StartError{What: "a stand-in on " + on, Cause: err}
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	go func() { _ = srv.Serve(lis) }() // it ends with Close
-	w.closers = append(w.closers, func() { _ = srv.Close() })
+	t.closers = append(t.closers, func() { _ = srv.Close() })
 	return lis.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
 // newBox starts a box that relays connections between two processes.
-func (w *testbed) newBox(on, to netip.AddrPort) (*midbox.Box, error) {
+func (t *testbed) newBox(on, to netip.AddrPort) (*midbox.Box, error) {
 	b, err := midbox.NewOn(on, to)
 	if err != nil {
 		return nil, &StartError{What: "a box on " + on.String(), Cause: err}
 	}
-	w.closers = append(w.closers, b.Close)
+	t.closers = append(t.closers, b.Close)
 	return b, nil
 }
 
 // build starts all parts.
-func (w *testbed) build() error {
+func (t *testbed) build() error {
 	var err error
-	w.store = &stand.Store{}
-	if w.storeAt, err = w.serve("127.0.0.1:0", w.store); err != nil {
+	t.store = &stand.Store{}
+	if t.storeAt, err = t.serve("127.0.0.1:0", t.store); err != nil {
 		return err
 	}
 	free, err := ports.FreeOn(ports.Host(entryHost), 3+4*entries)
@@ -122,9 +122,9 @@
 		return &StartError{What: "the test bed", Cause: err}
 	}
 	agent := agentPorts{box: free[0].Port(), own: free[1].Port(), operators: free[2].Port()}
-	w.writeTable()
+	t.writeTable()
 	for i := range engines + services {
-		if err := w.addUpstream(i, agent); err != nil {
+		if err := t.addUpstream(i, agent); err != nil {
 			return err
 		}
 	}
@@ -133,7 +133,7 @@
 		seeds = append(seeds, free[3+4*i].String())
 	}
 	for i := range entries {
-		if err := w.addEntry(i, free[3+4*i:7+4*i], agent.box, seeds); err != nil {
+		if err := t.addEntry(i, free[3+4*i:7+4*i], agent.box, seeds); err != nil {
 			return err
 		}
 	}
@@ -141,26 +141,26 @@
 }
 
 // newestPath returns a path of a route that only the newest table has.
-func (w *testbed) newestPath() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return fmt.Sprintf("/version-%d/x", w.version)
+func (t *testbed) newestPath() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return fmt.Sprintf("/version-%d/x", t.version)
 }
 
 // resizeTable writes the next version of the routing table. It alternates between a
 // large and a small table.
-func (w *testbed) resizeTable() {
-	w.mu.Lock()
-	w.extra = extraRoutes - w.extra
-	w.mu.Unlock()
-	w.writeTable()
+func (t *testbed) resizeTable() {
+	t.mu.Lock()
+	t.extra = extraRoutes - t.extra
+	t.mu.Unlock()
+	t.writeTable()
 }
 
 // writeTable writes the next version of the routing table.
-func (w *testbed) writeTable() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
+func (t *testbed) writeTable() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.version++
 	route := func(name, kind, service string, attempts int, extra string) string {
 		return fmt.Sprintf(`{"name":%q,"host":"a.example","path_prefix":"/%s/","route_kind":%q,"timeout_ms":4000,"target_latency_ms":800,"gap_aim_ms":600,"service":%q,"max_attempts":%d%s}`,
 			name, name, kind, service, attempts, extra)
@@ -168,15 +168,15 @@
 	routes := []string{
 		route("once", "non_idempotent", "plain", 1, ""), route("again", "idempotent", "plain", 2, ""),
 		route("stream", "streaming", "llm", 1, ""), route("resumed", "streaming", "llm", 2, `,"resumable":true`),
-		route(fmt.Sprintf("version-%d", w.version), "idempotent", "plain", 2, ""),
+		route(fmt.Sprintf("version-%d", t.version), "idempotent", "plain", 2, ""),
 	}
-	for i := range w.extra {
+	for i := range t.extra {
 		routes = append(routes, route(fmt.Sprintf("more-%d-%x", i, rand.Uint64()), "idempotent", "plain", 2, ""))
 	}
-	w.store.Put("config", "main", fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"plain"},{"name":"llm","engine":{"slots":64,"weights_mb":200,"adapter_slots":2,"loads_per_s":20,
+	t.store.Put("config", "main", fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"plain"},{"name":"llm","engine":{"slots":64,"weights_mb":200,"adapter_slots":2,"loads_per_s":20,
 	 "models":[{"name":"m-1","weights_mb":70,"load_s":0.2,"warm_s":0.2,"disk_s":0.2},{"name":"m-2","weights_mb":70,"load_s":0.2,"warm_s":0.2,"disk_s":0.2}]}}],
 	 "tenants":[{"name":"free","api_keys":["key-free"]},{"name":"limited","api_keys":["key-limited"],"rate_per_s":%d,"burst":%d}]}`,
-		w.version, strings.Join(routes, ","), limitedRate, limitedRate))
+		t.version, strings.Join(routes, ","), limitedRate, limitedRate))
 }
 
 // agentPorts holds the ports of an agent, which are the same on all hosts: that of the
@@ -184,7 +184,7 @@
 // operators.
 type agentPorts struct{ box, own, operators uint16 }
 
-func (w *testbed) addUpstream(i int, agent agentPorts) error {
+func (t *testbed) addUpstream(i int, agent agentPorts) error {
 	u := &upstream{Worker: &stand.Worker{ID: fmt.Sprintf("i-%d", i), LoadTime: loadTime, Plain: i >= engines}, ip: ports.Host(i + 1).String(), started: 1}
 	u.Restart(u.started)
 	if !u.Plain {
@@ -192,65 +192,65 @@
 		u.SetModels(stand.Held{Name: fmt.Sprintf("m-%d", 1+i%2), Version: 1})
 	}
 	var err error
-	if u.at, err = w.serve(u.ip+":0", u.Worker); err != nil {
+	if u.at, err = t.serve(u.ip+":0", u.Worker); err != nil {
 		return err
 	}
-	if u.box, err = w.newBox(netip.AddrPortFrom(u.at.Addr(), 0), u.at); err != nil {
+	if u.box, err = t.newBox(netip.AddrPortFrom(u.at.Addr(), 0), u.at); err != nil {
 		return err
 	}
-	w.upstreams = append(w.upstreams, u)
-	w.register(u)
+	t.upstreams = append(t.upstreams, u)
+	t.register(u)
 	if u.Plain {
 		return nil
 	}
 	own := netip.AddrPortFrom(u.at.Addr(), agent.own)
-	if u.agentBox, err = w.newBox(netip.AddrPortFrom(u.at.Addr(), agent.box), own); err != nil {
+	if u.agentBox, err = t.newBox(netip.AddrPortFrom(u.at.Addr(), agent.box), own); err != nil {
 		return err
 	}
-	store, err := w.newStoreBox()
+	store, err := t.newStoreBox()
 	if err != nil {
 		return err
 	}
-	p, err := w.start("agent", fmt.Sprintf("side-%d", i), settings{
+	p, err := t.start("agent", fmt.Sprintf("side-%d", i), settings{
 		"listen":   map[string]string{"control": own.String(), "operators": netip.AddrPortFrom(u.at.Addr(), agent.operators).String()},
 		"platform": map[string]any{"urls": []string{"http://" + store.String()}},
 		"managed":  map[string]any{"enabled": true, "plain-peers": true, "upstream": u.at.String(), "stop-grace": "3s"},
 	})
-	w.agents = append(w.agents, p)
+	t.agents = append(t.agents, p)
 	return err
 }
 
 // register writes the registry entry of an upstream.
-func (w *testbed) register(u *upstream) {
+func (t *testbed) register(u *upstream) {
 	service := "llm"
 	if u.Plain {
 		service = "plain"
 	}
-	w.store.Put("servers", u.ID, fmt.Sprintf(`{"service":%q,"address":%q,"zone":"dc-1","slots":64,"state":"ready","sequence":0,"born":%d}`, service, u.box.At(), u.started))
+	t.store.Put("servers", u.ID, fmt.Sprintf(`{"service":%q,"address":%q,"zone":"dc-1","slots":64,"state":"ready","sequence":0,"born":%d}`, service, u.box.At(), u.started))
 }
 
-func (w *testbed) addEntry(i int, at []netip.AddrPort, agentPort uint16, seeds []string) error {
-	store, err := w.newStoreBox()
+func (t *testbed) addEntry(i int, at []netip.AddrPort, agentPort uint16, seeds []string) error {
+	store, err := t.newStoreBox()
 	if err != nil {
 		return err
 	}
-	p, err := w.start("entry", fmt.Sprintf("edge-%d", i), settings{
+	p, err := t.start("entry", fmt.Sprintf("edge-%d", i), settings{
 		"listen":   map[string]string{"control": at[0].String(), "callers": at[1].String(), "operators": at[2].String()},
 		"platform": map[string]any{"urls": []string{"http://" + store.String()}},
 		"peers":    seeds,
-		"managed":  map[string]any{"enabled": true, "plain-peers": true, "readiness": at[3].String(), "agent-port": agentPort, "stop-grace": "3s", "direct-agents": w.maxDirect, "quota-ratio": 0, "quota-slack": limitedSlack},
+		"managed":  map[string]any{"enabled": true, "plain-peers": true, "readiness": at[3].String(), "agent-port": agentPort, "stop-grace": "3s", "direct-agents": t.maxDirect, "quota-ratio": 0, "quota-slack": limitedSlack},
 	})
-	w.entries = append(w.entries, p)
-	w.entryAddrs = append(w.entryAddrs, at[1])
+	t.entries = append(t.entries, p)
+	t.entryAddrs = append(t.entryAddrs, at[1])
 	return err
 }
 
-func (w *testbed) newStoreBox() (netip.AddrPort, error) {
-	b, err := w.newBox(netip.AddrPortFrom(w.storeAt.Addr(), 0), w.storeAt)
+func (t *testbed) newStoreBox() (netip.AddrPort, error) {
+	b, err := t.newBox(netip.AddrPortFrom(t.storeAt.Addr(), 0), t.storeAt)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	w.storeBoxes = append(w.storeBoxes, b)
+	t.storeBoxes = append(t.storeBoxes, b)
 	return b.At(), nil
 }
 
@@ -258,20 +258,20 @@
 // YAML.
 type settings map[string]any
 
-func (w *testbed) start(role, name string, s settings) (*Proc, error) {
+func (t *testbed) start(role, name string, s settings) (*Proc, error) {
 	s["role"], s["name"], s["data-centre"] = role, name, "dc-1"
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
 		return nil, &StartError{What: name, Cause: err}
 	}
-	file := filepath.Join(w.dir, name+".yaml")
+	file := filepath.Join(t.dir, name+".yaml")
 	if err := os.WriteFile(file, append(text, '\n'), 0o644); err != nil {
 		return nil, &StartError{What: name, Cause: err}
 	}
-	p := &Proc{Name: name, Args: append(append([]string{}, w.program...), role, file), Dir: w.dir}
+	p := &Proc{Name: name, Args: append(append([]string{}, t.program...), role, file), Dir: t.dir}
 	if err := p.Run(); err != nil {
 		return nil, err
 	}
-	w.closers = append(w.closers, p.Close)
+	t.closers = append(t.closers, p.Close)
 	return p, nil
 }
