--- a/core/copies/plan_test.go
+++ b/core/copies/plan_test.go
@@ -110,8 +110,8 @@
 	wantMoves(t, p.Plan(t0, service(3), hosts, demand), "a: m-00 for []", "b: m-00 for []", "c: m-00 for []")
 }
 
-// Guards against a load from the store while another host has the weights near. It takes
-// seven times as long and delays other loads.
+// Guards against a load from the store while another host has the weights near. A
+// load from the store takes seven times as long and delays other loads.
 func TestNearestHost(t *testing.T) {
 	p := &copies.Planner{Parallel: 4}
 	hosts := []*copies.Host{host("a", nil), host("b", names(0), name(1))}
@@ -124,27 +124,27 @@
 // without a copy waited for seconds.
 func TestWaitsForNearHost(t *testing.T) {
 	demand := map[core.ModelName]copies.Demand{name(0): {Rate: 0.7, Waiting: 1}}
-	hosts := func(left time.Duration) []*copies.Host {
+	hosts := func(remaining time.Duration) []*copies.Host {
 		near := host("b", names(1), name(0))
-		near.TakesOrders, near.Loading, near.LoadedBy = false, name(2), t0.Add(left)
+		near.TakesOrders, near.Loading, near.LoadedBy = false, name(2), t0.Add(remaining)
 		return []*copies.Host{host("a", nil), near}
 	}
-	only0 := func(moves []copies.Move) []copies.Move {
+	loadsOfModel0 := func(moves []copies.Move) []copies.Move {
 		return slices.DeleteFunc(moves, func(m copies.Move) bool { return m.Load != name(0) })
 	}
-	t.Run("one that is ready sooner", func(t *testing.T) {
+	t.Run("waits for a host that is ready sooner", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
-		wantMoves(t, only0(p.Plan(t0, service(3), hosts(500*time.Millisecond), demand)))
+		wantMoves(t, loadsOfModel0(p.Plan(t0, service(3), hosts(500*time.Millisecond), demand)))
 	})
-	t.Run("not for one that is ready later", func(t *testing.T) {
+	t.Run("does not wait for a host that is ready later", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
-		wantMoves(t, only0(p.Plan(t0, service(3), hosts(5*time.Second), demand)), "a: m-00 for []")
+		wantMoves(t, loadsOfModel0(p.Plan(t0, service(3), hosts(5*time.Second), demand)), "a: m-00 for []")
 	})
-	t.Run("not for one that is leaving", func(t *testing.T) {
+	t.Run("does not wait for a host that is leaving", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
 		list := hosts(0)
 		list[1].Leaving = true
-		wantMoves(t, only0(p.Plan(t0, service(3), list, demand)), "a: m-00 for []")
+		wantMoves(t, loadsOfModel0(p.Plan(t0, service(3), list, demand)), "a: m-00 for []")
 	})
 }
 
@@ -254,7 +254,7 @@
 			host("a", names(0, 1)), host("b", names(2, 3), name(0)), host("c", names(4, 5), name(0)), host("d", names(6, 7), name(0)),
 		}
 	}
-	quiet := func() map[core.ModelName]copies.Demand {
+	evenDemand := func() map[core.ModelName]copies.Demand {
 		d := map[core.ModelName]copies.Demand{}
 		for i := range 8 {
 			d[name(i)] = copies.Demand{Rate: 0.15}
@@ -263,7 +263,7 @@
 	}
 	t.Run("none while one carries the load", func(t *testing.T) {
 		p := &copies.Planner{Parallel: 4}
-		d := quiet()
+		d := evenDemand()
 		d[name(0)] = copies.Demand{Rate: 2, Hasty: 2, Work: 0.2}
 		wantMoves(t, p.Plan(t0, service(8), hosts(), d))
 	})
@@ -271,7 +271,7 @@
 		// Demand moves to another model within seconds, and its only host refuses a third
 		// of the requests while models with a request every few seconds keep their memory.
 		p := &copies.Planner{Parallel: 4}
-		d := quiet()
+		d := evenDemand()
 		d[name(0)] = copies.Demand{Rate: 9, Hasty: 6, Work: 0.9}
 		wantMoves(t, p.Plan(t0, service(8), hosts(), d), "b: m-00 for [m-02]", "c: m-00 for [m-04]")
 		wantMoves(t, p.Plan(t0.Add(100*time.Millisecond), service(8), hosts(), d))
@@ -343,7 +343,7 @@
 	})
 }
 
-func TestClosedHosts(t *testing.T) {
+func TestHostsThatTakeNoOrders(t *testing.T) {
 	leaving, busy := host("a", names(0)), host("b", nil)
 	leaving.Leaving, busy.TakesOrders = true, false
 	p := &copies.Planner{Parallel: 4}
@@ -378,8 +378,8 @@
 			assert.Assert(t, core.Bytes(len(held))*70*gb <= 145*gb)
 			hosts[i] = host(string(m.Host), held)
 		}
-		waited := slices.ContainsFunc(hosts, func(h *copies.Host) bool { return slices.Contains(h.Held, name((step*7)%12)) })
-		assert.Assert(t, waited, "step %d: a model with waiting requests is loaded in addition to busy ones", step)
+		loaded := slices.ContainsFunc(hosts, func(h *copies.Host) bool { return slices.Contains(h.Held, name((step*7)%12)) })
+		assert.Assert(t, loaded, "step %d: the model with waiting requests is not loaded", step)
 		for _, h := range hosts {
 			h.TakesOrders = true
 		}
@@ -387,7 +387,7 @@
 }
 
 // Guards against callers who are refused at hosts with a low rate limit because the model's
-// copies there count as whole ones.
+// copies there are counted in full.
 func TestLimitedCopies(t *testing.T) {
 	plan := func(rate float64, limits ...float64) []copies.Move {
 		hosts := []*copies.Host{host("a", names(0, 1)), host("b", names(0, 2)), host("c", names(3), name(0))}
--- a/core/copies/policy_test.go
+++ b/core/copies/policy_test.go
@@ -20,7 +20,7 @@
 // policy decides moves with the signature of copies.Planner.Plan.
 type policy func(now time.Time, s *rtable.Service, hosts []*copies.Host, demand map[core.ModelName]copies.Demand) []copies.Move
 
-// pattern is a load and the hosts that serve it.
+// pattern describes the requests of a simulation and the hosts that serve them.
 type pattern struct {
 	name          string
 	models, hosts int
@@ -30,7 +30,8 @@
 	// perSecond is the rate of all requests. The first busy models get half of it.
 	perSecond float64
 	busy      int
-	load      time.Duration
+	// load is the duration of a load from the store.
+	load time.Duration
 	// moves is when the busy models change, lost when the first two hosts lose their
 	// models, and restart when all hosts do.
 	moves, lost, restart time.Duration
@@ -77,9 +78,9 @@
 	hosts   []*simHost
 	queue   []waitingRequest
 	rates   map[core.ModelName]float64
-	// timely, late and left count the requests by how they ended: answered within the
-	// target, answered later, or given up by their callers.
-	timely, late, left int
+	// timely, late and abandoned count the requests by how they ended: answered within
+	// the target, answered later, or given up by their callers.
+	timely, late, abandoned int
 }
 
 func newSimulation(p pattern, decide policy) *simulation {
@@ -121,10 +122,10 @@
 			w.advanceMove(h, now)
 		}
 	}
-	return float64(w.timely) / float64(w.timely+w.late+w.left)
+	return float64(w.timely) / float64(w.timely+w.late+w.abandoned)
 }
 
-// failHosts makes hosts lose their models.
+// failHosts removes all models and requests from the hosts that fail at time t.
 func (w *simulation) failHosts(t time.Duration) {
 	for i, h := range w.hosts {
 		if t > 0 && (t == w.restart || t == w.lost && i < 2) {
@@ -160,8 +161,8 @@
 
 // poisson draws the number of requests that arrive in a step.
 func (w *simulation) poisson(mean float64) int {
-	n, left := 0, math.Exp(-mean)
-	for p := w.rng.Float64(); p > left; p *= w.rng.Float64() {
+	n, limit := 0, math.Exp(-mean)
+	for p := w.rng.Float64(); p > limit; p *= w.rng.Float64() {
 		n++
 	}
 	return n
@@ -182,7 +183,7 @@
 		case i >= 0:
 			w.late++
 		case waited >= callerPatience:
-			w.left++
+			w.abandoned++
 			return true
 		default:
 			return false
@@ -292,8 +293,8 @@
 	var moves []copies.Move
 	var names []core.ModelName
 	for m, d := range demand {
-		there := func(h *copies.Host) bool { return slices.Contains(h.Held, m) || h.Loading == m }
-		if d.Waiting > 0 && !slices.ContainsFunc(hosts, there) {
+		hasCopy := func(h *copies.Host) bool { return slices.Contains(h.Held, m) || h.Loading == m }
+		if d.Waiting > 0 && !slices.ContainsFunc(hosts, hasCopy) {
 			names = append(names, m)
 		}
 	}
@@ -350,16 +351,16 @@
 		{name: "many hosts", models: 120, hosts: 60, memory: 3, disk: 12, perSecond: 60, load: 6 * time.Second},
 		{name: "many models a host", models: 300, hosts: 4, memory: 60, disk: 120, perSecond: 40, load: 6 * time.Second},
 	}
-	// behind is how far the planner's fraction of timely requests may be below that of
+	// tolerance is how far the planner's fraction of timely requests may be below that of
 	// another policy: the spread between seeds.
-	const behind = 0.02
+	const tolerance = 0.02
 	for _, p := range patterns {
 		t.Run(p.name, func(t *testing.T) {
 			planner := newSimulation(p, (&copies.Planner{Parallel: 4}).Plan).timelyShare()
 			lru := newSimulation(p, leastRecentlyUsed()).timelyShare()
 			byDemand := newSimulation(p, leastRequested).timelyShare()
 			t.Logf("in time: planner %.3f, on demand by last use %.3f, by demand %.3f", planner, lru, byDemand)
-			assert.Assert(t, planner >= lru-behind && planner >= byDemand-behind)
+			assert.Assert(t, planner >= lru-tolerance && planner >= byDemand-tolerance)
 		})
 	}
 }
--- a/core/copies/width_test.go
+++ b/core/copies/width_test.go
@@ -18,9 +18,9 @@
 	speed float64
 	width copies.Width
 	hosts []*copies.Host
-	// left is the remaining time of each host's load at full speed.
-	left []time.Duration
-	done int
+	// remaining is the time that each host's load still needs at full speed.
+	remaining []time.Duration
+	done      int
 }
 
 const (
@@ -29,8 +29,8 @@
 )
 
 func newStoreSimulation(speed float64, first float64) *storeSimulation {
-	l := &storeSimulation{now: time.Unix(1000, 0), speed: speed, width: copies.Width{First: first}, left: make([]time.Duration, 40)}
-	for i := range l.left {
+	l := &storeSimulation{now: time.Unix(1000, 0), speed: speed, width: copies.Width{First: first}, remaining: make([]time.Duration, 40)}
+	for i := range l.remaining {
 		l.hosts = append(l.hosts, &copies.Host{ID: core.HostName(fmt.Sprint("h-", i))})
 	}
 	return l
@@ -48,7 +48,7 @@
 		for i, h := range l.hosts {
 			if h.Loading == "" && running < l.width.Value() {
 				l.done++
-				h.Held, h.Loading, l.left[i] = nil, core.ModelName(fmt.Sprint("m-", l.done)), loadAlone
+				h.Held, h.Loading, l.remaining[i] = nil, core.ModelName(fmt.Sprint("m-", l.done)), loadAlone
 				running++
 			}
 		}
@@ -56,8 +56,8 @@
 			if h.Loading == "" {
 				continue
 			}
-			l.left[i] -= time.Duration(float64(pollInterval) * min(1, l.speed/float64(running)))
-			if l.left[i] <= 0 {
+			l.remaining[i] -= time.Duration(float64(pollInterval) * min(1, l.speed/float64(running)))
+			if l.remaining[i] <= 0 {
 				h.Held, h.Loading = []core.ModelName{h.Loading}, ""
 			}
 		}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -81,14 +81,14 @@
 		}
 	})
 	t.Run("a load that needs another's memory comes last", func(t *testing.T) {
-		tight, roomy := coldCandidate("tight", core.TierMemory), coldCandidate("roomy", core.TierStore)
-		roomy.Load.Free = 10 * core.GiB
+		full, empty := coldCandidate("full", core.TierMemory), coldCandidate("empty", core.TierStore)
+		empty.Load.Free = 10 * core.GiB
 		r := &route.Router{}
 		p := r.Plan(t0, route.Query{
 			Request: request(1, t0, time.Minute), Costs: costs, Need: core.GiB,
-			Candidates: []route.Candidate{tight, roomy},
+			Candidates: []route.Candidate{full, empty},
 		})
-		wantOrder(t, p, "roomy", "tight")
+		wantOrder(t, p, "empty", "full")
 	})
 	t.Run("adapter without its base", func(t *testing.T) {
 		bare, based := coldCandidate("bare", core.TierMemory), coldCandidate("based", core.TierDisk)
@@ -103,13 +103,13 @@
 // Entries with the same reports choose the same host to load on, whatever the
 // request, but spread requests over the holders.
 func TestEntriesAgreeOnColdHosts(t *testing.T) {
-	first := func(make func(string) route.Candidate) map[core.HostName]int {
+	first := func(newCandidate func(string) route.Candidate) map[core.HostName]int {
 		chosen := map[core.HostName]int{}
 		for n := range 60 {
 			r := &route.Router{Seed: uint64(n)}
 			q := route.Query{Request: request(n, t0, time.Minute), Costs: costs}
 			for _, h := range []string{"a", "b", "c", "d"} {
-				q.Candidates = append(q.Candidates, make(h))
+				q.Candidates = append(q.Candidates, newCandidate(h))
 			}
 			chosen[r.Plan(t0, q).Hosts[0].Host]++
 		}
@@ -204,13 +204,13 @@
 		}
 		r.Observe(now, report)
 	}
-	aside := 0
+	setAside := 0
 	for n := range 6 {
 		if r.AsideUntil("qalam", core.HostName(fmt.Sprint("h", n))).After(t0.Add(4 * time.Second)) {
-			aside++
+			setAside++
 		}
 	}
-	assert.Equal(t, aside, 2)
+	assert.Equal(t, setAside, 2)
 	r.Forget("qalam", "h0")
 	assert.Assert(t, r.AsideUntil("qalam", "h0").IsZero())
 }
--- a/core/route/sim_test.go
+++ b/core/route/sim_test.go
@@ -21,7 +21,8 @@
 	Item: [3]time.Duration{500 * time.Millisecond, 4 * time.Second, 20 * time.Second},
 }
 
-// router is a router under test. It chooses the host for a request.
+// router chooses the host for a request: the Router under test or one that it is
+// compared with.
 type router interface {
 	choose(now time.Time, q route.Query, probe func(core.HostName) route.Load) core.HostName
 	observe(now time.Time, r route.Report)
@@ -72,7 +73,8 @@
 	core.Request
 	entry int
 	sent  time.Time
-	took  time.Duration
+	// duration is how long the request runs on a host that is not slowed down.
+	duration time.Duration
 }
 
 // simHost is an upstream with slots and one model.
@@ -95,9 +97,9 @@
 // used.
 const cacheSize = 32
 
-// find returns 1 if the prefix is in the host's cache and 0 otherwise, and
+// lookup returns 1 if the prefix is in the host's cache and 0 otherwise, and
 // makes it the most recently used.
-func (h *simHost) find(prefix uint64) int {
+func (h *simHost) lookup(prefix uint64) int {
 	at := slices.Index(h.cache, prefix)
 	if at >= 0 {
 		h.cache = append(slices.Delete(h.cache, at, at+1), prefix)
@@ -123,7 +125,7 @@
 // simEntry is one entry with its routing state.
 type simEntry struct {
 	router   router
-	known    map[core.HostName]route.Load
+	lastLoad map[core.HostName]route.Load
 	inFlight map[core.HostName]int
 	sent     map[core.HostName]int
 }
@@ -133,16 +135,16 @@
 	hosts   []*simHost
 	entries []*simEntry
 	events  eventq.Queue[func(now time.Time)]
-	// waits are the times from arrival to the end of the answer, in the order
-	// of the answers; short are those of the requests of 100 ms.
-	waits, short []time.Duration
-	inTime       int
+	// latencies are the times from arrival to the end of the answer, in the order
+	// of the answers; shortLatencies are those of the requests of 100 ms.
+	latencies, shortLatencies []time.Duration
+	inTime                    int
 	// prefixHits counts the requests that found their longest prefix cached at
 	// their host, by their shortest prefix.
 	prefixHits map[uint64]int
 }
 
-func newSimulation(entries, hosts, loaded int, make func(entry int) router) *simulation {
+func newSimulation(entries, hosts, loaded int, newRouter func(entry int) router) *simulation {
 	p := &simulation{prefixHits: map[uint64]int{}}
 	for i := range hosts {
 		h := &simHost{name: core.HostName("h" + strconv.Itoa(i)), slots: 4}
@@ -153,7 +155,7 @@
 		p.hosts = append(p.hosts, h)
 	}
 	for i := range entries {
-		e := &simEntry{router: make(i), known: map[core.HostName]route.Load{}}
+		e := &simEntry{router: newRouter(i), lastLoad: map[core.HostName]route.Load{}}
 		e.inFlight, e.sent = map[core.HostName]int{}, map[core.HostName]int{}
 		p.entries = append(p.entries, e)
 	}
@@ -187,8 +189,8 @@
 }
 
 // send schedules the arrival of a request at an entry.
-func (p *simulation) send(r core.Request, e int, took time.Duration) {
-	p.schedule(r.Arrived, func(now time.Time) { p.route(now, simRequest{Request: r, entry: e, took: took}) })
+func (p *simulation) send(r core.Request, e int, duration time.Duration) {
+	p.schedule(r.Arrived, func(now time.Time) { p.route(now, simRequest{Request: r, entry: e, duration: duration}) })
 }
 
 func (p *simulation) route(now time.Time, j simRequest) {
@@ -196,12 +198,12 @@
 	q := route.Query{Request: j.Request, Costs: costs}
 	for _, h := range p.hosts {
 		q.Candidates = append(q.Candidates, route.Candidate{
-			Host: h.name, Load: e.known[h.name], InFlight: e.inFlight[h.name], Sent: e.sent[h.name],
+			Host: h.name, Load: e.lastLoad[h.name], InFlight: e.inFlight[h.name], Sent: e.sent[h.name],
 		})
 	}
 	name := e.router.choose(now, q, func(h core.HostName) route.Load {
-		e.known[h], e.sent[h] = p.host(h).load(now), 0
-		return e.known[h]
+		e.lastLoad[h], e.sent[h] = p.host(h).load(now), 0
+		return e.lastLoad[h]
 	})
 	e.inFlight[name]++
 	e.sent[name]++
@@ -216,9 +218,9 @@
 // receive handles a request's arrival at a host, which loads the model if
 // necessary.
 func (p *simulation) receive(now time.Time, h *simHost, j simRequest) {
-	for _, x := range j.Prefixes {
-		hit := h.find(x)
-		if x == j.Prefixes[len(j.Prefixes)-1] {
+	for _, prefix := range j.Prefixes {
+		hit := h.lookup(prefix)
+		if prefix == j.Prefixes[len(j.Prefixes)-1] {
 			p.prefixHits[j.Prefixes[0]] += hit
 		}
 	}
@@ -236,7 +238,7 @@
 		j := h.queue[0]
 		h.queue = h.queue[1:]
 		h.running++
-		took := time.Duration(float64(j.took) * h.slowdown(now))
+		took := time.Duration(float64(j.duration) * h.slowdown(now))
 		p.schedule(now.Add(took), func(now time.Time) { p.answer(now, h, j) })
 	}
 }
@@ -247,19 +249,19 @@
 	p.start(now, h)
 	e := p.entries[j.entry]
 	e.inFlight[h.name]--
-	e.known[h.name], e.sent[h.name] = h.load(now), 0
-	e.router.observe(now, route.Report{Host: h.name, Target: j.Target, Took: now.Sub(j.sent), Cost: int64(j.took / (100 * time.Millisecond))})
-	p.waits = append(p.waits, now.Sub(j.Arrived))
-	if j.took == 100*time.Millisecond {
-		p.short = append(p.short, now.Sub(j.Arrived))
+	e.lastLoad[h.name], e.sent[h.name] = h.load(now), 0
+	e.router.observe(now, route.Report{Host: h.name, Target: j.Target, Took: now.Sub(j.sent), Cost: int64(j.duration / (100 * time.Millisecond))})
+	p.latencies = append(p.latencies, now.Sub(j.Arrived))
+	if j.duration == 100*time.Millisecond {
+		p.shortLatencies = append(p.shortLatencies, now.Sub(j.Arrived))
 	}
 	if !now.After(j.Deadline) {
 		p.inTime++
 	}
 }
 
-func quantile(waits []time.Duration, q float64) time.Duration {
-	sorted := slices.Sorted(slices.Values(waits))
+func quantile(latencies []time.Duration, q float64) time.Duration {
+	sorted := slices.Sorted(slices.Values(latencies))
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
@@ -271,8 +273,9 @@
 	return n
 }
 
-// stream sends a Poisson stream of requests through the entries in turn.
-func (p *simulation) stream(seed uint64, perSecond float64, span time.Duration, each func(rng *rand.Rand, r *core.Request) time.Duration) {
+// stream sends a Poisson stream of requests through the entries in turn. The
+// function prepare may change each request and returns its duration.
+func (p *simulation) stream(seed uint64, perSecond float64, span time.Duration, prepare func(rng *rand.Rand, r *core.Request) time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	at := t0
 	for n := 0; ; n++ {
@@ -281,7 +284,7 @@
 			return
 		}
 		r := request(n, at, 2*time.Second)
-		took := each(rng, &r)
-		p.send(r, n%len(p.entries), took)
+		duration := prepare(rng, &r)
+		p.send(r, n%len(p.entries), duration)
 	}
 }
