--- a/core/place/bench_test.go
+++ b/core/place/bench_test.go
@@ -77,10 +77,10 @@
 			p.SetGrant(w.Name, w.Spec, benchVersion)
 			p.SetOutcome(w, place.Applied)
 			for _, h := range w.Spec.Holders {
-				if less, ok := place.Release(w.Spec, place.HostID{Host: h.Host, UID: h.UID}); ok {
+				if released, ok := place.Release(w.Spec, place.HostID{Host: h.Host, UID: h.UID}); ok {
 					benchVersion++
-					w.Spec = less
-					p.SetGrant(w.Name, less, benchVersion)
+					w.Spec = released
+					p.SetGrant(w.Name, released, benchVersion)
 				}
 			}
 			all[w.Name] = w
--- a/core/place/move_test.go
+++ b/core/place/move_test.go
@@ -20,8 +20,8 @@
 }
 
 // One model gets a burst, then demand swings for an hour and ends. Grants must
-// follow the burst at once, must not follow the swings, and must be taken back
-// slowly after the demand has ended.
+// follow the burst at once, must not follow the swings, and must be revoked slowly
+// after the demand has ended.
 func TestDemand(t *testing.T) {
 	f := newFleet(t, hosts(9)...)
 	f.setModel("m1", 6)
@@ -52,7 +52,7 @@
 		setDemand(f, 4)
 		assert.Equal(t, f.writes, before)
 	})
-	t.Run("a long lull takes back one grant at a time", func(t *testing.T) {
+	t.Run("a long lull revokes one grant at a time", func(t *testing.T) {
 		setDemand(f, 0)
 		for want := 5; want >= 2; want-- {
 			f.now = f.now.Add(place.LowerDelay)
@@ -65,8 +65,8 @@
 	})
 }
 
-// A decider dies while demand is high. Its successor does not know the demand yet
-// and must not take back any grant.
+// A decider crashes while demand is high. Its successor does not know the demand yet
+// and must not revoke any grant.
 func TestTakeOverMovesNothing(t *testing.T) {
 	f := newFleet(t, hosts(9)...)
 	f.setModel("m1", 6)
@@ -135,9 +135,9 @@
 	t.Run("a lost host moves only its own grants", func(t *testing.T) {
 		f.setState("h07", core.HostGone)
 		f.settle()
-		part := movedFraction(before, activePairs(f))
-		t.Logf("one of 30 hosts lost: %.3f of grants moved", part)
-		assert.Assert(t, part < 1.25*place.LoadBound/30)
+		moved := movedFraction(before, activePairs(f))
+		t.Logf("one of 30 hosts lost: %.3f of grants moved", moved)
+		assert.Assert(t, moved < 1.25*place.LoadBound/30)
 	})
 	t.Run("a changed entry moves only its own grants", func(t *testing.T) {
 		now := activePairs(f)
@@ -146,13 +146,13 @@
 		assert.Assert(t, movedFraction(now, activePairs(f)) <= 2.0/600)
 	})
 	t.Run("deciding everything again with one more host moves few grants", func(t *testing.T) {
-		part := movedFraction(placeFromScratch(t, hosts(30)), placeFromScratch(t, hosts(31)))
-		t.Logf("whole recomputation, 31 hosts in place of 30: %.3f moved", part)
-		assert.Assert(t, part < 0.35)
+		moved := movedFraction(placeFromScratch(t, hosts(30)), placeFromScratch(t, hosts(31)))
+		t.Logf("whole recomputation, 31 hosts in place of 30: %.3f moved", moved)
+		assert.Assert(t, moved < 0.35)
 	})
 }
 
-// Most entries are alike. No host may be granted much more than its share.
+// The entries differ only in their names. No host may be granted much more than its share.
 func TestLoadBound(t *testing.T) {
 	f := newFleet(t, hosts(30)...)
 	for i := range 300 {
@@ -186,7 +186,8 @@
 	}
 }
 
-// naive has the whole state and computes from it without a memory of changes.
+// naive has the whole state and computes each decision from it alone, without
+// keeping track of changes.
 type naive struct {
 	*fleet
 	hosts   map[int]place.Host
@@ -303,7 +304,7 @@
 		f.planner.SetHost(h)
 	}
 	moves := 0
-	for quiet := 0; quiet < 3; quiet++ {
+	for idleRounds := 0; idleRounds < 3; idleRounds++ {
 		start := f.writes
 		f.now = f.now.Add(place.MoveInterval)
 		f.settle()
@@ -311,7 +312,7 @@
 		f.settle()
 		if f.writes > start {
 			moves++
-			quiet = 0
+			idleRounds = 0
 		}
 		assert.Assert(t, moves < 200, "more than 200 moves")
 	}
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -104,10 +104,10 @@
 func (f *fleet) releaseRevoked() {
 	for name, spec := range f.grants {
 		for _, h := range spec.Holders {
-			if less, ok := place.Release(f.grants[name], place.HostID{Host: h.Host, UID: h.UID}); ok {
+			if released, ok := place.Release(f.grants[name], place.HostID{Host: h.Host, UID: h.UID}); ok {
 				f.version++
-				f.grants[name] = less
-				f.planner.SetGrant(name, less, f.version)
+				f.grants[name] = released
+				f.planner.SetGrant(name, released, f.version)
 			}
 		}
 	}
@@ -163,15 +163,15 @@
 }
 
 func (f *fleet) holdersPerCentre(name core.ModelName) map[core.DataCentre]int {
-	seen := map[core.DataCentre]int{}
+	holders := map[core.DataCentre]int{}
 	for _, h := range f.grants[name].Holders {
 		for i := range 100 {
 			if host(i).Name == h.Host {
-				seen[host(i).DataCentre]++
+				holders[host(i).DataCentre]++
 			}
 		}
 	}
-	return seen
+	return holders
 }
 
 func TestLimits(t *testing.T) {
@@ -298,7 +298,7 @@
 		f.assertHolders("m1", 1, 0)
 		assert.Assert(t, f.holder("m1", 0) != h)
 	})
-	t.Run("an unknown host is kept and listed for reading", func(t *testing.T) {
+	t.Run("an unknown host stays a holder and is listed for a read from the platform", func(t *testing.T) {
 		f := newFleet(t, hosts(3)...)
 		f.setModel("m1", 1)
 		f.grants["m1"] = core.GrantSpec{Fence: 7, Entry: 1, Owner: "nadi", Memory: 30 * core.GiB, Holders: []core.GrantHolder{
@@ -422,7 +422,7 @@
 		f.assertHolders("m0", 2, 0)
 		f.assertHolders("m1", 0, 0)
 	})
-	t.Run("a conflicting write waits for the newer version", func(t *testing.T) {
+	t.Run("a model whose write conflicted is written again after the newer version arrives", func(t *testing.T) {
 		f := newFleet(t, hosts(9)...)
 		f.setModel("m1", 1)
 		w := f.planner.Round(f.now, 7, 10)[0]
@@ -485,9 +485,9 @@
 		assert.Assert(t, !ok)
 	})
 	t.Run("a revoked holder is released", func(t *testing.T) {
-		less, ok := place.Release(spec(core.GrantRevoked), id)
+		released, ok := place.Release(spec(core.GrantRevoked), id)
 		assert.Assert(t, ok)
-		assert.DeepEqual(t, less.Holders, []core.GrantHolder{{Host: "h2"}})
+		assert.DeepEqual(t, released.Holders, []core.GrantHolder{{Host: "h2"}})
 	})
 	t.Run("another incarnation of the host is not a holder", func(t *testing.T) {
 		_, ok := place.Release(spec(core.GrantRevoked), place.HostID{Host: "h1", UID: "u2"})
--- a/core/place/sums_test.go
+++ b/core/place/sums_test.go
@@ -21,11 +21,11 @@
 // naiveSums adds up the reports that still count at a time.
 func naiveSums(reports map[core.HostName]naiveReport, at time.Time) map[core.ModelName]float64 {
 	sums := map[core.ModelName]float64{}
-	for _, one := range reports {
-		if at.After(one.until) {
+	for _, r := range reports {
+		if at.After(r.until) {
 			continue
 		}
-		for name, n := range one.work {
+		for name, n := range r.work {
 			sums[name] += n
 		}
 	}
@@ -58,7 +58,7 @@
 		least, most := naiveSums(naive, now), naiveSums(naive, now.Add(-1400*time.Millisecond))
 		for i := range 6 {
 			name := core.ModelName(fmt.Sprint("model-", i))
-			assert.Equal(t, reported[name], sums.Of(name), "a change was not reported")
+			assert.Equal(t, reported[name], sums.Of(name), "SetReport did not return a changed model")
 			got := sums.Of(name)
 			assert.Assert(t, got >= least[name]-0.1 && got <= most[name]+0.1, "%s %v %v %v", name, least[name], got, most[name])
 		}
--- a/core/queue/hold_test.go
+++ b/core/queue/hold_test.go
@@ -98,16 +98,16 @@
 // leave slots to short ones across lanes.
 func TestLongAmongShortInOneEngine(t *testing.T) {
 	up := upstreamModel{slots: 8, serviceTime: steady(50 * time.Millisecond)}
-	in := generate(5, time.Minute,
+	requests := generate(5, time.Minute,
 		workload{"short", "site", core.Interactive, 60, 1, 3 * time.Second},
 		workload{"long", "office", core.Interactive, 4, 50, 30 * time.Second})
-	for n := range in {
-		in[n].Lane = string(in[n].Owner)
+	for n := range requests {
+		requests[n].Lane = string(requests[n].Owner)
 	}
-	shared := run(&fairQueue{q: queue.Queue{Shared: true}}, up, in, byOwner)
-	apart := run(&fairQueue{}, up, in, byOwner)
-	t.Logf("short p99 %v, good %d of %d; lanes apart %v, good %d", shared["short"].p99(), shared["short"].good,
-		shared["short"].sent, apart["short"].p99(), apart["short"].good)
+	shared := run(&fairQueue{q: queue.Queue{Shared: true}}, up, requests, byOwner)
+	separate := run(&fairQueue{}, up, requests, byOwner)
+	t.Logf("short p99 %v, good %d of %d; separate lanes %v, good %d", shared["short"].p99(), shared["short"].good,
+		shared["short"].sent, separate["short"].p99(), separate["short"].good)
 	assert.Assert(t, shared["short"].good == shared["short"].sent)
-	assert.Assert(t, shared["short"].p99()*10 < apart["short"].p99()*8)
+	assert.Assert(t, shared["short"].p99()*10 < separate["short"].p99()*8)
 }
--- a/core/queue/load_test.go
+++ b/core/queue/load_test.go
@@ -41,7 +41,7 @@
 }
 
 // At three times the capacity of the engine, callers of a FIFO queue wait until
-// after their deadlines because the engine works on answers nobody waits for.
+// after their deadlines because the engine works on answers that nobody waits for any more.
 // The cause is that nothing is refused before its deadline has passed.
 func TestSaturation(t *testing.T) {
 	span := 2 * time.Minute
@@ -54,11 +54,11 @@
 		t.Logf("3x %s: sent %d, good %d late %d refused %d p99 %v; FIFO good %d late %d p99 %v",
 			c, fair.sent, fair.good, fair.late, fair.refused, fair.p99(), fifo.good, fifo.late, fifo.p99())
 	}
-	flat := func(once, thrice map[string]*result) bool {
+	holds := func(once, thrice map[string]*result) bool {
 		return float64(goodput(thrice)) >= 0.95*float64(goodput(once))
 	}
-	assert.Assert(t, flat(once, thrice), "goodput falls under overload")
-	assert.Assert(t, !flat(fifoOnce, fifoThrice), "the FIFO queue passes: the simulation proves nothing")
+	assert.Assert(t, holds(once, thrice), "goodput falls under overload")
+	assert.Assert(t, !holds(fifoOnce, fifoThrice), "the FIFO queue passes: the simulation proves nothing")
 	assert.Assert(t, thrice["interactive"].p99() <= 3*time.Second)
 	assert.Assert(t, fifoThrice["interactive"].p99() > 3*time.Second)
 }
@@ -66,34 +66,34 @@
 // Interactive and evening work alone exceed the engine. The overnight backlog
 // must still make progress, or accepted requests would never finish.
 func TestNoClassStarves(t *testing.T) {
-	in := generate(2, 2*time.Minute,
+	requests := generate(2, 2*time.Minute,
 		workload{"daftar", "a", core.Interactive, 30, 1, 4 * time.Second},
 		workload{"daftar", "b", core.Evening, 30, 1, 20 * time.Second},
 		workload{"fasade", "c", core.Overnight, 5, 1, time.Hour})
-	served := run(&fairQueue{}, eightSlots, in, byClass)
+	served := run(&fairQueue{}, eightSlots, requests, byClass)
 	for class, least := range map[string]float64{"interactive": 0.85, "evening": 0.09, "overnight": 0.012} {
-		part := servedShare(&fairQueue{}, in, 2*time.Minute, class)
-		t.Logf("%s: %.1f%% of the work in the time of saturation", class, 100*part)
-		assert.Assert(t, part >= least, "%s got %.3f", class, part)
+		share := servedShare(&fairQueue{}, requests, 2*time.Minute, class)
+		t.Logf("%s: %.1f%% of the work in the time of saturation", class, 100*share)
+		assert.Assert(t, share >= least, "%s got %.3f", class, share)
 		assert.Assert(t, served[class].good > 0)
 	}
 }
 
 // servedShare returns the share of a class in the items that started before the
 // end of the arrivals.
-func servedShare(l waitQueue, in []simRequest, span time.Duration, class string) float64 {
-	var mine, all int
-	counting := &countingQueue{waitQueue: l, onPop: func(now time.Time, i queue.Item) {
+func servedShare(q waitQueue, requests []simRequest, span time.Duration, class string) float64 {
+	var ofClass, all int
+	counting := &countingQueue{waitQueue: q, onPop: func(now time.Time, i queue.Item) {
 		if now.Sub(t0) > span {
 			return
 		}
 		all++
 		if i.Class.String() == class {
-			mine++
+			ofClass++
 		}
 	}}
-	run(counting, eightSlots, in, byClass)
-	return float64(mine) / float64(all)
+	run(counting, eightSlots, requests, byClass)
+	return float64(ofClass) / float64(all)
 }
 
 type countingQueue struct {
@@ -118,7 +118,7 @@
 		loads = append(loads, workload{o, "k", core.Evening, float64(20 * (i + 1)), int64(1 + i), 5 * time.Second})
 	}
 	fair, fifo := runBoth(eightSlots, generate(9, time.Minute, loads...), byOwner)
-	parts := func(results map[string]*result) (least, most float64) {
+	shares := func(results map[string]*result) (least, most float64) {
 		var all, low, high int64
 		for _, o := range []string{"a", "b", "c", "d", "e"} {
 			c := results[o].cost + 1
@@ -130,9 +130,9 @@
 		}
 		return float64(low) / float64(all), float64(high) / float64(all)
 	}
-	least, most := parts(fair)
-	fifoLeast, fifoMost := parts(fifo)
-	t.Logf("parts %.3f to %.3f; FIFO %.3f to %.3f", least, most, fifoLeast, fifoMost)
+	least, most := shares(fair)
+	fifoLeast, fifoMost := shares(fifo)
+	t.Logf("shares %.3f to %.3f; FIFO %.3f to %.3f", least, most, fifoLeast, fifoMost)
 	assert.Assert(t, least > 0.18 && most < 0.22)
 	assert.Assert(t, fifoMost > 0.3)
 }
@@ -157,10 +157,10 @@
 // One caller of an owner sends over ten times as many requests as another. The
 // backlog must not delay the other caller of the same owner.
 func TestCallersInsideOwner(t *testing.T) {
-	kind := func(i queue.Item) string { return string(i.Caller) }
+	byCaller := func(i queue.Item) string { return string(i.Caller) }
 	fair, fifo := runBoth(eightSlots, generate(4, time.Minute,
 		workload{"daftar", "script", core.Interactive, 50, 1, 3 * time.Second},
-		workload{"daftar", "person", core.Interactive, 4, 1, 3 * time.Second}), kind)
+		workload{"daftar", "person", core.Interactive, 4, 1, 3 * time.Second}), byCaller)
 	assert.Assert(t, fair["person"].good*100 >= fair["person"].sent*98, "%+v", fair["person"])
 	assert.Assert(t, fifo["person"].good*100 < fifo["person"].sent*50)
 }
@@ -169,10 +169,10 @@
 // the slots, and short requests wait for a whole long one.
 func TestLongAmongShort(t *testing.T) {
 	up := upstreamModel{slots: 8, serviceTime: steady(50 * time.Millisecond)}
-	in := generate(5, 2*time.Minute,
+	requests := generate(5, 2*time.Minute,
 		workload{"short", "site", core.Interactive, 60, 1, 3 * time.Second},
 		workload{"long", "office", core.Interactive, 4, 50, 30 * time.Second})
-	fair, fifo := runBoth(up, in, byOwner)
+	fair, fifo := runBoth(up, requests, byOwner)
 	t.Logf("short p99 %v (good %d of %d), FIFO %v (good %d)", fair["short"].p99(), fair["short"].good,
 		fair["short"].sent, fifo["short"].p99(), fifo["short"].good)
 	t.Logf("long p99 %v, good %d of %d", fair["long"].p99(), fair["long"].good, fair["long"].sent)
@@ -209,8 +209,8 @@
 		}
 		return 400 * time.Millisecond
 	}}
-	in := generate(8, 2*time.Minute, workload{"daftar", "a", core.Interactive, 15, 1, 3 * time.Second})
-	kind := func(i queue.Item) string {
+	requests := generate(8, 2*time.Minute, workload{"daftar", "a", core.Interactive, 15, 1, 3 * time.Second})
+	phase := func(i queue.Item) string {
 		switch s := i.Deadline.Add(-3 * time.Second).Sub(t0); {
 		case s < 30*time.Second:
 			return "before"
@@ -220,7 +220,7 @@
 			return "after"
 		}
 	}
-	fair, fifo := runBoth(up, in, kind)
+	fair, fifo := runBoth(up, requests, phase)
 	for _, k := range []string{"before", "slow", "after"} {
 		t.Logf("%s: good %d late %d of %d; FIFO good %d", k, fair[k].good, fair[k].late, fair[k].sent, fifo[k].good)
 	}
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -77,8 +77,8 @@
 			mustPush(t, q, t0, blocked)
 			mustPush(t, q, t0, item(fmt.Sprint("y", i), core.Evening, "y", time.Hour))
 		}
-		warm := func(lane string) int { return len(lane) % 2 }
-		assert.Equal(t, popOwner(t, q, 10, warm, "y"), 10)
+		warmOnly := func(lane string) int { return len(lane) % 2 }
+		assert.Equal(t, popOwner(t, q, 10, warmOnly, "y"), 10)
 		half := popOwner(t, q, 10, always, "y")
 		assert.Assert(t, half >= 4 && half <= 6, "half to within one item, got %d of 10", half)
 	})
@@ -113,7 +113,7 @@
 		mustPush(t, q, now, item(fmt.Sprint("b", i), core.Interactive, "a", time.Hour))
 	}
 	push := func(at time.Time) *core.Refusal {
-		i := item("ask", core.Interactive, "a", 0)
+		i := item("retry", core.Interactive, "a", 0)
 		i.Deadline = at.Add(10 * time.Second)
 		return q.Push(at, i).Refusal
 	}
@@ -122,12 +122,12 @@
 	running := ""
 	for now.Before(ref.RetryAt) {
 		i, ok := q.Pop(now, func(string) int { return 1 })
-		assert.Assert(t, ok, "the queue is empty before the time named")
+		assert.Assert(t, ok, "the queue is empty before RetryAt")
 		running = string(i.ID)
 		now = now.Add(time.Second)
 		q.Finish(now, core.RequestID(running), queue.Served)
 	}
-	assert.Assert(t, push(now) == nil, "refused again at the time named")
+	assert.Assert(t, push(now) == nil, "refused again at RetryAt")
 }
 
 func TestExpiry(t *testing.T) {
@@ -136,12 +136,12 @@
 		mustPush(t, q, t0, item("a", core.Evening, "a", time.Second))
 		assert.Assert(t, q.Next().Equal(t0.Add(time.Second)))
 		assert.Equal(t, len(q.Expire(t0.Add(999*time.Millisecond))), 0)
-		out := q.Expire(q.Next())
-		assert.Equal(t, len(out), 1)
-		wantRefusal(t, out[0].Refusal, core.CodeDeadline)
+		expired := q.Expire(q.Next())
+		assert.Equal(t, len(expired), 1)
+		wantRefusal(t, expired[0].Refusal, core.CodeDeadline)
 		assert.Assert(t, q.Next().IsZero())
 	})
-	t.Run("removed items are answered elsewhere", func(t *testing.T) {
+	t.Run("removed items do not expire", func(t *testing.T) {
 		q := &queue.Queue{}
 		mustPush(t, q, t0, item("a", core.Evening, "a", time.Second))
 		_, ok := q.Remove("a")
@@ -158,7 +158,7 @@
 		now := t0.Add(100 * time.Second)
 		q.Finish(now, "a", queue.Served)
 		_, ok := q.Pop(now, always)
-		assert.Assert(t, !ok, "it takes 100 s and has 20")
+		assert.Assert(t, !ok, "the request takes 100 s and has 20 s left")
 		wantRefusal(t, q.Expire(now)[0].Refusal, core.CodeWaitTooLong)
 	})
 	t.Run("passed on arrival", func(t *testing.T) {
@@ -210,10 +210,10 @@
 		q := &queue.Queue{Items: 2}
 		mustPush(t, q, t0, item("o", core.Overnight, "a", time.Hour))
 		mustPush(t, q, t0, item("e", core.Evening, "a", time.Hour))
-		gone := mustPush(t, q, t0, item("i", core.Interactive, "a", time.Hour))
-		assert.Equal(t, len(gone), 1)
-		assert.Equal(t, string(gone[0].Item.ID), "o")
-		wantRefusal(t, gone[0].Refusal, core.CodeOverload)
+		displaced := mustPush(t, q, t0, item("i", core.Interactive, "a", time.Hour))
+		assert.Equal(t, len(displaced), 1)
+		assert.Equal(t, string(displaced[0].Item.ID), "o")
+		wantRefusal(t, displaced[0].Refusal, core.CodeOverload)
 		wantRefusal(t, q.Push(t0, item("o2", core.Overnight, "b", time.Hour)).Refusal, core.CodeOverload)
 	})
 	t.Run("an owner who fills the queue makes room for another", func(t *testing.T) {
@@ -260,17 +260,18 @@
 	running []core.RequestID
 }
 
-func (l *tracker) answered(i queue.Item) {
+// remove records that a request has left the queue.
+func (l *tracker) remove(i queue.Item) {
 	l.t.Helper()
 	_, ok := l.waiting[i.ID]
-	assert.Assert(l.t, ok, "%s is answered twice", i.ID)
+	assert.Assert(l.t, ok, "%s leaves the queue twice", i.ID)
 	delete(l.waiting, i.ID)
 }
 
 func (l *tracker) refused(list []queue.Refused) {
 	l.t.Helper()
 	for _, r := range list {
-		l.answered(r.Item)
+		l.remove(r.Item)
 		assert.Equal(l.t, r.Refusal.Outcome, core.NotRun)
 	}
 }
@@ -321,12 +322,12 @@
 }
 
 func (l *tracker) pop(q *queue.Queue, now time.Time, rng *rand.Rand) {
-	open := rng.IntN(4)
-	i, ok := q.Pop(now, func(lane string) int { return 2 * int((lane[4]-'0')&1) * open })
+	free := rng.IntN(4)
+	i, ok := q.Pop(now, func(lane string) int { return 2 * int((lane[4]-'0')&1) * free })
 	l.refused(q.Expire(now))
 	if ok {
 		assert.Assert(l.t, now.Before(i.Deadline), "%s starts after its deadline", i.ID)
-		l.answered(i)
+		l.remove(i)
 		l.running = append(l.running, i.ID)
 	}
 }
@@ -340,7 +341,7 @@
 	if len(l.waiting) > 0 {
 		i, ok := q.Remove(slices.Min(slices.Collect(maps.Keys(l.waiting))))
 		assert.Assert(l.t, ok)
-		l.answered(i)
+		l.remove(i)
 	}
 }
 
--- a/core/queue/sim_test.go
+++ b/core/queue/sim_test.go
@@ -14,15 +14,15 @@
 // t0 is the start of all simulations.
 var t0 = time.Date(2030, 1, 1, 20, 0, 0, 0, time.UTC)
 
-// waitQueue is a queue under test: Queue or the FIFO queue that it is compared
-// with.
+// waitQueue is a queue of waiting requests: Queue, or the FIFO queue that it is
+// compared with.
 type waitQueue interface {
 	push(now time.Time, i queue.Item) (refused []queue.Item)
 	pop(now time.Time) (queue.Item, bool)
 	finish(now time.Time, id core.RequestID)
 	expire(now time.Time) []queue.Item
 	next() time.Time
-	// setFree passes a function that returns the number of free slots of the
+	// setFree sets the function that returns the number of free slots of the
 	// upstream.
 	setFree(free func() int)
 }
@@ -139,20 +139,20 @@
 	// before the last request arrived.
 	cost   int64
 	inSpan int
-	// waits are the times from arrival to the end of the answer, of good and
+	// latencies are the times from arrival to the end of the answer, of good and
 	// late requests.
-	waits []time.Duration
+	latencies []time.Duration
 	// slowestRefusal is the longest time from arrival to refusal, as a fraction
 	// of the request's patience.
 	slowestRefusal float64
 }
 
 func (r *result) p99() time.Duration {
-	if len(r.waits) == 0 {
+	if len(r.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(r.waits)
-	return r.waits[len(r.waits)*99/100]
+	slices.Sort(r.latencies)
+	return r.latencies[len(r.latencies)*99/100]
 }
 
 type completion struct {
@@ -208,7 +208,7 @@
 	return p.results
 }
 
-func (p *simulation) nextEvent(in []simRequest) time.Time {
+func (p *simulation) nextEvent(requests []simRequest) time.Time {
 	var now time.Time
 	earlier := func(t time.Time) {
 		if !t.IsZero() && (now.IsZero() || t.Before(now)) {
@@ -216,8 +216,8 @@
 		}
 	}
 	earlier(p.queue.next())
-	if len(in) > 0 {
-		earlier(in[0].at)
+	if len(requests) > 0 {
+		earlier(requests[0].at)
 	}
 	if len(p.running) > 0 {
 		earlier(p.running[0].at)
@@ -262,7 +262,7 @@
 func (p *simulation) finish(now time.Time, i queue.Item) {
 	p.queue.finish(now, i.ID)
 	r := p.resultFor(i)
-	r.waits = append(r.waits, now.Sub(p.arrived[i.ID]))
+	r.latencies = append(r.latencies, now.Sub(p.arrived[i.ID]))
 	if now.After(i.Deadline) {
 		r.late++
 		return
