--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -40,7 +40,7 @@
 
 func TestRate(t *testing.T) {
 	b := admit.Bounds{Owner: core.Limits{Rate: 2, Burst: 3}}
-	t.Run("burst, then the time named", func(t *testing.T) {
+	t.Run("a burst, then one at the time in the refusal", func(t *testing.T) {
 		a := &admit.Limiter{}
 		wantAdmitted(t, a, t0, b, "1", "2", "3")
 		ref := wantRefusal(t, a.Offer(t0, request("4", "daftar", "k"), b), core.CodeRateLimit)
@@ -48,7 +48,7 @@
 		wantRefusal(t, a.Offer(early, request("4", "daftar", "k"), b), core.CodeRateLimit)
 		wantAdmitted(t, a, ref.RetryAt, b, "4")
 	})
-	t.Run("refused requests take nothing", func(t *testing.T) {
+	t.Run("refused requests use up nothing", func(t *testing.T) {
 		a := &admit.Limiter{}
 		wantAdmitted(t, a, t0, b, "1", "2", "3")
 		for range 100 {
@@ -56,13 +56,13 @@
 		}
 		wantAdmitted(t, a, t0.Add(501*time.Millisecond), b, "4")
 	})
-	t.Run("an edit gives no fresh burst", func(t *testing.T) {
+	t.Run("a changed limit gives no new burst", func(t *testing.T) {
 		a := &admit.Limiter{}
 		wantAdmitted(t, a, t0, b, "1", "2", "3")
 		b := admit.Bounds{Owner: core.Limits{Rate: 2, Burst: 4}}
 		wantRefusal(t, a.Offer(t0, request("4", "daftar", "k"), b), core.CodeRateLimit)
 	})
-	t.Run("coming and going gives no fresh burst", func(t *testing.T) {
+	t.Run("finished requests give no new burst", func(t *testing.T) {
 		a := &admit.Limiter{}
 		for i := range 3 {
 			id := fmt.Sprint(i)
@@ -71,7 +71,7 @@
 		}
 		wantRefusal(t, a.Offer(t0, request("4", "daftar", "k"), b), core.CodeRateLimit)
 	})
-	t.Run("the limit that lasts longest is named", func(t *testing.T) {
+	t.Run("the refusal gives the time of the limit that lasts longest", func(t *testing.T) {
 		a := &admit.Limiter{}
 		b := admit.Bounds{Owner: core.Limits{Rate: 100, Burst: 1}, Caller: core.Limits{Rate: 0.1, Burst: 1}}
 		wantAdmitted(t, a, t0, b, "1")
@@ -109,7 +109,7 @@
 		wantAdmitted(t, a, t0, b, "1", "2")
 		assert.Assert(t, a.CanStart("1") && a.Start(t0, "1"))
 		assert.Assert(t, !a.CanStart("2"))
-		assert.Assert(t, !a.Start(t0, "1"), "started twice")
+		assert.Assert(t, !a.Start(t0, "1"), "a request was started twice")
 		assert.Assert(t, a.Done(t0, "1") && !a.Done(t0, "1"))
 		assert.Assert(t, a.CanStart("2"))
 	})
@@ -120,7 +120,7 @@
 		assert.Assert(t, a.Offer(t0, request("2", "fasade", "k"), b) == nil)
 		assert.Assert(t, a.CanStart("2"))
 	})
-	t.Run("names the widest limit in the way", func(t *testing.T) {
+	t.Run("reports the widest limit that blocks a start", func(t *testing.T) {
 		a := &admit.Limiter{}
 		b := admit.Bounds{Caller: core.Limits{Concurrency: 1}, Target: core.Limits{Concurrency: 2}}
 		wantAdmitted(t, a, t0, b, "1", "2")
@@ -186,7 +186,7 @@
 
 // Names that are no longer in use must not stay in memory. Otherwise a scan
 // over many callers would grow an entry without bound.
-func TestUnusedNamesAreForgotten(t *testing.T) {
+func TestUnusedNamesAreRemoved(t *testing.T) {
 	a := &admit.Limiter{}
 	b := admit.Bounds{Caller: core.Limits{Rate: 1, Burst: 2}}
 	now := t0
@@ -199,8 +199,8 @@
 	assert.Assert(t, admit.Records(a) < 500, "%d records", admit.Records(a))
 }
 
-// For any order of calls the counts equal those of a plain recount, and nothing
-// is left at the end.
+// For any order of calls the counts equal those of a plain recount, and no request
+// is counted at the end.
 func TestCounts(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 2))
--- a/core/admit/keeper_test.go
+++ b/core/admit/keeper_test.go
@@ -50,10 +50,10 @@
 	keeper      *admit.Keeper
 	chooser     admit.Chooser
 	keeperIndex int
-	renew       time.Time
-	// frozenUntil and deadUntil are the ends of the last freeze and of the last
-	// downtime.
-	frozenUntil, deadUntil time.Time
+	nextRenewal time.Time
+	// frozenUntil and downUntil are the ends of the last freeze and of the last
+	// downtime. An entry that freezes keeps its state, one that goes down does not.
+	frozenUntil, downUntil time.Time
 }
 
 func newFleet(n int, limit admit.Allowance) *fleet {
@@ -69,11 +69,11 @@
 // restart replaces an entry with a new one that starts at the given time.
 func (f *fleet) restart(i int, at time.Time) {
 	m := f.entries[i]
-	*m = simEntry{name: m.name, keeperIndex: i, deadUntil: at, keeper: &admit.Keeper{Tolerance: tolerance, Since: at, Seed: uint64(i)}}
+	*m = simEntry{name: m.name, keeperIndex: i, downUntil: at, keeper: &admit.Keeper{Tolerance: tolerance, Since: at, Seed: uint64(i)}}
 }
 
 func (f *fleet) runs(i int) bool {
-	return !f.now.Before(f.entries[i].frozenUntil) && !f.now.Before(f.entries[i].deadUntil)
+	return !f.now.Before(f.entries[i].frozenUntil) && !f.now.Before(f.entries[i].downUntil)
 }
 
 func (f *fleet) reaches(i, j int) bool {
@@ -87,10 +87,10 @@
 		return
 	}
 	for i, m := range f.entries {
-		if !f.runs(i) || f.now.Before(m.renew) {
+		if !f.runs(i) || f.now.Before(m.nextRenewal) {
 			continue
 		}
-		m.renew = f.now.Add(renewInterval)
+		m.nextRenewal = f.now.Add(renewInterval)
 		j, _ := slices.BinarySearch(f.names, m.chooser.Choose(f.now, f.names[:i+1]))
 		if old := m.keeperIndex; old != j && old != i && f.reaches(i, old) && (j == i || f.reaches(i, j)) {
 			f.entries[old].keeper.EndLease(m.name)
@@ -105,7 +105,7 @@
 			m.keeperIndex = j
 		default:
 			m.chooser.RecordFailure(f.now, f.entries[j].name)
-			m.renew = f.now // The next entry is tried at once.
+			m.nextRenewal = f.now // The next entry is tried at once.
 		}
 	}
 }
@@ -168,22 +168,22 @@
 
 // This test guards against a customer whose share at one entry is used up while
 // its other shares are unused.
-func TestPressedAllowanceIsServed(t *testing.T) {
+func TestOverloadUsesWholeAllowance(t *testing.T) {
 	for _, n := range sizes {
-		for name, one := range map[string]bool{"evenly": false, "through one entry": true} {
+		for name, oneEntry := range map[string]bool{"evenly": false, "through one entry": true} {
 			t.Run(fmt.Sprint(n, " ", name), func(t *testing.T) {
 				r, f := newRand(1), newFleet(n, allowanceOf(60_000))
 				f.simulate(r, 3*time.Second, 0, nil)
 				before := f.admitted
 				const span = 30 * time.Second
 				f.simulate(r, span, 9*f.limit.Rate/1.8, func() int {
-					if one {
+					if oneEntry {
 						return n / 2
 					}
 					return r.IntN(n)
 				})
-				part := (f.admitted - before) / ((f.limit.Rate + f.limit.Burst/tolerance.Window.Seconds()) * span.Seconds())
-				assert.Assert(t, part >= 0.97, part)
+				share := (f.admitted - before) / ((f.limit.Rate + f.limit.Burst/tolerance.Window.Seconds()) * span.Seconds())
+				assert.Assert(t, share >= 0.97, share)
 				assert.Assert(t, f.worstWindow() < 0.97, f.worstWindow())
 			})
 		}
@@ -191,7 +191,7 @@
 }
 
 // This test guards against refusals of a customer that is within its allowance
-// but whose requests arrive unevenly.
+// but whose requests arrive at random.
 func TestUsualLoadIsAdmitted(t *testing.T) {
 	for _, n := range sizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -229,26 +229,26 @@
 // injectFault applies one or two random faults to some entries.
 func (f *fleet) injectFault(r *rand.Rand) {
 	n := len(f.entries)
-	some := func(hit func(i int)) {
+	forSome := func(apply func(i int)) {
 		for range 1 + r.IntN(n/3) {
-			hit(r.IntN(n))
+			apply(r.IntN(n))
 		}
 	}
 	for range 1 + r.IntN(2) {
-		down := f.now.Add(time.Duration(300+r.IntN(3000)) * time.Millisecond)
+		until := f.now.Add(time.Duration(300+r.IntN(3000)) * time.Millisecond)
 		switch r.IntN(7) {
 		case 0:
-			some(func(i int) { f.entries[i].frozenUntil = down })
+			forSome(func(i int) { f.entries[i].frozenUntil = until })
 		case 1:
-			some(func(i int) { f.isolated[i] = true })
+			forSome(func(i int) { f.isolated[i] = true })
 		case 2:
 			clear(f.isolated)
 		case 3:
-			some(func(i int) { f.restart(i, down) })
+			forSome(func(i int) { f.restart(i, until) })
 		case 4:
-			f.entries[0].frozenUntil = down
+			f.entries[0].frozenUntil = until
 		case 5:
-			f.restart(0, down)
+			f.restart(0, until)
 		case 6:
 			for i := range n {
 				f.restart(i, f.now.Add(time.Second))
--- a/core/claims/faults_test.go
+++ b/core/claims/faults_test.go
@@ -16,8 +16,8 @@
 	// faults is a list of "step: fault". Each fault is injected once, at the first
 	// step of its kind.
 	faults string
-	// second is when the caller repeats the request.
-	second time.Duration
+	// repeatAfter is the time from the first request to the second.
+	repeatAfter time.Duration
 	// first and again are the outcomes that the two requests receive.
 	first, again string
 	runs         int
@@ -57,11 +57,11 @@
 
 func TestFaultTable(t *testing.T) {
 	for _, row := range faultTable {
-		t.Run(row.faults+" again after "+row.second.String(), func(t *testing.T) {
-			w := newWorld(3, 2, 2)
+		t.Run(row.faults+" again after "+row.repeatAfter.String(), func(t *testing.T) {
+			w := newSimulation(3, 2, 2)
 			w.fault = injectOnce(row.faults)
 			first := w.send("first", "key0", 7, 0, 10*time.Second)
-			w.runUntil(start.Add(row.second))
+			w.runUntil(start.Add(row.repeatAfter))
 			again := w.send("again", "key0", 7, 1, 10*time.Second)
 			w.runUntil(start.Add(30 * time.Second))
 			w.check()
@@ -75,14 +75,14 @@
 
 // injectOnce injects each of the faults at the first step of its kind.
 func injectOnce(faults string) func(string) string {
-	todo := make(map[string]string)
+	pending := make(map[string]string)
 	for _, f := range strings.Split(faults, ", ") {
 		step, fault, _ := strings.Cut(f, ": ")
-		todo[step] = fault
+		pending[step] = fault
 	}
 	return func(step string) string {
-		f := todo[step]
-		delete(todo, step)
+		f := pending[step]
+		delete(pending, step)
 		return f
 	}
 }
@@ -95,11 +95,11 @@
 }
 
 // TestPlatformDown repeats a keyed request while the platform is down. An entry
-// that knows the claim must relay the kept answer. An entry that doesn't, and a
+// that knows the claim must relay the stored answer. An entry that doesn't, and a
 // request with a new key, must be refused before anything runs, with a time to
 // retry.
 func TestPlatformDown(t *testing.T) {
-	w := newWorld(1, 2, 2)
+	w := newSimulation(1, 2, 2)
 	w.fault = injectOnce("")
 	w.send("before", "key0", 7, 0, 5*time.Second)
 	w.runUntil(start.Add(5 * time.Second))
--- a/core/claims/journal_test.go
+++ b/core/claims/journal_test.go
@@ -11,7 +11,7 @@
 	"radishwell/core/dedupe"
 )
 
-// direct connects a single journal to a platform that answers at once.
+// direct connects a single journal to a platform that responds at once.
 type direct struct {
 	j       *Journal
 	objects map[string]core.Object
@@ -25,7 +25,7 @@
 	return &direct{j: j, objects: make(map[string]core.Object), answers: make(map[uint64]Answer)}
 }
 
-func (d *direct) ask(now time.Time, c Claim) uint64 {
+func (d *direct) submit(now time.Time, c Claim) uint64 {
 	d.token++
 	d.execute(now, d.j.Submit(now, Submission{Token: d.token, Claim: c, GiveUp: now.Add(2 * time.Second)}))
 	return d.token
@@ -74,15 +74,15 @@
 		now = now.Add(time.Second)
 		c := claimOf(1, attempt, claimant, start)
 		c.Fingerprint = body
-		a := d.answers[d.ask(now, c)]
+		a := d.answers[d.submit(now, c)]
 		assert.Equal(t, a.Result, want)
 		assert.Equal(t, a.Holder.Claimant, holder)
 	}
 	step(1, 10, 7, Won, 10)
 	step(1, 11, 7, Held, 10)
-	step(1, 10, 7, Won, 10) // the claimant missed the answer and asks again
+	step(1, 10, 7, Won, 10) // the claimant missed the answer and submits the claim again
 	step(3, 11, 7, Held, 10)
-	step(2, 11, 8, Held, 10) // another body doesn't continue a key
+	step(2, 11, 8, Held, 10) // a request with another body gets no attempt of the key
 	step(2, 11, 7, Won, 11)
 	step(2, 12, 7, Held, 11)
 }
@@ -101,10 +101,10 @@
 		}
 		b.version = max(a.version, b.version)
 		a.version = b.version
-		won := first.answers[first.ask(now, claimOf(key%4, uint64(1+key/4), 1, start))]
+		won := first.answers[first.submit(now, claimOf(key%4, uint64(1+key/4), 1, start))]
 		b.version = max(a.version, b.version)
 		a.version = b.version
-		second.ask(now, claimOf(key%4, uint64(1+key/4), 2, start))
+		second.submit(now, claimOf(key%4, uint64(1+key/4), 2, start))
 		second.tick(now.Add(GroupInterval))
 		lost := second.answers[second.token]
 		assert.Equal(t, won.Result, Won)
@@ -123,13 +123,13 @@
 	key := 0
 	for ; last.Result != Unsure; key++ {
 		now = now.Add(100 * time.Millisecond)
-		last = d.answers[d.ask(now, claimOf(key, 1, 1, start))]
+		last = d.answers[d.submit(now, claimOf(key, 1, 1, start))]
 		assert.Assert(t, key < 200)
 	}
 	assert.Equal(t, last.RetryAt, claimOf(0, 1, 1, start).Expires)
 	assert.Equal(t, d.j.Keys(), key-1)
 	now = last.RetryAt
-	a := d.answers[d.ask(now, claimOf(0, 1, 9, now))]
+	a := d.answers[d.submit(now, claimOf(0, 1, 9, now))]
 	assert.Equal(t, a.Result, Won)
 	assert.Equal(t, a.Holder.Claimant, uint64(9))
 	assert.Equal(t, d.j.Keys(), 1) // expired claims are removed
@@ -145,7 +145,7 @@
 		now = now.Add(100 * time.Millisecond)
 		c := claimOf(key, 1, 1, now)
 		c.Expires = ExpiryOf(now, 2*time.Second)
-		assert.Equal(t, d.answers[d.ask(now, c)].Result, Won)
+		assert.Equal(t, d.answers[d.submit(now, c)].Result, Won)
 	}
 	next := newDirect(small())
 	next.j.Slots = 8
@@ -166,12 +166,12 @@
 	now := start
 	for key := range 25 {
 		now = now.Add(100 * time.Millisecond)
-		d.ask(now, claimOf(key, 1, 1, start))
+		d.submit(now, claimOf(key, 1, 1, start))
 	}
 	delete(d.objects, SlotName(0, 2))
 	next := newDirect(small())
 	next.objects, next.version = d.objects, d.version
-	token := next.ask(now, claimOf(99, 1, 1, start))
+	token := next.submit(now, claimOf(99, 1, 1, start))
 	for range 40 {
 		now = now.Add(100 * time.Millisecond)
 		next.tick(now)
@@ -184,29 +184,29 @@
 // slot.
 func TestOtherRingSizeGrantsNothing(t *testing.T) {
 	d := newDirect(small())
-	d.ask(start, claimOf(1, 1, 1, start))
+	d.submit(start, claimOf(1, 1, 1, start))
 	other := newDirect(small())
 	other.j.Slots = 5
 	other.objects, other.version = d.objects, d.version
-	token := other.ask(start, claimOf(2, 1, 1, start))
+	token := other.submit(start, claimOf(2, 1, 1, start))
 	other.tick(start.Add(2 * time.Second))
 	assert.Equal(t, other.answers[token].Result, Unsure)
 	assert.Equal(t, len(other.objects), 1)
 }
 
-func TestRankMovesOnlyTheLeaversJournals(t *testing.T) {
+func TestRankMovesOnlyJournalsOfRemovedEntry(t *testing.T) {
 	all := []core.HostName{"entry-a", "entry-b", "entry-c", "entry-d"}
-	led := make(map[core.HostName]int)
+	leading := make(map[core.HostName]int)
 	for j := range 200 {
 		ranked := Rank(j, all)
-		led[ranked[0]]++
+		leading[ranked[0]]++
 		rest := Rank(j, all[1:])
 		if ranked[0] != "entry-a" {
 			assert.Equal(t, rest[0], ranked[0])
 		}
 	}
 	for _, h := range all {
-		assert.Assert(t, led[h] > 25, "%s leads %d of 200", h, led[h])
+		assert.Assert(t, leading[h] > 25, "%s leads %d of 200", h, leading[h])
 	}
 }
 
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -11,13 +11,13 @@
 	"radishwell/core/eventq"
 )
 
-// world simulates entries, agents and the platform with a fake clock. Faults
+// simulation runs entries, agents and the platform in simulated time. Faults
 // between them are drawn from rng, or chosen by fault if that is set.
-type world struct {
-	rng    *rand.Rand
-	now    time.Time
-	queue  eventq.Queue[func()]
-	broken disabledGuards
+type simulation struct {
+	rng      *rand.Rand
+	now      time.Time
+	queue    eventq.Queue[func()]
+	disabled disabledGuards
 	// faultRate is the probability of a fault at each step.
 	faultRate float64
 	// fault returns the fault to inject at a step. If it is nil, faults are drawn
@@ -36,11 +36,12 @@
 }
 
 // logf adds a line to the schedule's log.
-func (w *world) logf(format string, args ...any) {
+func (w *simulation) logf(format string, args ...any) {
 	w.log = append(w.log, w.now.Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// disabledGuards switches off guards, to show that the checks detect it.
+// disabledGuards lists guards to switch off, to show that the checks detect their
+// absence.
 type disabledGuards struct {
 	noClaims, noSeal, noIncarnation, noVersions, trustUnsure, forgetsRefused, earlyExpiry bool
 }
@@ -82,11 +83,11 @@
 	entry         *entryNode
 	call          *Call
 	steps         int
-	over          bool
-	lost          bool // the entry died
+	finished      bool
+	lost          bool // the entry crashed
 	refusal       *core.Refusal
 	answer        string
-	runsAtRefusal int // runs of the key when the agent or entry made the refusal
+	runsAtRefusal int // runs of the key when the refusal was made
 }
 
 type run struct {
@@ -98,8 +99,8 @@
 
 var start = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
 
-func newWorld(seed uint64, entries, agents int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), now: start, objects: make(map[string]core.Object)}
+func newSimulation(seed uint64, entries, agents int) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), now: start, objects: make(map[string]core.Object)}
 	for i := range entries {
 		e := &entryNode{id: i}
 		w.entries = append(w.entries, e)
@@ -113,22 +114,22 @@
 	return w
 }
 
-func (w *world) bootEntry(e *entryNode) {
+func (w *simulation) bootEntry(e *entryNode) {
 	e.epoch++
 	e.tick = time.Time{}
 	e.pending = make(map[uint64]func(Answer))
 	e.journal = &Journal{Slots: 6, SegmentBytes: 340, MaxWaiting: 100}
 	for _, s := range w.sends {
-		if s.entry == e && !s.over {
-			s.over, s.lost = true, true
+		if s.entry == e && !s.finished {
+			s.finished, s.lost = true, true
 		}
 	}
 }
 
-func (w *world) bootAgent(a *agentNode) {
+func (w *simulation) bootAgent(a *agentNode) {
 	a.epoch++
 	inc := core.Incarnation(a.epoch)
-	if w.broken.noIncarnation {
+	if w.disabled.noIncarnation {
 		inc = 1
 	}
 	a.table = &dedupe.Table{Incarnation: inc, MaxBytes: 200, MaxRecords: 100}
@@ -138,13 +139,13 @@
 	a.readers = nil
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.queue.Push(w.now.Add(d), do)
 }
 
 // at calls do at a node after d, or when the node's pause ends. It calls lost
 // instead if the node has restarted since.
-func (w *world) at(n *node, d time.Duration, do, lost func()) {
+func (w *simulation) at(n *node, d time.Duration, do, lost func()) {
 	epoch := n.epoch
 	w.after(d, func() {
 		switch {
@@ -160,7 +161,7 @@
 	})
 }
 
-func (w *world) latency() time.Duration {
+func (w *simulation) latency() time.Duration {
 	if w.fault == nil && w.rng.IntN(20) == 0 {
 		return time.Duration(w.rng.Int64N(int64(4 * time.Second)))
 	}
@@ -168,7 +169,7 @@
 }
 
 // pick returns the fault to inject at a step: one of faults, or "".
-func (w *world) pick(step string, faults ...string) string {
+func (w *simulation) pick(step string, faults ...string) string {
 	if w.fault != nil {
 		f := w.fault(step)
 		if slices.Contains(faults, f) {
@@ -182,7 +183,7 @@
 	return faults[w.rng.IntN(len(faults))]
 }
 
-func (w *world) runUntil(end time.Time) {
+func (w *simulation) runUntil(end time.Time) {
 	for next, ok := w.queue.NextTime(); ok && !next.After(end); next, ok = w.queue.NextTime() {
 		var do func()
 		w.now, do = w.queue.Pop()
@@ -192,7 +193,7 @@
 }
 
 // apply carries out the effects that a journal returned.
-func (w *world) apply(e *entryNode, out Effects) {
+func (w *simulation) apply(e *entryNode, out Effects) {
 	for _, name := range out.Reads {
 		w.platform(e, "read", name, nil, e.journal.ReadDone)
 	}
@@ -201,9 +202,9 @@
 	}
 	for _, a := range out.Answers {
 		// The entry may have been restarted because of a previous answer.
-		if answered := e.pending[a.Token]; answered != nil {
+		if done := e.pending[a.Token]; done != nil {
 			delete(e.pending, a.Token)
-			answered(a)
+			done(a)
 		}
 	}
 	if next := e.journal.NextTick(); !next.IsZero() && (e.tick.IsZero() || next.Before(e.tick)) {
@@ -216,11 +217,11 @@
 }
 
 // platform calls the platform for an entry's journal, with the faults of a step.
-func (w *world) platform(e *entryNode, step, name string, write *Write, done func(time.Time, Reply) Effects) {
+func (w *simulation) platform(e *entryNode, step, name string, write *Write, done func(time.Time, Reply) Effects) {
 	epoch := e.epoch
-	answer := func(d time.Duration, r Reply) {
+	respond := func(d time.Duration, r Reply) {
 		w.at(&e.node, d, func() {
-			if e.epoch == epoch { // a restarted entry doesn't get the answer
+			if e.epoch == epoch { // a restarted entry doesn't get the response
 				w.apply(e, done(w.now, r))
 			}
 		}, nil)
@@ -229,23 +230,23 @@
 	w.after(w.latency(), func() {
 		switch w.pick(step, "unavailable", "lost-before", "lost-after", "late") {
 		case "unavailable":
-			answer(w.latency(), Reply{Name: name, Fault: core.Unavailable})
+			respond(w.latency(), Reply{Name: name, Fault: core.Unavailable})
 		case "lost-before":
-			answer(time.Second, unknown)
+			respond(time.Second, unknown)
 		case "lost-after":
 			w.change(name, write)
-			answer(time.Second, unknown)
+			respond(time.Second, unknown)
 		case "late":
 			w.after(time.Duration(w.rng.Int64N(int64(3*time.Second))), func() { w.change(name, write) })
-			answer(time.Second, unknown)
+			respond(time.Second, unknown)
 		default:
-			answer(w.latency(), w.change(name, write))
+			respond(w.latency(), w.change(name, write))
 		}
 	})
 }
 
 // change reads an object, or writes it if the write's condition holds.
-func (w *world) change(name string, write *Write) Reply {
+func (w *simulation) change(name string, write *Write) Reply {
 	have, ok := w.objects[name]
 	switch {
 	case w.down:
@@ -254,9 +255,9 @@
 		return Reply{Name: name, Fault: core.NotFound}
 	case write == nil:
 		return Reply{Name: name, Object: have, OK: true}
-	case write.Create && ok && !w.broken.noVersions:
+	case write.Create && ok && !w.disabled.noVersions:
 		return Reply{Name: name, Fault: core.Exists}
-	case !write.Create && have.Version != write.Object.Version && !w.broken.noVersions:
+	case !write.Create && have.Version != write.Object.Version && !w.disabled.noVersions:
 		return Reply{Name: name, Fault: core.Conflict}
 	}
 	w.version++
@@ -267,14 +268,14 @@
 }
 
 // send makes a caller send a keyed request to an entry.
-func (w *world) send(name, key string, body core.Fingerprint, at int, patience time.Duration) *send {
+func (w *simulation) send(name, key string, body core.Fingerprint, at int, patience time.Duration) *send {
 	deadline := w.now.Add(patience)
 	s := &send{name: name, key: key, entry: w.entries[at]}
 	s.call = &Call{
 		ID: dedupe.KeyOf("owner", key), Fingerprint: body, Claimant: w.rng.Uint64(),
 		Deadline: deadline, Expires: ExpiryOf(deadline, 10*time.Minute),
 	}
-	if w.broken.earlyExpiry {
+	if w.disabled.earlyExpiry {
 		s.call.Expires = ExpiryOf(w.now, 0)
 	}
 	w.sends = append(w.sends, s)
@@ -283,7 +284,7 @@
 }
 
 // runsOf returns the runs of a key.
-func (w *world) runsOf(id dedupe.KeyID) []run {
+func (w *simulation) runsOf(id dedupe.KeyID) []run {
 	var out []run
 	for _, r := range w.runs {
 		if r.key == id {
--- a/core/claims/rate_test.go
+++ b/core/claims/rate_test.go
@@ -12,11 +12,11 @@
 	"radishwell/core/dedupe"
 )
 
-// load submits claims to journals at a constant rate for some seconds. It returns
+// submitAtRate submits claims to journals at a constant rate for some seconds. It returns
 // the writes and bytes per second at the platform and the longest wait of a claim.
-func load(journals int, interval time.Duration, segment core.Bytes, rate, seconds, agents int) (writes, bytes float64, maxWait time.Duration) {
+func submitAtRate(journals int, interval time.Duration, segment core.Bytes, rate, seconds, agents int) (writes, bytes float64, maxWait time.Duration) {
 	all := make([]*direct, journals)
-	asked := make(map[uint64]time.Time)
+	submitted := make(map[uint64]time.Time)
 	for i := range all {
 		all[i] = newDirect(&Journal{Number: i, Slots: 256, SegmentBytes: segment, MaxWaiting: 100_000, interval: interval})
 		all[i].token = uint64(i) << 32
@@ -28,8 +28,8 @@
 			c := claimOf(claim, 1, uint64(claim), now)
 			c.Host = core.HostName(fmt.Sprintf("upstream-%04d", claim%agents))
 			d := all[journalOf(c.ID, journals)]
-			asked[d.token+1] = now
-			d.ask(now, c)
+			submitted[d.token+1] = now
+			d.submit(now, c)
 		}
 		for i, d := range all {
 			if !now.Before(due[i]) {
@@ -37,7 +37,7 @@
 				due[i] = d.j.NextTick()
 			}
 			for token := range d.answers {
-				maxWait = max(maxWait, now.Sub(asked[token]))
+				maxWait = max(maxWait, now.Sub(submitted[token]))
 				delete(d.answers, token)
 			}
 		}
@@ -54,7 +54,7 @@
 // several hundred writes per second that the platform accepts.
 func TestWritesDontGrowWithClaims(t *testing.T) {
 	for _, rate := range []int{50, 500, 5400} {
-		writes, bytes, worst := load(4, GroupInterval, 128*core.KiB, rate, 2, 18)
+		writes, bytes, worst := submitAtRate(4, GroupInterval, 128*core.KiB, rate, 2, 18)
 		t.Logf("%d claims/s: %.0f writes/s, %.0f KiB/s, longest wait %v", rate, writes, bytes/1024, worst)
 		const perSegment = 1500 // lower bound of the claims in 128 KiB
 		assert.Assert(t, writes <= 4*float64(time.Second/GroupInterval)+float64(rate)/perSegment+1)
@@ -70,7 +70,7 @@
 					name := fmt.Sprintf("journals=%d/interval=%v/segment=%v/claims=%d", journals, interval, segment, rate)
 					b.Run(name, func(b *testing.B) {
 						for b.Loop() {
-							writes, bytes, worst := load(journals, interval, segment, rate, 20, 18)
+							writes, bytes, worst := submitAtRate(journals, interval, segment, rate, 20, 18)
 							b.ReportMetric(writes, "writes/s")
 							b.ReportMetric(bytes/1024, "KiB/s")
 							b.ReportMetric(float64(worst.Milliseconds()), "ms-wait")
@@ -90,7 +90,7 @@
 	for i := 0; b.Loop(); i++ {
 		c := claimOf(i, 1, 1, now)
 		c.Expires = ExpiryOf(now, time.Minute)
-		d.ask(now, c)
+		d.submit(now, c)
 		if i%25 == 0 {
 			now = now.Add(GroupInterval)
 			d.tick(now)
--- a/core/claims/schedule_test.go
+++ b/core/claims/schedule_test.go
@@ -33,11 +33,11 @@
 
 // runSchedule runs one random schedule: requests with two keys through three
 // entries to two agents, with faults at every step for 30 s and none afterwards.
-func runSchedule(seed uint64, broken disabledGuards) *world {
-	w := newWorld(seed, 3, 2)
-	w.broken = broken
+func runSchedule(seed uint64, disabled disabledGuards) *simulation {
+	w := newSimulation(seed, 3, 2)
+	w.disabled = disabled
 	w.faultRate = []float64{0, 0.05, 0.2}[w.rng.IntN(3)]
-	w.disturb(start.Add(30 * time.Second))
+	w.scheduleFaults(start.Add(30 * time.Second))
 	for i := range 3 + w.rng.IntN(5) {
 		at := time.Duration(w.rng.Int64N(int64(15 * time.Second)))
 		w.after(at, func() {
@@ -55,9 +55,9 @@
 	return w
 }
 
-// disturb schedules crashes, pauses and outages, and claims of other keys, which
+// scheduleFaults schedules crashes, pauses and outages, and claims of other keys, which
 // advance the ring of segments.
-func (w *world) disturb(end time.Time) {
+func (w *simulation) scheduleFaults(end time.Time) {
 	for i := range 24 {
 		at := time.Duration(w.rng.Int64N(int64(end.Sub(start))))
 		w.after(at, func() { w.claimFiller(i) })
@@ -73,7 +73,7 @@
 
 // injectFailure crashes or pauses a random entry or agent, or makes the platform
 // unavailable for a while.
-func (w *world) injectFailure() {
+func (w *simulation) injectFailure() {
 	e := w.entries[w.rng.IntN(len(w.entries))]
 	a := w.agents[w.rng.IntN(len(w.agents))]
 	pause := w.now.Add(time.Duration(w.rng.Int64N(int64(8 * time.Second))))
@@ -93,7 +93,7 @@
 }
 
 // claimFiller claims a key of its own that expires within two seconds.
-func (w *world) claimFiller(i int) {
+func (w *simulation) claimFiller(i int) {
 	e := w.entries[w.rng.IntN(len(w.entries))]
 	c := Claim{
 		ID: dedupe.KeyOf("other", fmt.Sprint(i)), Attempt: 1, Claimant: w.rng.Uint64(),
@@ -104,12 +104,12 @@
 	w.apply(e, e.journal.Submit(w.now, Submission{Token: token, Claim: c, GiveUp: w.now.Add(2 * time.Second)}))
 }
 
-func (w *world) failf(format string, args ...any) {
+func (w *simulation) failf(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 // check compares the answers that callers received with the runs.
-func (w *world) check() {
+func (w *simulation) check() {
 	for _, key := range []string{"key0", "key1"} {
 		if runs := w.runsOf(dedupe.KeyOf("owner", key)); len(runs) > 1 {
 			w.failf("%s ran %d times", key, len(runs))
@@ -120,11 +120,11 @@
 	}
 }
 
-func (w *world) checkSend(s *send) {
+func (w *simulation) checkSend(s *send) {
 	runs := w.runsOf(s.call.ID)
 	switch {
 	case s.lost:
-	case !s.over:
+	case !s.finished:
 		w.failf("send %s got no answer", s.name)
 	case s.refusal == nil && len(runs) == 0:
 		w.failf("send %s is done but nothing ran", s.name)
@@ -138,7 +138,7 @@
 // checkNotRun checks both promises of "not run": no attempt claimed by this call
 // ever runs; and nothing had run under the key when the refusal was made, unless
 // the platform was unavailable or the key was used with another body.
-func (w *world) checkNotRun(s *send, runs []run) {
+func (w *simulation) checkNotRun(s *send, runs []run) {
 	for _, r := range runs {
 		if r.claimant == s.call.Claimant {
 			w.failf("send %s received %q but ran", s.name, s.refusal)
@@ -151,8 +151,8 @@
 }
 
 // TestAtMostOnceUnderRandomFaults repeats keyed requests through other entries
-// while entries and agents die, pause and restart, messages are lost or late,
-// and the platform is down or loses its answers.
+// while entries and agents crash, pause and restart, messages are lost or late,
+// and the platform is down or its responses are lost.
 func TestAtMostOnceUnderRandomFaults(t *testing.T) {
 	outcomes := make(map[string]int)
 	first, count := seeds(t, 300)
@@ -178,7 +178,7 @@
 	switch {
 	case s.lost:
 		return "entry lost"
-	case !s.over:
+	case !s.finished:
 		return "none"
 	case s.refusal == nil:
 		return "done"
@@ -191,7 +191,7 @@
 // untested.
 func TestChecksNoticeMissingGuards(t *testing.T) {
 	for name, missing := range map[string]struct {
-		broken disabledGuards
+		disabled disabledGuards
 		// from is the first seed to try, shortly before one that shows the fault.
 		from uint64
 	}{
@@ -205,7 +205,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := missing.from; seed < missing.from+3000; seed++ {
-				if w := runSchedule(seed, missing.broken); len(w.violations) > 0 {
+				if w := runSchedule(seed, missing.disabled); len(w.violations) > 0 {
 					t.Logf("seed %d: %s", seed, w.violations[0])
 					return
 				}
--- a/core/claims/steps_test.go
+++ b/core/claims/steps_test.go
@@ -10,8 +10,8 @@
 )
 
 // do carries out the next step of a call, as an entry does.
-func (w *world) do(s *send, step Step) {
-	if s.over {
+func (w *simulation) do(s *send, step Step) {
+	if s.finished {
 		return
 	}
 	s.steps++
@@ -20,7 +20,7 @@
 	case StepPick:
 		a := w.agents[w.rng.IntN(len(w.agents))]
 		inc := core.Incarnation(a.epoch)
-		if w.broken.noIncarnation {
+		if w.disabled.noIncarnation {
 			inc = 1
 		}
 		w.do(s, s.call.Picked(a.host, inc))
@@ -38,7 +38,7 @@
 			w.stream(s, a, step.Claim, a.table.Attach(w.now, callOf(s, step.Claim)), next)
 		}, func(*agentNode) { next(func() Step { return s.call.Ended(w.now, EndLost, nil, false) }) })
 	case StepRefuse, StepDone:
-		s.over = true
+		s.finished = true
 		if s.refusal != step.Refusal || s.refusal == nil {
 			s.refusal = step.Refusal
 			s.runsAtRefusal = len(w.runsOf(s.call.ID))
@@ -61,8 +61,8 @@
 
 // claim submits a claim at a random entry, or at the request's own if faults are
 // chosen. It retries if no answer arrives.
-func (w *world) claim(s *send, c Claim, tries int) {
-	if w.broken.noClaims {
+func (w *simulation) claim(s *send, c Claim, tries int) {
+	if w.disabled.noClaims {
 		w.do(s, s.call.Claimed(w.now, Answer{Result: Won, Holder: c}))
 		return
 	}
@@ -75,12 +75,12 @@
 	settled := false
 	settle := func(a Answer) {
 		settled = true
-		if a.Result == Unsure && w.broken.trustUnsure {
+		if a.Result == Unsure && w.disabled.trustUnsure {
 			a.Result, a.Holder = Won, c
 		}
 		next(func() Step { return s.call.Claimed(w.now, a) })
 	}
-	missed := func() {
+	onTimeout := func() {
 		if settled {
 			return
 		}
@@ -91,7 +91,7 @@
 		}
 		settle(Answer{Result: Unsure, RetryAt: w.now.Add(time.Second)})
 	}
-	w.at(&s.entry.node, 3*time.Second, missed, nil)
+	w.at(&s.entry.node, 3*time.Second, onTimeout, nil)
 	if fault == "ask-lost" {
 		return
 	}
@@ -108,22 +108,22 @@
 
 // once returns a function that continues the call with the result of the current
 // step. Only the first result counts, as an entry closes the connection after it.
-func (w *world) once(s *send) func(event func() Step) {
+func (w *simulation) once(s *send) func(event func() Step) {
 	step := s.steps
 	return func(event func() Step) {
-		if s.steps == step && !s.over {
+		if s.steps == step && !s.finished {
 			w.do(s, event())
 		}
 	}
 }
 
 // toAgent sends a message to the agent of a claim: it calls do there, or lost at
-// the entry. With the fault "late", a message reported lost still arrives later.
-func (w *world) toAgent(s *send, c Claim, step string, do, lost func(*agentNode)) {
+// the entry. With the fault "late", a message that was reported as lost still arrives.
+func (w *simulation) toAgent(s *send, c Claim, step string, do, lost func(*agentNode)) {
 	a := w.agents[slices.IndexFunc(w.agents, func(a *agentNode) bool { return a.host == c.Host })]
-	tell := func() { w.at(&s.entry.node, w.latency(), func() { lost(a) }, nil) }
+	reportLost := func() { w.at(&s.entry.node, w.latency(), func() { lost(a) }, nil) }
 	if a.gone {
-		tell()
+		reportLost()
 		return
 	}
 	fault := w.pick(step, "lost", "late", "entry-dies", "entry-pauses", "agent-restarts", "host-gone")
@@ -132,13 +132,13 @@
 	}
 	switch fault {
 	case "lost":
-		tell()
+		reportLost()
 		return
 	case "late":
-		tell()
+		reportLost()
 		epoch := a.epoch
 		w.after(time.Duration(w.rng.Int64N(int64(3*time.Second))), func() {
-			if a.epoch == epoch || w.broken.noIncarnation {
+			if a.epoch == epoch || w.disabled.noIncarnation {
 				do(a)
 			}
 		})
@@ -148,24 +148,24 @@
 		return
 	case "entry-pauses":
 		s.entry.paused = w.now.Add(2 * time.Second)
-		w.at(&s.entry.node, 0, func() { w.at(&a.node, w.latency(), func() { do(a) }, tell) }, nil)
+		w.at(&s.entry.node, 0, func() { w.at(&a.node, w.latency(), func() { do(a) }, reportLost) }, nil)
 		return
 	case "agent-restarts":
 		w.bootAgent(a)
 	case "host-gone":
 		a.gone = true
 		w.bootAgent(a)
-		tell()
+		reportLost()
 		return
 	}
-	w.at(&a.node, w.latency(), func() { do(a) }, tell)
+	w.at(&a.node, w.latency(), func() { do(a) }, reportLost)
 }
 
-func (w *world) ask(s *send, c Claim) {
+func (w *simulation) ask(s *send, c Claim) {
 	next := w.once(s)
 	w.toAgent(s, c, "ask", func(a *agentNode) {
 		var state dedupe.State
-		if w.broken.noSeal {
+		if w.disabled.noSeal {
 			state = dedupe.State(a.table.Attach(w.now, callOf(s, c)).State)
 			if v := a.table.Attach(w.now, callOf(s, c)); v.Refusal != nil && c.Incarnation == a.table.Incarnation {
 				state = dedupe.Sealed
@@ -179,7 +179,7 @@
 	}, func(a *agentNode) { next(func() Step { return s.call.Asked(w.now, AttemptStatus{Gone: a.gone}) }) })
 }
 
-func (w *world) handOver(s *send, a *agentNode, c Claim, next func(func() Step)) {
+func (w *simulation) handOver(s *send, a *agentNode, c Claim, next func(func() Step)) {
 	v := a.table.Begin(w.now, callOf(s, c))
 	if v.Start {
 		w.at(&a.node, w.latency(), func() { w.start(s, a, c, next) }, nil)
@@ -188,11 +188,11 @@
 }
 
 // start runs an attempt at the agent's engine, or refuses it from its queue.
-func (w *world) start(s *send, a *agentNode, c Claim, next func(func() Step)) {
+func (w *simulation) start(s *send, a *agentNode, c Claim, next func(func() Step)) {
 	if refused := w.pick("queue", "refused"); refused != "" || !w.now.Before(s.call.Deadline) {
-		if w.broken.forgetsRefused {
-			fresh := &dedupe.Table{Incarnation: a.table.Incarnation, MaxBytes: 200, MaxRecords: 100}
-			a.table = fresh
+		if w.disabled.forgetsRefused {
+			empty := &dedupe.Table{Incarnation: a.table.Incarnation, MaxBytes: 200, MaxRecords: 100}
+			a.table = empty
 			w.at(&a.node, w.latency(), func() { w.handOver(s, a, c, next) }, nil)
 		} else {
 			a.table.Finish(w.now, c.ID, c.Attempt, dedupe.End{Refusal: core.Refuse(core.CodeQueueFull, "full")})
@@ -222,7 +222,7 @@
 }
 
 // stream relays the answer to an attempt, or its refusal, to an entry.
-func (w *world) stream(s *send, a *agentNode, c Claim, v dedupe.Verdict, next func(func() Step)) {
+func (w *simulation) stream(s *send, a *agentNode, c Claim, v dedupe.Verdict, next func(func() Step)) {
 	r := &reader{send: s, claim: c}
 	r.reply = func(e Ending, refusal *core.Refusal, text string) {
 		runs := len(w.runsOf(c.ID))
@@ -243,13 +243,14 @@
 }
 
 // resumeReaders resumes all readers of an agent.
-func (w *world) resumeReaders(a *agentNode) {
+func (w *simulation) resumeReaders(a *agentNode) {
 	a.readers = slices.DeleteFunc(a.readers, func(r *reader) bool { return w.resumeReader(a, r) })
 }
 
-// resumeReader relays what an agent has of an answer. It reports whether the
+// resumeReader relays the part of an answer that an agent has produced since the
+// last call. It reports whether the
 // reader is finished.
-func (w *world) resumeReader(a *agentNode, r *reader) bool {
+func (w *simulation) resumeReader(a *agentNode, r *reader) bool {
 	v, ok := a.table.Read(r.claim.ID, r.claim.Attempt, int64(len(r.buf)))
 	if !ok {
 		again := a.table.Attach(w.now, callOf(r.send, r.claim))
