--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -87,7 +87,7 @@
 	lost          bool // the entry crashed
 	refusal       *core.Refusal
 	answer        string
-	runsAtRefusal int // runs of the key when the refusal was made
+	runsAtRefusal int // runs of the key when the agent or entry made the refusal
 }
 
 type run struct {
--- a/core/dedupe/table_test.go
+++ b/core/dedupe/table_test.go
@@ -144,7 +144,7 @@
 	assert.Equal(t, table.Seal(start, call("b", 1)), Done)
 }
 
-func TestAnswerBeyondTheBound(t *testing.T) {
+func TestAnswerLargerThanTheBound(t *testing.T) {
 	table := newTable()
 	c := call("a", 1)
 	run(t, table, c, string(make([]byte, 150)), End{})
@@ -200,11 +200,11 @@
 type naive map[KeyID]map[uint64]string
 
 // TestTableAgainstNaive compares the table with the reference over random events:
-// answers that the table keeps are equal, and the others are reported as lost.
+// answers that the table still holds are equal, and the others are reported as lost.
 func TestTableAgainstNaive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	table := &Table{Incarnation: 5, MaxBytes: 400, MaxRecords: 1000}
-	plain := make(naive)
+	reference := make(naive)
 	ran := make(map[KeyID]int)
 	kept, lost := 0, 0
 	for step := range 20_000 {
@@ -218,15 +218,15 @@
 				ran[c.ID]++
 				table.Append(c.ID, c.Attempt, []byte(text))
 				table.Finish(start, c.ID, c.Attempt, End{})
-				plain[c.ID] = map[uint64]string{c.Attempt: text}
+				reference[c.ID] = map[uint64]string{c.Attempt: text}
 			}
 		case 2:
-			want, has := plain[c.ID][c.Attempt]
+			want, ok := reference[c.ID][c.Attempt]
 			if v := table.Attach(start, c); v.State == Done {
 				got, _ := read(t, table, c, 0)
 				assert.Equal(t, got, want)
 				kept++
-			} else if has {
+			} else if ok {
 				assertRefused(t, v, core.CodeAnswerLost, core.MayHaveRun)
 				lost++
 			}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -53,12 +53,12 @@
 	sijill core.HostName = "sijill-1"
 )
 
-// TestLeaving covers an agent that stops. It says so in its responses and to its
-// peers, long before the platform's list shows it. No entry may give it new work.
-// Then its successor starts on the same host and must get work, although the
+// TestLeaving covers an agent that stops. It reports this in its responses and to
+// its peers, long before the platform's list shows it. No entry may give it new
+// work. Then its successor starts on the same host and must get work, although the
 // predecessor's mark has not expired.
 func TestLeaving(t *testing.T) {
-	t.Run("said in a response", func(t *testing.T) {
+	t.Run("reported in a response", func(t *testing.T) {
 		s := newScenario(t)
 		s.respond(qalam, 1)
 		s.RecordContact(s.now, Contact{Host: qalam, OK: true, Incarnation: 1, Leaving: true})
@@ -183,7 +183,7 @@
 	assert.Equal(t, crash(), Suspect)
 	s.assertState(qalam, Suspect, HeldBack)
 	s.respond(qalam, 1)
-	assert.Equal(t, s.hosts[qalam].incarnation, incarnation, "a late answer of an earlier incarnation changes nothing")
+	assert.Equal(t, s.hosts[qalam].incarnation, incarnation, "a late response from an earlier incarnation changed the state")
 }
 
 // TestSuspicionIsNoProof covers a network partition: an entry can't reach a host
--- a/core/member/naive_test.go
+++ b/core/member/naive_test.go
@@ -11,13 +11,13 @@
 	"radishwell/core"
 )
 
-// noJitter gives every hold its full length, so that the naive version can compute
+// noJitter makes every hold as long as it can be, so that the naive version can compute
 // it.
 type noJitter struct{}
 
 func (noJitter) Uint64() uint64 { return 1 }
 
-// event is one event of a naive log.
+// event is one event of the log. Only the fields of its kind are set.
 type event struct {
 	at      time.Time
 	host    core.HostName
@@ -32,17 +32,17 @@
 
 // judge is the specification of Judge.
 func (n *naive) judge(now time.Time, name core.HostName) State {
-	own := n.eventsOf(name)
-	incarnations, hold, level, failing := n.replay(own)
+	events := n.eventsOf(name)
+	incarnations, hold, level, failing := n.replay(events)
 	var incarnation core.Incarnation
 	if len(incarnations) > 0 {
 		incarnation = incarnations[len(incarnations)-1]
 	}
-	listed := lastListed(own)
+	listed := lastListed(events)
 	switch {
 	case listed == core.HostGone:
 		return Gone
-	case listed == core.HostLeaving || saidLeaving(own, incarnations) || marked(own, incarnation, now):
+	case listed == core.HostLeaving || reportedLeaving(events, incarnations) || marked(events, incarnation, now):
 		return Leaving
 	case failing || level > 1 && now.Before(hold):
 		return Suspect
@@ -52,24 +52,24 @@
 
 // eventsOf returns the events of a host since it was last listed after being gone.
 func (n *naive) eventsOf(name core.HostName) []event {
-	var own []event
+	var events []event
 	for _, e := range n.log {
 		if e.host != name {
 			continue
 		}
-		if e.listed != "" && lastListed(own) == core.HostGone && e.listed != core.HostGone || e.listed == core.HostGone {
-			own = nil
+		if e.listed != "" && lastListed(events) == core.HostGone && e.listed != core.HostGone || e.listed == core.HostGone {
+			events = nil
 		}
-		if lastListed(own) != core.HostGone {
-			own = append(own, e)
+		if lastListed(events) != core.HostGone {
+			events = append(events, e)
 		}
 	}
-	return own
+	return events
 }
 
-func lastListed(own []event) core.HostState {
+func lastListed(events []event) core.HostState {
 	var state core.HostState
-	for _, e := range own {
+	for _, e := range events {
 		if e.listed != "" {
 			state = e.listed
 		}
@@ -87,24 +87,24 @@
 	return true
 }
 
-func saidLeaving(own []event, incarnations []core.Incarnation) bool {
+func reportedLeaving(events []event, incarnations []core.Incarnation) bool {
 	var seen []core.Incarnation
-	said := false
-	for _, e := range own {
+	leaving := false
+	for _, e := range events {
 		if e.contact == nil || !e.contact.OK || !isCurrent(seen, e.contact) {
 			continue
 		}
 		if incarnation := e.contact.Incarnation; incarnation != 0 && (len(seen) == 0 || seen[len(seen)-1] != incarnation) {
 			seen = append(seen, incarnation)
-			said = false
+			leaving = false
 		}
-		said = said || e.contact.Leaving && len(seen) > 0
+		leaving = leaving || e.contact.Leaving && len(seen) > 0
 	}
-	return said
+	return leaving
 }
 
-func marked(own []event, incarnation core.Incarnation, now time.Time) bool {
-	for _, e := range own {
+func marked(events []event, incarnation core.Incarnation, now time.Time) bool {
+	for _, e := range events {
 		if e.mark != 0 && (incarnation == 0 || incarnation == e.mark) && e.expires.After(now) {
 			return true
 		}
@@ -115,10 +115,10 @@
 // replay computes the incarnations and the suspicion of one host. It leaves out
 // failures of several hosts at a time, since the differential test has only three
 // hosts.
-func (n *naive) replay(own []event) (incarnations []core.Incarnation, hold time.Time, level int, failing bool) {
+func (n *naive) replay(events []event) (incarnations []core.Incarnation, hold time.Time, level int, failing bool) {
 	var lastOK, lastFail time.Time
 	decayed := func(at time.Time) int { return max(0, level-int(at.Sub(lastFail)/decayInterval)) }
-	for _, e := range own {
+	for _, e := range events {
 		switch c := e.contact; {
 		case c == nil || !isCurrent(incarnations, c):
 		case c.OK:
@@ -154,7 +154,7 @@
 			name := core.HostName(fmt.Sprintf("qalam-%d", r.IntN(3)))
 			e := n.random(r, now, name)
 			n.log = append(n.log, e)
-			feed(table, e)
+			apply(table, e)
 			for i := range 3 {
 				name := core.HostName(fmt.Sprintf("qalam-%d", i))
 				at := now.Add(time.Duration(r.IntN(3000)) * time.Millisecond)
@@ -183,7 +183,7 @@
 	return e
 }
 
-func feed(t *Table, e event) {
+func apply(t *Table, e event) {
 	switch {
 	case e.contact != nil:
 		t.RecordContact(e.at, *e.contact)
--- a/core/replic/bench_test.go
+++ b/core/replic/bench_test.go
@@ -93,8 +93,8 @@
 // compare all their tags.
 type tagSet struct{ byTag map[uint64]core.Object }
 
-func (s *tagSet) update(old []uint64, tag uint64, o core.Object) {
-	for _, t := range old {
+func (s *tagSet) update(seen []uint64, tag uint64, o core.Object) {
+	for _, t := range seen {
 		delete(s.byTag, t)
 	}
 	s.byTag[tag] = o
@@ -137,14 +137,14 @@
 		b.ReportMetric(float64(n), "exchanged-bytes")
 	})
 	b.Run("tags", func(b *testing.B) {
-		left, right := makeTagSet(), makeTagSet()
+		source, peer := makeTagSet(), makeTagSet()
 		n := 0
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			old := uint64(i + 1)
 			tag := old + catalogueSize
-			left.update([]uint64{old}, tag, object(i%catalogueSize, core.Version(tag)))
-			n = right.repair(left)
+			source.update([]uint64{old}, tag, object(i%catalogueSize, core.Version(tag)))
+			n = peer.repair(source)
 		}
 		b.ReportMetric(float64(n), "exchanged-bytes")
 	})
--- a/core/replic/history_test.go
+++ b/core/replic/history_test.go
@@ -68,58 +68,58 @@
 }
 
 // join merges a delta and checks the invariants that must hold after any delta.
-func (w *checkedReplica) join(t *testing.T, h *history, d Delta) {
+func (c *checkedReplica) join(t *testing.T, h *history, d Delta) {
 	t.Helper()
-	through := w.Through()
-	for _, o := range w.Join(d) {
-		assert.Assert(t, o.Version > w.seen[o.Name], "%s went back from %d to %d", o.Name, w.seen[o.Name], o.Version)
-		w.seen[o.Name] = o.Version
-		w.live[o.Name] = o
+	through := c.Through()
+	for _, o := range c.Join(d) {
+		assert.Assert(t, o.Version > c.seen[o.Name], "%s went back from %d to %d", o.Name, c.seen[o.Name], o.Version)
+		c.seen[o.Name] = o.Version
+		c.live[o.Name] = o
 		if o.Deleted {
-			delete(w.live, o.Name)
+			delete(c.live, o.Name)
 		}
 	}
-	assert.Assert(t, w.Through() >= through)
-	assert.Assert(t, w.tombstoneCount <= w.Tombstones || w.newest > w.Through())
-	w.checkChanges(t)
-	w.checkState(t, h)
+	assert.Assert(t, c.Through() >= through)
+	assert.Assert(t, c.tombstoneCount <= c.Tombstones || c.newest > c.Through())
+	c.checkChanges(t)
+	c.checkState(t, h)
 }
 
 // checkChanges checks that a subscriber that applies the returned changes has the same
 // state as the replica.
-func (w *checkedReplica) checkChanges(t *testing.T) {
+func (c *checkedReplica) checkChanges(t *testing.T) {
 	t.Helper()
-	all := w.All()
-	assert.Equal(t, len(all), len(w.live))
-	assert.Equal(t, len(all), w.Len())
+	all := c.All()
+	assert.Equal(t, len(all), len(c.live))
+	assert.Equal(t, len(all), c.Len())
 	for _, o := range all {
-		assert.Equal(t, w.live[o.Name].Version, o.Version)
+		assert.Equal(t, c.live[o.Name].Version, o.Version)
 	}
 }
 
 // checkState checks that every object of the replica was once committed and that none is
 // missing at the through mark.
-func (w *checkedReplica) checkState(t *testing.T, h *history) {
+func (c *checkedReplica) checkState(t *testing.T, h *history) {
 	t.Helper()
-	for _, o := range w.All() {
+	for _, o := range c.All() {
 		want := h.events[o.Version-1]
 		assert.Assert(t, want.Name == o.Name && bytes.Equal(want.Spec, o.Spec))
-		_, there := h.states[w.Through()][o.Name]
-		assert.Assert(t, there || o.Version > w.Through(), "%s@%d is deleted at %d", o.Name, o.Version, w.Through())
+		_, live := h.states[c.Through()][o.Name]
+		assert.Assert(t, live || o.Version > c.Through(), "%s@%d is deleted at %d", o.Name, o.Version, c.Through())
 	}
-	for name, want := range h.states[w.Through()] {
-		held, ok := w.byName[name]
-		assert.Assert(t, ok && held.Version >= want.Version, "%s@%d missing at %d", name, want.Version, w.Through())
+	for name, want := range h.states[c.Through()] {
+		held, ok := c.byName[name]
+		assert.Assert(t, ok && held.Version >= want.Version, "%s@%d missing at %d", name, want.Version, c.Through())
 	}
 }
 
 // checkEqual checks that the replica has exactly the state at its through mark.
-func (w *checkedReplica) checkEqual(t *testing.T, h *history) {
+func (c *checkedReplica) checkEqual(t *testing.T, h *history) {
 	t.Helper()
-	state := h.states[w.Through()]
-	assert.Equal(t, w.Len(), len(state))
+	state := h.states[c.Through()]
+	assert.Equal(t, c.Len(), len(state))
 	for name, want := range state {
-		got, ok := w.Get(name)
+		got, ok := c.Get(name)
 		assert.Assert(t, ok && got.Version == want.Version)
 	}
 }
--- a/core/rtable/customer_test.go
+++ b/core/rtable/customer_test.go
@@ -43,7 +43,7 @@
 		assert.Equal(t, rank(unranked, high), rank(nil, high))
 		assert.Assert(t, rank(unranked, high) < rank(unranked, low))
 	})
-	t.Run("neighbours share a number if there are too many", func(t *testing.T) {
+	t.Run("adjacent ranks share a number if there are more ranks than numbers", func(t *testing.T) {
 		assert.Equal(t, table.Rank(first, high, 2), 0)
 		assert.Equal(t, table.Rank(unranked, low, 2), 1)
 	})
@@ -62,5 +62,5 @@
 	assert.Assert(t, !k.Offer(buildFor(t, 1, routes, customer("c", 0, "old", "kept"))))
 	assert.Assert(t, k.Table().KeyHolder(core.DigestOf("old")) == nil)
 	assert.Assert(t, k.Removed(core.DigestOf("old")))
-	assert.Assert(t, !k.Removed(core.DigestOf("kept")) && !k.Removed(core.DigestOf("never")))
+	assert.Assert(t, !k.Removed(core.DigestOf("kept")) && !k.Removed(core.DigestOf("unknown")))
 }
--- a/core/strike/book_test.go
+++ b/core/strike/book_test.go
@@ -36,7 +36,7 @@
 	assert.Equal(t, len(b.Records(start.Add(TTL+1))), 0)
 }
 
-// A host dies under a long request that ran alone there. One such crash must not
+// A host crashes during a long request that ran alone there. One such crash must not
 // quarantine the request.
 func TestOneCrashAloneIsNoProof(t *testing.T) {
 	b := newBook("a")
@@ -60,8 +60,8 @@
 	assertStanding(t, b, start, 2, Quarantined)
 }
 
-// A prompt that many callers share was in the batch of three engines that died of
-// another cause. It had ended well before, so it must not be refused.
+// A prompt that many callers share was in flight at three engines that crashed for
+// another reason. It had ended well before, so it must not be refused.
 func TestSharedPromptIsNotQuarantined(t *testing.T) {
 	b, entry := newBook("a"), newBook("entry")
 	copies := &Copies{MaxProven: 10}
@@ -74,9 +74,9 @@
 			b.Merge(start, []Record{entry.RecordKnownGood(start, f)})
 		}
 	}
-	for _, each := range []*Book{b, entry} {
-		assertStanding(t, each, start, 1, Suspect)
-		assertStanding(t, each, start, 2, Quarantined)
+	for _, book := range []*Book{b, entry} {
+		assertStanding(t, book, start, 1, Suspect)
+		assertStanding(t, book, start, 2, Quarantined)
 	}
 	assert.Assert(t, !copies.TakeProven(start, 1))
 }
@@ -107,13 +107,13 @@
 	now := start.Add(3 * time.Second)
 	b.Merge(now, a.Records(now))
 	c.Merge(now, b.Records(now))
-	for _, each := range []*Book{a, b, c} {
-		assertStanding(t, each, now, 1, Suspect)
+	for _, book := range []*Book{a, b, c} {
+		assertStanding(t, book, now, 1, Suspect)
 	}
 }
 
 // Records reach processes in any order, repeated and late. All must agree.
-func TestJoinIsOrderless(t *testing.T) {
+func TestMergeIgnoresOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	for range 200 {
 		sources := []*Book{newBook("a"), newBook("b"), newBook("c")}
@@ -199,7 +199,7 @@
 		c.Start(f, "a")
 		c.End(start, f, true)
 	}
-	assert.Equal(t, c.RequiredHost(1), core.HostName("b")) // no longer remembered as proven
+	assert.Equal(t, c.RequiredHost(1), core.HostName("b")) // no longer recorded as proven
 }
 
 // A request becomes a suspect while it waits in a queue. It must be refused there,
@@ -215,10 +215,10 @@
 
 func TestTrialIsTheSameForAll(t *testing.T) {
 	hosts := []core.HostName{"a", "b", "c", "d"}
-	turned := slices.Clone(hosts)
-	slices.Reverse(turned)
+	reversed := slices.Clone(hosts)
+	slices.Reverse(reversed)
 	for f := range core.Fingerprint(100) {
-		assert.Equal(t, TrialHost(f, hosts), TrialHost(f, turned))
+		assert.Equal(t, TrialHost(f, hosts), TrialHost(f, reversed))
 	}
 	assert.Equal(t, TrialHost(1, nil), core.HostName(""))
 }
--- a/core/strike/play_test.go
+++ b/core/strike/play_test.go
@@ -129,8 +129,8 @@
 		return
 	}
 	to := hosts[f.rng.IntN(len(hosts))]
-	if joined := f.copies[j.entry].RequiredHost(j.fingerprint); !f.naive && slices.Contains(hosts, joined) {
-		to = joined
+	if required := f.copies[j.entry].RequiredHost(j.fingerprint); !f.naive && slices.Contains(hosts, required) {
+		to = required
 	}
 	j.trial = book.Find(f.now, j.fingerprint).Standing == Suspect
 	if j.trial && !f.naive {
@@ -187,11 +187,11 @@
 
 func (f *fleet) start(a *upstream, j *job) {
 	epoch := a.epoch
-	takes := f.randomDelay(200*time.Millisecond, 2*time.Second)
+	duration := f.randomDelay(200*time.Millisecond, 2*time.Second)
 	if j.fingerprint == poison {
-		takes = 100 * time.Millisecond
+		duration = 100 * time.Millisecond
 	}
-	f.schedule(takes, func() {
+	f.schedule(duration, func() {
 		if a.epoch != epoch {
 			return
 		}
@@ -208,8 +208,8 @@
 }
 
 // crash crashes an engine. The agent sends the records to all entries, repeatedly
-// until they acknowledge. It answers the requests when all have acknowledged, or
-// after a second.
+// until they acknowledge. It reports the loss of the requests when all have
+// acknowledged, or after a second.
 func (f *fleet) crash(a *upstream) {
 	f.crashes++
 	a.epoch++
@@ -217,13 +217,13 @@
 	victims := a.running
 	a.running = nil
 	records := a.gate.Book.RecordCrash(f.now, fingerprints(victims))
-	missing := len(f.entries)
-	answered := false
-	answer := func() {
-		if answered {
+	unacknowledged := len(f.entries)
+	reported := false
+	reportLoss := func() {
+		if reported {
 			return
 		}
-		answered = true
+		reported = true
 		for _, j := range victims {
 			f.schedule(f.randomDelay(time.Millisecond, 5*time.Millisecond), func() {
 				f.copies[j.entry].End(f.now, j.fingerprint, false)
@@ -233,13 +233,13 @@
 	}
 	for i := range f.entries {
 		f.notifyEntry(i, records, func() {
-			missing--
-			if missing == 0 {
-				answer()
+			unacknowledged--
+			if unacknowledged == 0 {
+				reportLoss()
 			}
 		})
 	}
-	f.schedule(time.Second, answer)
+	f.schedule(time.Second, reportLoss)
 	f.schedule(5*time.Second, func() {
 		a.down = false
 		f.startWaiting(a)
@@ -266,10 +266,10 @@
 		f.entries[i].RecordKnownGood(f.now, fingerprint)
 	}
 	at := f.copies[i].HostOf(fingerprint)
-	known := f.entries[i].RecordsOf(f.now, fingerprint)
+	records := f.entries[i].RecordsOf(f.now, fingerprint)
 	for _, a := range f.agents {
 		if a.name == at && f.rng.Float64() >= f.loss {
-			f.schedule(f.randomDelay(time.Millisecond, 5*time.Millisecond), func() { a.gate.Book.Merge(f.now, known) })
+			f.schedule(f.randomDelay(time.Millisecond, 5*time.Millisecond), func() { a.gate.Book.Merge(f.now, records) })
 		}
 	}
 }
@@ -338,11 +338,11 @@
 		for _, loss := range []float64{0, 0.2} {
 			t.Run(fmt.Sprintf("at-once=%d loss=%v", atOnce, loss), func(t *testing.T) {
 				lost := make(map[int]int)
-				var took []time.Duration
+				var durations []time.Duration
 				for seed := range uint64(schedules(t, 2)) {
 					f, n := runPoisoned(seed, atOnce, loss, false)
 					lost[f.crashes]++
-					took = append(took, f.durations...)
+					durations = append(durations, f.durations...)
 					assert.Assert(t, f.crashes <= 3, "seed %d: %d engines lost", seed, f.crashes)
 					assert.Equal(t, f.outcomes["done"], n, "seed %d: %v", seed, f.outcomes)
 					for _, e := range f.entries {
@@ -351,9 +351,9 @@
 						assert.Equal(t, e.Find(f.now.Add(TTL), 500).Standing, Clean)
 					}
 				}
-				slices.Sort(took)
+				slices.Sort(durations)
 				t.Logf("engines lost: schedules %v; others took p50 %v, p99 %v, max %v", lost,
-					took[len(took)/2].Round(time.Millisecond), took[len(took)*99/100].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
+					durations[len(durations)/2].Round(time.Millisecond), durations[len(durations)*99/100].Round(time.Millisecond), durations[len(durations)-1].Round(time.Millisecond))
 			})
 		}
 	}
@@ -361,11 +361,11 @@
 
 // schedules returns the number of random schedules of a test run, which
 // RADISHWELL_SCHEDULES overrides for a long run.
-func schedules(t *testing.T, usual int) int {
+func schedules(t *testing.T, defaultCount int) int {
 	t.Helper()
 	text := os.Getenv("RADISHWELL_SCHEDULES")
 	if text == "" {
-		return usual
+		return defaultCount
 	}
 	n, err := strconv.Atoi(text)
 	assert.NilError(t, err)
