--- a/core/fleet/incarnation_test.go
+++ b/core/fleet/incarnation_test.go
@@ -15,7 +15,7 @@
 // entry too, and entries name either. Orders for the old incarnation are refused, so loads
 // that callers wait for would begin only after the old entry has lapsed.
 func TestLives(t *testing.T) {
-	t.Run("the last one named is current", func(t *testing.T) {
+	t.Run("the last one listed is current", func(t *testing.T) {
 		var l fleet.IncarnationTracker
 		assert.Assert(t, l.NoteListed(t0, fleet.Incarnation{ID: "i-1"}))
 		assert.Assert(t, !l.NoteListed(t0, fleet.Incarnation{ID: "i-1"}))
@@ -31,7 +31,7 @@
 		assert.DeepEqual(t, l.Ended(after(5*time.Second)), []core.HostName{"i-1"})
 		assert.Assert(t, l.NoteListed(after(5*time.Second), fleet.Incarnation{ID: "i-2"}))
 	})
-	t.Run("one that the registry still names after endedTTL has not ended", func(t *testing.T) {
+	t.Run("one that the registry still lists after endedTTL has not ended", func(t *testing.T) {
 		var l fleet.IncarnationTracker
 		l.NoteListed(t0, fleet.Incarnation{ID: "i-1"})
 		l.End(t0)
--- a/core/fleet/pick_test.go
+++ b/core/fleet/pick_test.go
@@ -93,7 +93,7 @@
 }
 
 // Guards against entries that send the same prompt to different hosts while they do not
-// know each other's requests yet, so that its beginning is read more than once.
+// know each other's requests yet, so that its beginning is prefilled more than once.
 func TestEntriesAgree(t *testing.T) {
 	for i := range 20 {
 		q := prompt(fmt.Sprint("doc-", i), "own")
--- a/core/fleet/view_test.go
+++ b/core/fleet/view_test.go
@@ -334,10 +334,10 @@
 		wantPick(t, v, after(2*time.Second), "i-1")
 	})
 	t.Run("a rate limit in a report is used, and a report without one does not lift it", func(t *testing.T) {
-		v, one := view(entry("i-1")), core.RateLimit{Limited: true, Rate: 1}
-		v.Report(fleet.Report{Taken: t0, ID: "i-1", Limit: one})
+		v, onePerSecond := view(entry("i-1")), core.RateLimit{Limited: true, Rate: 1}
+		v.Report(fleet.Report{Taken: t0, ID: "i-1", Limit: onePerSecond})
 		v.Report(fleet.Report{Taken: after(time.Second), ID: "i-1"})
-		assert.Equal(t, v.Host("i-1").Limit(after(time.Second)), one)
+		assert.Equal(t, v.Host("i-1").Limit(after(time.Second)), onePerSecond)
 	})
 	t.Run("relevant changes are counted", func(t *testing.T) {
 		v := view(entry("i-1"))
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -91,12 +91,12 @@
 		wantOrder(t, p, "empty", "full")
 	})
 	t.Run("adapter without its base", func(t *testing.T) {
-		bare, based := coldCandidate("bare", core.TierMemory), coldCandidate("based", core.TierDisk)
-		based.Load.Base.State = core.Loaded
-		q := route.Query{Request: request(1, t0, time.Minute), Costs: costs, Candidates: []route.Candidate{bare, based}}
+		withoutBase, withBase := coldCandidate("without", core.TierMemory), coldCandidate("with", core.TierDisk)
+		withBase.Load.Base.State = core.Loaded
+		q := route.Query{Request: request(1, t0, time.Minute), Costs: costs, Candidates: []route.Candidate{withoutBase, withBase}}
 		q.Request.Target = core.Target{Service: "qalam", Model: "dues", Base: "ledger"}
 		q.Costs.Base = [3]time.Duration{30 * time.Second, 40 * time.Second, 50 * time.Second}
-		wantOrder(t, (&route.Router{}).Plan(t0, q), "based", "bare")
+		wantOrder(t, (&route.Router{}).Plan(t0, q), "with", "without")
 	})
 }
 
