--- a/core/claims/rate_test.go
+++ b/core/claims/rate_test.go
@@ -50,8 +50,8 @@
 }
 
 // TestWritesDontGrowWithClaims checks that claims are written in groups. Keyed
-// requests arrive at up to 5,400 per second; one write each would exceed the
-// several hundred writes per second that the platform accepts.
+// requests arrive at 50, 500 and 5,400 per second. At 5,400, one write each would
+// exceed the several hundred writes per second that the platform accepts.
 func TestWritesDontGrowWithClaims(t *testing.T) {
 	for _, rate := range []int{50, 500, 5400} {
 		writes, bytes, worst := submitAtRate(4, GroupInterval, 128*core.KiB, rate, 2, 18)
--- a/core/fleet/pick_test.go
+++ b/core/fleet/pick_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Guards against entries that send the same prompt to different hosts while they do not
-// know each other's requests yet, so that its beginning is prefilled more than once.
+// Guards against five entries that send the same prompt to different hosts while they do
+// not know each other's requests yet, so that its beginning is prefilled more than once.
 func TestEntriesAgree(t *testing.T) {
 	for i := range 20 {
 		q := prompt(fmt.Sprint("doc-", i), "own")
@@ -241,8 +241,9 @@
 }
 
 // Guards against a backlog that is underestimated because each entry knows only its own
-// prompts. Five entries send long prompts to the two busy hosts of a model. They sent many
-// to the host that was far behind and admitted requests that could not be served in time.
+// prompts and the requests that hosts have not begun to prefill. Five entries send long
+// prompts to the two hosts of a model, which prefill most of the time. They sent many to the
+// host that was far behind and admitted requests that could not be served in time.
 func TestOthersPrompts(t *testing.T) {
 	const (
 		entries, requests     = 5, 2000
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -305,8 +305,9 @@
 	assert.Equal(t, a.header.Get("X-Radishwell-Server-Signature"), "signed-by-p-1")
 }
 
-// A service fails some requests at one host only. Guards against passing such a failure
-// on although the request may run again at another host.
+// A service fails one request in seven, at random, so another host is likely to answer
+// the same request. Guards against passing such a failure on although the request may run
+// again. Here one host fails every request.
 func TestFailedLookupRunsAgain(t *testing.T) {
 	r := newRig(t)
 	ws := plain(t, r, "p-1", "p-2")
