--- a/core/claims/claim.go
+++ b/core/claims/claim.go
@@ -12,7 +12,9 @@
 	"radishwell/core/dedupe"
 )
 
-// Claim is the exclusive right to run one attempt of a keyed request.
+// Claim is a claim to the exclusive right to run one attempt of a keyed request. It
+// is requested by a Submission and grants the right once a journal has recorded it,
+// which the Result Won reports.
 type Claim struct {
 	ID          dedupe.KeyID
 	Fingerprint core.Fingerprint
--- a/core/manage.go
+++ b/core/manage.go
@@ -45,7 +45,8 @@
 	Orders int64
 	// Busy is set if an order is in progress, during which no other is accepted.
 	Busy bool
-	// Leaving is set if the upstream is shutting down.
+	// Leaving is set if the upstream reports that it is leaving. It finishes its requests
+	// and gets no new ones.
 	Leaving bool
 	// Limit is the request rate that the upstream accepts.
 	Limit RateLimit
--- a/io/driver/driver.go
+++ b/io/driver/driver.go
@@ -40,8 +40,8 @@
 	// unloaded and the unload order. After the order the upstream refuses requests for
 	// the model.
 	evictNotice = 60 * time.Millisecond
-	// loadStartTimeout is how long after its order a load may be missing from the
-	// upstream's reports before it counts as failed.
+	// loadStartTimeout is the time after its order from which a load counts as failed
+	// if the upstream reports neither the model nor an order in progress.
 	loadStartTimeout = 1500 * time.Millisecond
 	// lostThreshold is the number of consecutive failed reads of the report after
 	// which the upstream counts as lost.
--- a/io/peer/soft.go
+++ b/io/peer/soft.go
@@ -12,7 +12,8 @@
 
 // Kinds of marks. The processes may use further ones.
 const (
-	// MarkLeaving is set for a host that is shutting down.
+	// MarkLeaving is set for a host that is leaving: its process is shutting down, the
+	// platform lists the host as leaving, or its upstream announced it in an answer.
 	MarkLeaving = "leaving"
 	// MarkSlow is set for a host that is slow.
 	MarkSlow = "slow"
--- a/io/soak/run.go
+++ b/io/soak/run.go
@@ -53,8 +53,8 @@
 const allDirect = 64
 
 // Execute runs the schedule of the seed and returns the results. Its error is a
-// StartError and means that the run could not be started or its logs not be read, not that
-// it found violations; those are in the Report.
+// StartError: the run could not be started or its logs could not be read. Violations that
+// the run found are not errors; they are in the Report.
 func (r *Run) Execute() (*Report, error) {
 	steps := Draw(r.Seed, r.Length)
 	if err := os.WriteFile(filepath.Join(r.Dir, "schedule.txt"), []byte(lines(steps)), 0o644); err != nil {
